--- a/emulator/src/main/java/org/landingridge/emulator/Sim.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Sim.java
@@ -14,6 +14,18 @@
 
 /** Simulated time and network. Everything happens on one thread, in an order that the seed decides. */
 public final class Sim {
+    /** Sees all messages, for instance to compare their form with recorded ones. */
+    public interface Observer {
+        /** A request as it arrives; {@code path} with the query. */
+        void request(String to, String method, String path, byte[] body);
+
+        /** An answer as it is sent. */
+        void answer(String to, String method, String path, int status, byte[] body);
+
+        /** A record from one controller to another. */
+        void record(byte[] bytes);
+    }
+
     /** Something that waits for the end of a cut. */
     private record Held(String way, Runnable go) {}
 
@@ -65,6 +77,8 @@
 
     public final Random random;
     public long now;
+    /** Null where nobody looks. */
+    public Observer observer;
     private long order;
     private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
             a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -193,6 +207,9 @@
                 if (to.life != toLife) {
                     return;
                 }
+                if (observer != null) {
+                    observer.request(to.name, method, path, body == null ? new byte[0] : body);
+                }
                 servers.get(addr).serve(new Http.Exchange() {
                     private boolean answered;
 
@@ -220,6 +237,9 @@
                     public void answer(int status, byte[] json, int retryAfterS) {
                         if (!answered) {
                             answered = true;
+                            if (observer != null) {
+                                observer.answer(to.name, method, path, status, json);
+                            }
                             if (random.nextDouble() >= lostAnswers.getOrDefault(to.name, 0.0)) {
                                 // A process that has died since gets no answer: else it would go on in the next one's
                                 // life, as a second controller on the same host.
--- a/experiment/src/main/java/org/landingridge/experiment/World.java
+++ b/experiment/src/main/java/org/landingridge/experiment/World.java
@@ -141,6 +141,9 @@
                 Node peer = nodes.get(indexOf(to));
                 int life = peer.host.life;
                 byte[] bytes = message.encode();
+                if (sim.observer != null) {
+                    sim.observer.record(bytes);
+                }
                 sim.deliver(host, peer.host, () -> {
                     if (peer.host.life == life) {
                         try {
