--- a/cli/src/main/java/org/landingridge/cli/ConfigCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/ConfigCommand.java
@@ -18,9 +18,17 @@
 import picocli.CommandLine.Parameters;
 
 /** The configuration of teams while the controllers run. */
-@Command(name = "config", mixinStandardHelpOptions = true, description = "Show and change the configuration of teams.",
-        subcommands = {ConfigCommand.Show.class, ConfigCommand.History.class, ConfigCommand.Set.class,
-            ConfigCommand.Rollback.class, ConfigCommand.Wait.class})
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        description = "Show and change the configuration of teams.",
+        subcommands = {
+            ConfigCommand.Show.class,
+            ConfigCommand.History.class,
+            ConfigCommand.Set.class,
+            ConfigCommand.Rollback.class,
+            ConfigCommand.Wait.class
+        })
 final class ConfigCommand implements Runnable {
     private static final String PATH = "/api/config";
 
@@ -40,7 +48,10 @@
         }
     }
 
-    @Command(name = "history", mixinStandardHelpOptions = true, description = "Show the last changes, the newest first.")
+    @Command(
+            name = "history",
+            mixinStandardHelpOptions = true,
+            description = "Show the last changes, the newest first.")
     static final class History extends UserCommands.Caller {
         @Override
         public Integer call() throws Exception {
@@ -56,7 +67,10 @@
         @Option(names = "--why", required = true, description = "the reason")
         private String why;
 
-        @Option(names = "--expected", defaultValue = "-1", description = "number that has to hold, as config show tells it")
+        @Option(
+                names = "--expected",
+                defaultValue = "-1",
+                description = "number that has to hold, as config show tells it")
         private long expected;
 
         @Option(names = "--key", description = "of an earlier try whose answer was lost")
@@ -67,7 +81,11 @@
 
         int send(ObjectNode change) throws IOException, InterruptedException {
             String used = key == null ? UUID.randomUUID().toString() : key;
-            change.put("key", used).put("by", by).put("why", why).put("expected", expected).put("dryRun", dryRun);
+            change.put("key", used)
+                    .put("by", by)
+                    .put("why", why)
+                    .put("expected", expected)
+                    .put("dryRun", dryRun);
             int code = ask("POST", PATH, Json.bytes(change));
             if (code != 0 && !dryRun) {
                 System.err.println("landingridge: to ask for the same change again, add --key " + used);
@@ -103,11 +121,19 @@
         }
     }
 
-    @Command(name = "wait", mixinStandardHelpOptions = true, description = "Wait until every controller acts by a number.")
+    @Command(
+            name = "wait",
+            mixinStandardHelpOptions = true,
+            description = "Wait until every controller acts by a number.")
     static final class Wait implements Callable<Integer> {
         private static final int PAUSE_MS = 200;
 
-        @Option(names = "--server", required = true, split = ",", paramLabel = "HOST:PORT", description = "every controller")
+        @Option(
+                names = "--server",
+                required = true,
+                split = ",",
+                paramLabel = "HOST:PORT",
+                description = "every controller")
         private List<String> servers;
 
         @Option(names = "--timeout", defaultValue = "30", description = "seconds")
@@ -130,8 +156,10 @@
                     Thread.sleep(PAUSE_MS);
                 }
             }
-            System.out.println(behind.isEmpty() ? "number " + number + " is in force everywhere"
-                    : "number " + number + " is not known to be in force at " + String.join(", ", behind));
+            System.out.println(
+                    behind.isEmpty()
+                            ? "number " + number + " is in force everywhere"
+                            : "number " + number + " is not known to be in force at " + String.join(", ", behind));
             return behind.isEmpty() ? 0 : 1;
         }
 
--- a/cli/src/main/java/org/landingridge/cli/LocalCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/LocalCommand.java
@@ -23,7 +23,9 @@
  * The whole service on this machine: controllers as processes of their own, so that they can be killed, among stand-ins
  * for state service, cloud and workers in this one. A controller that ends is started again.
  */
-@Command(name = "local", mixinStandardHelpOptions = true,
+@Command(
+        name = "local",
+        mixinStandardHelpOptions = true,
         description = "Run controllers, a state service, a cloud and workers on this machine.")
 final class LocalCommand implements Callable<Integer> {
     private static final String TYPE = "box4";
@@ -35,19 +37,30 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Option(names = "--controllers", defaultValue = "3", paramLabel = "N",
+    @Option(
+            names = "--controllers",
+            defaultValue = "3",
+            paramLabel = "N",
             description = "how many controllers (1 to 9; ${DEFAULT-VALUE})")
     private int controllers;
 
-    @Option(names = "--machines", defaultValue = "10", paramLabel = "N",
+    @Option(
+            names = "--machines",
+            defaultValue = "10",
+            paramLabel = "N",
             description = "how many spot and how many ordinary machines the cloud has (1 to 200; ${DEFAULT-VALUE})")
     private int machines;
 
-    @Option(names = "--port", defaultValue = "8080", paramLabel = "PORT",
+    @Option(
+            names = "--port",
+            defaultValue = "8080",
+            paramLabel = "PORT",
             description = "the first controller's port for users, the others follow (${DEFAULT-VALUE})")
     private int port;
 
-    @Option(names = "--state", paramLabel = "DIR",
+    @Option(
+            names = "--state",
+            paramLabel = "DIR",
             description = "keep the state in this folder and go on from it; without it nothing is kept")
     private Path dir;
 
@@ -68,8 +81,15 @@
             nodes.add(new Worker.Node("rig-" + i, "127.0.0.1:" + (port + i)));
             backs.add(Loopback.freePort());
         }
-        Loopback loopback = new Loopback(new Loopback.Config(new Cloud.Offer(TYPE, 4, 8, List.of("a", "b"), 3_000, 2_000),
-                machines, nodes, REPORT_MS, LEASE_MS), shelf, StoredTruth::new);
+        Loopback loopback = new Loopback(
+                new Loopback.Config(
+                        new Cloud.Offer(TYPE, 4, 8, List.of("a", "b"), 3_000, 2_000),
+                        machines,
+                        nodes,
+                        REPORT_MS,
+                        LEASE_MS),
+                shelf,
+                StoredTruth::new);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             stopping = true;
             synchronized (running) {
@@ -85,8 +105,11 @@
             keeper.setDaemon(true);
             keeper.start();
         }
-        System.out.printf("Submit jobs to any of: %s%n", String.join(", ", nodes.stream().map(Worker.Node::addr).toList()));
-        System.out.printf("Team: local. Machine type: %s (4 CPUs, 8 GB), %d spot and %d ordinary ones in zones a and b.%n",
+        System.out.printf(
+                "Submit jobs to any of: %s%n",
+                String.join(", ", nodes.stream().map(Worker.Node::addr).toList()));
+        System.out.printf(
+                "Team: local. Machine type: %s (4 CPUs, 8 GB), %d spot and %d ordinary ones in zones a and b.%n",
                 TYPE, machines, machines);
         System.out.printf("Settings and the controllers' logs: %s. Stop with Ctrl-C.%n", folder);
         Thread.currentThread().join();
@@ -98,8 +121,11 @@
         Path pids = folder.resolve(PIDS);
         if (Files.exists(pids)) {
             for (String line : Files.readAllLines(pids)) {
-                ProcessHandle.of(Long.parseLong(line)).filter(p -> p.info().arguments()
-                        .map(a -> List.of(a).contains("org.landingridge.controller.cli.Main")).orElse(false))
+                ProcessHandle.of(Long.parseLong(line))
+                        .filter(p -> p.info()
+                                .arguments()
+                                .map(a -> List.of(a).contains("org.landingridge.controller.cli.Main"))
+                                .orElse(false))
                         .ifPresent(ProcessHandle::destroyForcibly);
             }
             Files.delete(pids);
@@ -108,8 +134,8 @@
 
     private void check(String option, int value, int least, int most) {
         if (value < least || value > most) {
-            throw new ParameterException(spec.commandLine(),
-                    option + ": expected " + least + " to " + most + ", got " + value);
+            throw new ParameterException(
+                    spec.commandLine(), option + ": expected " + least + " to " + most + ", got " + value);
         }
     }
 
@@ -122,15 +148,22 @@
                     if (stopping) {
                         return;
                     }
-                    process = new ProcessBuilder(ProcessHandle.current().info().command().orElse("java"), "-Xmx64m",
-                            "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
-                            "org.landingridge.controller.cli.Main", "--config", settings.toString())
+                    process = new ProcessBuilder(
+                                    ProcessHandle.current().info().command().orElse("java"),
+                                    "-Xmx64m",
+                                    "-XX:+UseSerialGC",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "org.landingridge.controller.cli.Main",
+                                    "--config",
+                                    settings.toString())
                             .redirectErrorStream(true)
                             .redirectOutput(ProcessBuilder.Redirect.appendTo(new File(log.toString())))
                             .start();
                     running.add(process);
-                    Files.writeString(settings.resolveSibling(PIDS), running.stream().map(p -> p.pid() + "\n")
-                            .reduce("", String::concat));
+                    Files.writeString(
+                            settings.resolveSibling(PIDS),
+                            running.stream().map(p -> p.pid() + "\n").reduce("", String::concat));
                 }
                 System.out.printf("rig-%d runs as process %d%n", index, process.pid());
                 int code = process.waitFor();
@@ -168,7 +201,8 @@
                         """, i, backs.get(i)));
             }
         }
-        s.append(String.format("""
+        s.append(String.format(
+                """
                 [external]
                 cloud = "%s"
                 state = "%s"
--- a/cli/src/main/java/org/landingridge/cli/Main.java
+++ b/cli/src/main/java/org/landingridge/cli/Main.java
@@ -8,15 +8,29 @@
 import picocli.CommandLine.Command;
 
 /** The whole command line: a controller, what users do from a shell, and the tools that need no service. */
-@Command(name = "landingridge", mixinStandardHelpOptions = true,
+@Command(
+        name = "landingridge",
+        mixinStandardHelpOptions = true,
         versionProvider = org.landingridge.controller.cli.Main.Version.class,
         description = "A cluster scheduler that treats a timeout as an unknown outcome.",
-        subcommands = {RunCommand.class, CheckCommand.class, UserCommands.Submit.class, UserCommands.Show.class,
-            UserCommands.Cancel.class, UserCommands.Status.class, LocalCommand.class, ProbeCommand.class,
-            ExperimentCommand.class, CapacityCommand.class,
-            ConfigCommand.class},
-        footer = {"", "Exit codes: 0 success, 1 failure, 2 bad usage or settings.",
-            "LOG_LEVEL (error, info, debug) sets what is logged to standard error."})
+        subcommands = {
+            RunCommand.class,
+            CheckCommand.class,
+            UserCommands.Submit.class,
+            UserCommands.Show.class,
+            UserCommands.Cancel.class,
+            UserCommands.Status.class,
+            LocalCommand.class,
+            ProbeCommand.class,
+            ExperimentCommand.class,
+            CapacityCommand.class,
+            ConfigCommand.class
+        },
+        footer = {
+            "",
+            "Exit codes: 0 success, 1 failure, 2 bad usage or settings.",
+            "LOG_LEVEL (error, info, debug) sets what is logged to standard error."
+        })
 public final class Main implements Runnable {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
--- a/cli/src/main/java/org/landingridge/cli/ProbeCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/ProbeCommand.java
@@ -11,7 +11,9 @@
 import picocli.CommandLine.ParameterException;
 
 /** Measures what a history of ended jobs costs a controller. */
-@Command(name = "probe-history", mixinStandardHelpOptions = true,
+@Command(
+        name = "probe-history",
+        mixinStandardHelpOptions = true,
         description = "Start a controller beside a state service full of ended jobs, and measure it.")
 final class ProbeCommand implements Callable<Integer> {
     @CommandLine.Spec
@@ -26,7 +28,10 @@
     @Option(names = "--form", defaultValue = "SEGMENTS", description = "how they stand there: ${COMPLETION-CANDIDATES}")
     private HistoryProbe.Form form;
 
-    @Option(names = "--limit", defaultValue = "60", paramLabel = "S",
+    @Option(
+            names = "--limit",
+            defaultValue = "60",
+            paramLabel = "S",
             description = "seconds until the controller must be ready (${DEFAULT-VALUE})")
     private int limitS;
 
@@ -39,8 +44,9 @@
         boolean ok = true;
         for (int n : ended) {
             HistoryProbe.Result r = new HistoryProbe().measure(jar, form, n, limitS);
-            System.out.printf("%-10s %-10d %-10d %-10d %-9.1f %s%n", r.form(), r.ended(), r.readyMs(), r.requests(),
-                    r.peakKb() / 1024.0, String.join("; ", r.failed()));
+            System.out.printf(
+                    "%-10s %-10d %-10d %-10d %-9.1f %s%n",
+                    r.form(), r.ended(), r.readyMs(), r.requests(), r.peakKb() / 1024.0, String.join("; ", r.failed()));
             ok &= r.failed().isEmpty();
         }
         return ok ? 0 : 1;
--- a/cli/src/main/java/org/landingridge/cli/UserCommands.java
+++ b/cli/src/main/java/org/landingridge/cli/UserCommands.java
@@ -1,4 +1,5 @@
 package org.landingridge.cli;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/cli/src/test/java/org/landingridge/cli/CommandsOnPagesTest.java
+++ b/cli/src/test/java/org/landingridge/cli/CommandsOnPagesTest.java
@@ -16,7 +16,8 @@
 
 /** Every command that README and the pages show is one that the command line takes. */
 class CommandsOnPagesTest {
-    private static final Pattern COMMAND = Pattern.compile("^ {4}(?:.*&& )?(?:LJ|landingridge|java -jar \\S*landingridge-cli.jar) (.*)$");
+    private static final Pattern COMMAND =
+            Pattern.compile("^ {4}(?:.*&& )?(?:LJ|landingridge|java -jar \\S*landingridge-cli.jar) (.*)$");
     private static final Pattern WORD = Pattern.compile("\"([^\"]*)\"|(\\S+)");
 
     private static List<Path> pages() throws IOException {
--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -59,9 +59,11 @@
     private static final double WRITER_SHARE = 0.5;
     /** A report waits so long for a leader to be known; the worker gives up after 4 s. */
     private static final long PARK_MS = 1_500;
+
     private static final int MOST_PARKED_BYTES = 8 << 20;
     /** A new leader is heard over {@code back} so soon, or there is no way to it. */
     private static final long HEAR_MS = 1_000;
+
     private final Loop loop;
     private final Settings settings;
     private final Mirror mirror;
@@ -82,6 +84,7 @@
     private final Map<String, JsonNode> documents = new TreeMap<>();
     /** When each of them came to be known in its present form. */
     private final Map<String, Long> seenAt = new TreeMap<>();
+
     private final PeerNet peers;
     private final List<String> others;
     private final Relay relay;
@@ -103,7 +106,8 @@
         StateClient client = new StateClient(http, settings.state());
         int nodes = settings.peers().size() + 1;
         // A third of the requests go to watches and a third to barriers; the rest is for renewals and writes.
-        long pause = Math.max(20, Math.round(1000 * 3.0 * nodes / settings.stateLimits().rps()));
+        long pause = Math.max(
+                20, Math.round(1000 * 3.0 * nodes / settings.stateLimits().rps()));
         // Wider than what is read at the start: it brings the changes of the history too.
         String watched = Keys.ROOT.substring(0, Keys.ROOT.length() - 1);
         mirror = new Mirror(client, loop, Keys.ROOT, watched, pause, metrics.busy, new News());
@@ -114,19 +118,66 @@
         capabilities = new Capabilities(client, mirror, loop, settings.host(), others);
         relay = new Relay(loop, peers, random, settings.host(), mostReports());
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
-        lead = new Leadership(client, mirror, loop, random, Keys.LEADER, settings.host(), holdMs,
-                Leadership.blindMs(settings.workers().cancelS(), settings.workers().leaseS(), holdMs), others, peers,
-                table.endings(), this);
-        GroupWriter writer = new GroupWriter(client, mirror, loop, settings.stateLimits(), WRITER_SHARE, Keys.LEADER,
-                lead::writeGuard, metrics.busy);
-        cloud = new CloudClient(http, loop, settings.cloud(), settings.cloudLimits().rps());
+        lead = new Leadership(
+                client,
+                mirror,
+                loop,
+                random,
+                Keys.LEADER,
+                settings.host(),
+                holdMs,
+                Leadership.blindMs(
+                        settings.workers().cancelS(), settings.workers().leaseS(), holdMs),
+                others,
+                peers,
+                table.endings(),
+                this);
+        GroupWriter writer = new GroupWriter(
+                client,
+                mirror,
+                loop,
+                settings.stateLimits(),
+                WRITER_SHARE,
+                Keys.LEADER,
+                lead::writeGuard,
+                metrics.busy);
+        cloud = new CloudClient(
+                http, loop, settings.cloud(), settings.cloudLimits().rps());
         JobLookup lookup = new JobLookup(client, mirror, table, history);
         configuration = new ConfigurationView(settings.teams());
-        configurations = new ConfigurationService(client, mirror, loop, configuration, settings.host(), settings.stateLimits());
-        jobs = new JobService(client, mirror, loop, table, lookup, configuration, settings, types,
-                () -> capabilities.all(Capabilities.Feature.PIPELINES), metrics);
-        parts = new Parts(loop, http, random, settings, policy, client, mirror, lead, writer, cloud, table, history, lookup,
-                capabilities, configuration, types, metrics, incidents, chronicle);
+        configurations =
+                new ConfigurationService(client, mirror, loop, configuration, settings.host(), settings.stateLimits());
+        jobs = new JobService(
+                client,
+                mirror,
+                loop,
+                table,
+                lookup,
+                configuration,
+                settings,
+                types,
+                () -> capabilities.all(Capabilities.Feature.PIPELINES),
+                metrics);
+        parts = new Parts(
+                loop,
+                http,
+                random,
+                settings,
+                policy,
+                client,
+                mirror,
+                lead,
+                writer,
+                cloud,
+                table,
+                history,
+                lookup,
+                capabilities,
+                configuration,
+                types,
+                metrics,
+                incidents,
+                chronicle);
     }
 
     /** What tells of this controller's recoveries. */
@@ -333,13 +384,20 @@
         if (path.equals("/hello")) {
             only("POST", method, exchange, () -> metrics.busy.during(Part.REPORTS, () -> report(exchange)));
         } else if (path.equals("/ready")) {
-            only("GET", method, exchange, () -> exchange.answer(ready() ? 200 : 503,
-                    Json.bytes(Json.object().put("ready", ready()))));
+            only(
+                    "GET",
+                    method,
+                    exchange,
+                    () -> exchange.answer(
+                            ready() ? 200 : 503, Json.bytes(Json.object().put("ready", ready()))));
         } else if (path.equals("/api/jobs")) {
             only("POST", method, exchange, () -> user(() -> jobs.submit(exchange)));
         } else if (path.equals("/metrics")) {
-            only("GET", method, exchange, () -> exchange.answer(200,
-                    metrics.text().getBytes(StandardCharsets.UTF_8)));
+            only(
+                    "GET",
+                    method,
+                    exchange,
+                    () -> exchange.answer(200, metrics.text().getBytes(StandardCharsets.UTF_8)));
         } else if (path.equals("/api/config/history")) {
             only("GET", method, exchange, () -> configurations.history(exchange));
         } else if (path.equals("/api/config") && method.equals("POST")) {
@@ -414,7 +472,8 @@
     /** True if another controller leads and reports can be carried, or sent, to it. */
     private boolean otherLeads() {
         String leader = leader();
-        return leader != null && !leader.equals(settings.host())
+        return leader != null
+                && !leader.equals(settings.host())
                 && (leader.equals(relay.heard()) || loop.now() - leaderSince > HEAR_MS);
     }
 
@@ -456,9 +515,14 @@
 
     private byte[] status() {
         ObjectNode n = Json.object();
-        n.put("host", settings.host()).put("leadership", lead.state().name()).put("leader", lead.leaderHost())
+        n.put("host", settings.host())
+                .put("leadership", lead.state().name())
+                .put("leader", lead.leaderHost())
                 .put("token", lead.leads() ? lead.token() : 0)
-                .put("configuration", configuration.current().number()).put("ready", ready()).put("revision", mirror.revision()).put("jobs", table.size())
+                .put("configuration", configuration.current().number())
+                .put("ready", ready())
+                .put("revision", mirror.revision())
+                .put("jobs", table.size())
                 .put("activeJobs", table.active().size());
         if (reign != null) {
             reign.describe(n);
--- a/controller/src/main/java/org/landingridge/controller/cli/CheckCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/CheckCommand.java
@@ -24,8 +24,9 @@
             if (operators != null) {
                 Policy.read(operators);
             }
-            System.out.printf("ok: %s with %d other controllers, %d teams%n", s.host(), s.peers().size(),
-                    s.teams().size());
+            System.out.printf(
+                    "ok: %s with %d other controllers, %d teams%n",
+                    s.host(), s.peers().size(), s.teams().size());
             return 0;
         } catch (BadSettings e) {
             System.err.println("landingridge: " + e.getMessage());
--- a/controller/src/main/java/org/landingridge/controller/cli/Main.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/Main.java
@@ -2,19 +2,25 @@
 
 import java.util.Locale;
 import java.util.Set;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
-import picocli.CommandLine;
 
 /**
  * The command line of a controller alone. {@code --config FILE} runs a controller, without loading the rest of the command
  * line.
  */
-@Command(name = "landingridge", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
+@Command(
+        name = "landingridge",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
         description = "A cluster scheduler that treats a timeout as an unknown outcome.",
         subcommands = {RunCommand.class, CheckCommand.class, RehearseCommand.class},
-        footer = {"", "Exit codes: 0 success, 1 failure, 2 bad usage or settings.",
-            "LOG_LEVEL (error, info, debug) sets what is logged to standard error."})
+        footer = {
+            "",
+            "Exit codes: 0 success, 1 failure, 2 bad usage or settings.",
+            "LOG_LEVEL (error, info, debug) sets what is logged to standard error."
+        })
 public final class Main implements Runnable {
     private static final Set<String> LEVELS = Set.of("error", "warn", "info", "debug", "trace");
 
--- a/controller/src/main/java/org/landingridge/controller/cli/RehearseCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/RehearseCommand.java
@@ -53,20 +53,23 @@
         Files.delete(file);
         XnioWorker worker = XnioLoop.worker();
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        new HttpServer(worker, new InetSocketAddress("127.0.0.1", standIn), JobSpec.MAX_BODY,
-                x -> answer(x, loop, host + standIn)).start();
+        new HttpServer(
+                        worker,
+                        new InetSocketAddress("127.0.0.1", standIn),
+                        JobSpec.MAX_BODY,
+                        x -> answer(x, loop, host + standIn))
+                .start();
         RunCommand.start(settings, Policy.DEFAULT);
         HttpClient client = new HttpClient(worker.getIoThread(), loop, 16);
         for (int i = 0; i < 25; i++) {
             loop.after(600 + i * 100L, () -> {
-                client.call(host + serve, "GET", "/ready", null, 1_000, r -> { });
-                client.call(host + serve, "POST", "/api/jobs", bytes(JOB), 1_000, r -> { });
-                client.call(host + serve, "GET", "/api/jobs/job-000001", null, 1_000, r -> { });
+                client.call(host + serve, "GET", "/ready", null, 1_000, r -> {});
+                client.call(host + serve, "POST", "/api/jobs", bytes(JOB), 1_000, r -> {});
+                client.call(host + serve, "GET", "/api/jobs/job-000001", null, 1_000, r -> {});
                 client.call(host + serve, "POST", "/hello", report(host + standIn), 1_000, this::note);
             });
         }
-        loop.after(3_200, () -> client.call(host + serve, "POST", "/api/jobs/job-000001/cancel", null, 1_000,
-                r -> { }));
+        loop.after(3_200, () -> client.call(host + serve, "POST", "/api/jobs/job-000001/cancel", null, 1_000, r -> {}));
         Thread.sleep(3_600);
         return 0;
     }
@@ -97,8 +100,10 @@
         } else if (path.equals("/hosts") && x.method().equals("POST")) {
             x.answer(200, bytes("{\"boxes\":[\"m-000001\"]}"));
         } else if (path.equals("/hosts")) {
-            x.answer(200, bytes("{\"boxes\":[{\"id\":\"m-000001\",\"rig\":\"k\",\"yard\":\"z\",\"standby\":true,"
-                    + "\"status\":\"running\",\"heldS\":1.5}],\"more\":false}"));
+            x.answer(
+                    200,
+                    bytes("{\"boxes\":[{\"id\":\"m-000001\",\"rig\":\"k\",\"yard\":\"z\",\"standby\":true,"
+                            + "\"status\":\"running\",\"heldS\":1.5}],\"more\":false}"));
         } else if (path.equals("/commands")) {
             cues(Json.parse(x.body()));
             x.answer(200, report(addr));
@@ -121,10 +126,21 @@
 
     private byte[] report(String addr) {
         ObjectNode n = Json.object();
-        n.put("box", "m-000001").put("addr", addr).put("rig", "k").put("yard", "z").put("standby", true)
-                .put("shift", 1).put("tally", ++tally).put("baton", edition + 1000);
-        n.set("takes", Json.parse(bytes(task == null ? "[]" : "[{" + task + ",\"status\":\""
-                + (tally % 3 == 0 ? "ended\",\"cause\":\"done\"}]" : "running\"}]"))));
+        n.put("box", "m-000001")
+                .put("addr", addr)
+                .put("rig", "k")
+                .put("yard", "z")
+                .put("standby", true)
+                .put("shift", 1)
+                .put("tally", ++tally)
+                .put("baton", edition + 1000);
+        n.set(
+                "takes",
+                Json.parse(bytes(
+                        task == null
+                                ? "[]"
+                                : "[{" + task + ",\"status\":\""
+                                        + (tally % 3 == 0 ? "ended\",\"cause\":\"done\"}]" : "running\"}]"))));
         return Json.bytes(n);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
@@ -59,25 +59,26 @@
         Logger log = LoggerFactory.getLogger(RunCommand.class);
         XnioWorker worker = XnioLoop.worker();
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        HttpClient client = new HttpClient(worker.getIoThread(), loop,
-                Math.max(16, settings.machine().maxConnections() / 8));
+        HttpClient client = new HttpClient(
+                worker.getIoThread(), loop, Math.max(16, settings.machine().maxConnections() / 8));
         // Incarnations must differ between processes: a host's processes start at different times, and hosts differ.
         long seed = settings.host().hashCode() * 0x9E3779B97F4A7C15L + System.currentTimeMillis();
         AtomicReference<Controller> controllerOf = new AtomicReference<>();
-        XnioPeerNet peers = new XnioPeerNet(worker, loop, settings.peers(), settings.peerListen(),
-                message -> {
-                    // A process that is back at once hears the others before it is ready: such a record is lost, as any may be.
-                    Controller ready = controllerOf.get();
-                    if (ready != null) {
-                        ready.received(message);
-                    }
-                });
+        XnioPeerNet peers = new XnioPeerNet(worker, loop, settings.peers(), settings.peerListen(), message -> {
+            // A process that is back at once hears the others before it is ready: such a record is lost, as any may be.
+            Controller ready = controllerOf.get();
+            if (ready != null) {
+                ready.received(message);
+            }
+        });
         Controller controller = new Controller(loop, client, peers, new SplittableRandom(seed), settings, policy);
         controllerOf.set(controller);
         HttpServer server = new HttpServer(worker, settings.listen(), JobSpec.MAX_BODY, controller::serve);
-        loop.after(0, () -> controller.start(() -> {
-            server.start();
-            log.info("{} serves on {}", settings.host(), settings.listen());
-        }));
+        loop.after(
+                0,
+                () -> controller.start(() -> {
+                    server.start();
+                    log.info("{} serves on {}", settings.host(), settings.listen());
+                }));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/config/Policy.java
+++ b/controller/src/main/java/org/landingridge/controller/config/Policy.java
@@ -25,8 +25,15 @@
  * @param queryLimitS     how long an operation may stay unknown before it is escalated
  * @param settleShare     share of a zone's machines that may be given back at a time because they fell silent; 0: none
  */
-public record Policy(double leaderHoldS, double bootMarginS, double idleS, double tightIdleS,
-        double spareShare, double queryLimitS, double historyShare, double settleShare) {
+public record Policy(
+        double leaderHoldS,
+        double bootMarginS,
+        double idleS,
+        double tightIdleS,
+        double spareShare,
+        double queryLimitS,
+        double historyShare,
+        double settleShare) {
 
     public static final Policy DEFAULT = new Policy(3.0, 20.0, 45.0, 600.0, 0.15, 60.0, 0.15, 0.25);
 
@@ -37,12 +44,14 @@
             text = Files.readString(file, StandardCharsets.UTF_8);
             root = new ObjectMapper().readTree(text);
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read as JSON: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new BadSettings(file + ": cannot be read as JSON: "
+                    + e.getMessage().lines().findFirst().orElse(""));
         }
         try (InputStream in = Policy.class.getResourceAsStream("operators.schema.json")) {
             Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                     .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8));
-            String errors = schema.validate(text, InputFormat.JSON).stream().map(Object::toString)
+            String errors = schema.validate(text, InputFormat.JSON).stream()
+                    .map(Object::toString)
                     .collect(Collectors.joining("; "));
             if (!errors.isEmpty()) {
                 throw new BadSettings(file + ": " + errors);
@@ -50,8 +59,10 @@
         } catch (IOException e) {
             throw new IllegalStateException("the schema is part of the program", e);
         }
-        return new Policy(root.path("leaderHoldS").asDouble(DEFAULT.leaderHoldS),
-                root.path("bootMarginS").asDouble(DEFAULT.bootMarginS), root.path("idleS").asDouble(DEFAULT.idleS),
+        return new Policy(
+                root.path("leaderHoldS").asDouble(DEFAULT.leaderHoldS),
+                root.path("bootMarginS").asDouble(DEFAULT.bootMarginS),
+                root.path("idleS").asDouble(DEFAULT.idleS),
                 root.path("tightIdleS").asDouble(DEFAULT.tightIdleS),
                 root.path("spareShare").asDouble(DEFAULT.spareShare),
                 root.path("queryLimitS").asDouble(DEFAULT.queryLimitS),
--- a/controller/src/main/java/org/landingridge/controller/config/Settings.java
+++ b/controller/src/main/java/org/landingridge/controller/config/Settings.java
@@ -18,9 +18,22 @@
 import org.landingridge.wire.Json;
 
 /** The file that the platform hands over. Unknown fields are ignored, known ones are checked. */
-public record Settings(String host, String zone, InetSocketAddress listen, InetSocketAddress peerListen,
-        List<Peer> peers, String cloud, String state, List<String> zones, double clockSkewMs, Map<String, Team> teams,
-        List<Objective> objectives, Workers workers, State stateLimits, Cloud cloudLimits, Machine machine) {
+public record Settings(
+        String host,
+        String zone,
+        InetSocketAddress listen,
+        InetSocketAddress peerListen,
+        List<Peer> peers,
+        String cloud,
+        String state,
+        List<String> zones,
+        double clockSkewMs,
+        Map<String, Team> teams,
+        List<Objective> objectives,
+        Workers workers,
+        State stateLimits,
+        Cloud cloudLimits,
+        Machine machine) {
 
     /** Another controller, by the address for controllers. */
     public record Peer(String host, String zone, String addr) {}
@@ -44,7 +57,10 @@
     public record State(double rps, double writeRps, double valueKb, int txnOps) {
         /** The stricter of each: limits that are announced hold from the start, since they come without notice. */
         State stricter(State next) {
-            return new State(Math.min(rps, next.rps), Math.min(writeRps, next.writeRps), Math.min(valueKb, next.valueKb),
+            return new State(
+                    Math.min(rps, next.rps),
+                    Math.min(writeRps, next.writeRps),
+                    Math.min(valueKb, next.valueKb),
                     Math.min(txnOps, next.txnOps));
         }
 
@@ -80,7 +96,8 @@
                 String addr = text(p, "known.", "endpoint");
                 address(addr, "known.endpoint");
                 once(hosts, text(p, "known.", "host_name"), "known.host_name");
-                peers.add(new Peer(text(p, "known.", "host_name"), p.path("zone").asText(""), addr));
+                peers.add(
+                        new Peer(text(p, "known.", "host_name"), p.path("zone").asText(""), addr));
             }
             JsonNode cluster = table(root, "", "cluster");
             JsonNode external = table(root, "", "external");
@@ -97,29 +114,41 @@
                 if (teams.containsKey(name)) {
                     throw wrong("cluster.teams.name", "each team once, but " + name + " stands twice");
                 }
-                teams.put(name, new Team(name, number(t, "cluster.teams.", "cpus", 0),
-                        number(t, "cluster.teams.", "cpus_max", 0), number(t, "cluster.teams.", "gpus", 0),
-                        number(t, "cluster.teams.", "gpus_max", 0)));
+                teams.put(
+                        name,
+                        new Team(
+                                name,
+                                number(t, "cluster.teams.", "cpus", 0),
+                                number(t, "cluster.teams.", "cpus_max", 0),
+                                number(t, "cluster.teams.", "gpus", 0),
+                                number(t, "cluster.teams.", "gpus_max", 0)));
             }
             List<Objective> objectives = new ArrayList<>();
             for (JsonNode o : list(cluster, "objectives")) {
-                objectives.add(new Objective(o.path("kind").asText(""), o.path("class").asText(null),
-                        number(o, "cluster.objectives.", "within_s", 0), number(o, "cluster.objectives.", "share", 0),
+                objectives.add(new Objective(
+                        o.path("kind").asText(""),
+                        o.path("class").asText(null),
+                        number(o, "cluster.objectives.", "within_s", 0),
+                        number(o, "cluster.objectives.", "share", 0),
                         number(o, "cluster.objectives.", "times", 1)));
             }
             String at = "cluster.workers.";
             JsonNode w = table(cluster, "cluster.", "workers");
-            Workers workers = new Workers(number(w, at, "report_s", null), number(w, at, "lease_s", null),
-                    number(w, at, "cancel_s", 30.0));
+            Workers workers = new Workers(
+                    number(w, at, "report_s", null), number(w, at, "lease_s", null), number(w, at, "cancel_s", 30.0));
             at = "cluster.state.";
             JsonNode s = table(cluster, "cluster.", "state");
-            State state = new State(number(s, at, "rps", null), number(s, at, "write_rps", null),
-                    number(s, at, "value_kb", null), (int) (double) number(s, at, "txn_ops", null));
+            State state = new State(
+                    number(s, at, "rps", null), number(s, at, "write_rps", null), number(s, at, "value_kb", null), (int)
+                            (double) number(s, at, "txn_ops", null));
             JsonNode n = s.path("next");
             if (n.isObject()) {
                 at = "cluster.state.next.";
-                state = state.stricter(new State(number(n, at, "rps", state.rps), number(n, at, "write_rps", state.writeRps),
-                        number(n, at, "value_kb", state.valueKb), (int) (double) number(n, at, "txn_ops", state.txnOps)));
+                state = state.stricter(new State(
+                        number(n, at, "rps", state.rps),
+                        number(n, at, "write_rps", state.writeRps),
+                        number(n, at, "value_kb", state.valueKb),
+                        (int) (double) number(n, at, "txn_ops", state.txnOps)));
             }
             if (!(state.rps > 0 && state.writeRps > 0 && state.valueKb > 0)) {
                 throw wrong(at + "rps, write_rps, value_kb", "numbers above 0");
@@ -132,16 +161,27 @@
             Cloud cloud = new Cloud(number(c, at, "rps", null), number(c, at, "list_lag_s", null));
             JsonNode m = cluster.path("machine_limits");
             at = "cluster.machine_limits.";
-            Machine machine = new Machine(number(m, at, "cpu", 1.0), number(m, at, "mem_mb", 0),
-                    (int) (double) number(m, at, "max_connections", 1000));
+            Machine machine = new Machine(number(m, at, "cpu", 1.0), number(m, at, "mem_mb", 0), (int)
+                    (double) number(m, at, "max_connections", 1000));
             String cloudAddr = text(external, "external.", "cloud");
             address(cloudAddr, "external.cloud");
             String stateAddr = text(external, "external.", "state");
             address(stateAddr, "external.state");
-            return new Settings(text(root, "", "host_name"), root.path("zone").asText(""),
-                    address(text(root, "", "serve_on"), "serve_on"), address(text(root, "", "back"), "back"),
-                    List.copyOf(peers), cloudAddr, stateAddr, List.copyOf(zones),
-                    number(cluster, "cluster.", "skew_ms", 0), teams, List.copyOf(objectives), workers, state, cloud,
+            return new Settings(
+                    text(root, "", "host_name"),
+                    root.path("zone").asText(""),
+                    address(text(root, "", "serve_on"), "serve_on"),
+                    address(text(root, "", "back"), "back"),
+                    List.copyOf(peers),
+                    cloudAddr,
+                    stateAddr,
+                    List.copyOf(zones),
+                    number(cluster, "cluster.", "skew_ms", 0),
+                    teams,
+                    List.copyOf(objectives),
+                    workers,
+                    state,
+                    cloud,
                     machine);
         }
 
@@ -185,8 +225,7 @@
             if (n == null && otherwise != null) {
                 return otherwise.doubleValue();
             }
-            if (n == null || !n.isNumber() || !(n.doubleValue() >= 0)
-                    || otherwise == null && n.doubleValue() == 0) {
+            if (n == null || !n.isNumber() || !(n.doubleValue() >= 0) || otherwise == null && n.doubleValue() == 0) {
                 throw wrong(at + field, otherwise == null ? "a number above 0" : "a number, 0 or more");
             }
             return n.doubleValue();
--- a/controller/src/main/java/org/landingridge/controller/configuration/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/configuration/ChangeRequest.java
@@ -17,13 +17,21 @@
  * @param expected number of the configuration that the operator has seen; -1: whichever holds
  * @param rollback the number to go back to; -1: none
  */
-record ChangeRequest(String key, long expected, String by, String why, boolean dryRun, long rollback,
-        Map<String, JsonNode> set, Map<String, JsonNode> add, List<String> remove) {
+record ChangeRequest(
+        String key,
+        long expected,
+        String by,
+        String why,
+        boolean dryRun,
+        long rollback,
+        Map<String, JsonNode> set,
+        Map<String, JsonNode> add,
+        List<String> remove) {
     private static final int MAX_TEXT = 120;
     private static final int MAX_NAME = 60;
     private static final double MAX_AMOUNT = 1e9;
-    private static final Set<String> FIELDS = Set.of("key", "expected", "by", "why", "dryRun", "rollback", "set", "add",
-            "remove");
+    private static final Set<String> FIELDS =
+            Set.of("key", "expected", "by", "why", "dryRun", "rollback", "set", "add", "remove");
     private static final Set<String> TEAM_FIELDS = Set.of("cpus", "cpusMax", "gpus", "gpusMax");
 
     static ChangeRequest parse(JsonNode n) throws BadMessage {
@@ -32,12 +40,20 @@
         }
         for (Map.Entry<String, JsonNode> field : n.properties()) {
             if (!FIELDS.contains(field.getKey())) {
-                throw new BadMessage("field " + field.getKey() + ": expected one of " + FIELDS.stream().sorted().toList());
+                throw new BadMessage("field " + field.getKey() + ": expected one of "
+                        + FIELDS.stream().sorted().toList());
             }
         }
-        ChangeRequest request = new ChangeRequest(text(n, "key", MAX_NAME), Json.integer(n, "expected", -1),
-                text(n, "by", MAX_TEXT), text(n, "why", MAX_TEXT), Json.flag(n, "dryRun"), Json.integer(n, "rollback", -1),
-                teams(n, "set"), teams(n, "add"), names(n));
+        ChangeRequest request = new ChangeRequest(
+                text(n, "key", MAX_NAME),
+                Json.integer(n, "expected", -1),
+                text(n, "by", MAX_TEXT),
+                text(n, "why", MAX_TEXT),
+                Json.flag(n, "dryRun"),
+                Json.integer(n, "rollback", -1),
+                teams(n, "set"),
+                teams(n, "add"),
+                names(n));
         boolean changes = !request.set.isEmpty() || !request.add.isEmpty() || !request.remove.isEmpty();
         if (changes == request.rollback >= 0) {
             throw new BadMessage("expected either some of set, add and remove, or rollback");
@@ -64,7 +80,9 @@
         }
         for (Map.Entry<String, JsonNode> e : value.properties()) {
             String at = field + "." + e.getKey();
-            if (e.getKey().isBlank() || e.getKey().length() > MAX_NAME || !e.getValue().isObject()) {
+            if (e.getKey().isBlank()
+                    || e.getKey().length() > MAX_NAME
+                    || !e.getValue().isObject()) {
                 throw new BadMessage("field " + at + ": expected a team's name and an object");
             }
             check(at, e.getValue());
@@ -76,7 +94,8 @@
     private static void check(String at, JsonNode team) throws BadMessage {
         for (Map.Entry<String, JsonNode> e : team.properties()) {
             if (!TEAM_FIELDS.contains(e.getKey())) {
-                throw new BadMessage("field " + at + "." + e.getKey() + ": expected one of " + TEAM_FIELDS.stream().sorted().toList());
+                throw new BadMessage("field " + at + "." + e.getKey() + ": expected one of "
+                        + TEAM_FIELDS.stream().sorted().toList());
             }
             double amount = e.getValue().isNumber() ? e.getValue().doubleValue() : -1;
             if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
@@ -131,9 +150,13 @@
         return after;
     }
 
-    private static ConfiguredTeam merged(String at, String name, Settings.Team before, JsonNode fields) throws BadMessage {
-        Settings.Team limits = new Settings.Team(name, Json.number(fields, "cpus", before.cpus()),
-                Json.number(fields, "cpusMax", before.cpusMax()), Json.number(fields, "gpus", before.gpus()),
+    private static ConfiguredTeam merged(String at, String name, Settings.Team before, JsonNode fields)
+            throws BadMessage {
+        Settings.Team limits = new Settings.Team(
+                name,
+                Json.number(fields, "cpus", before.cpus()),
+                Json.number(fields, "cpusMax", before.cpusMax()),
+                Json.number(fields, "gpus", before.gpus()),
                 Json.number(fields, "gpusMax", before.gpusMax()));
         if (limits.cpusMax() > 0 && limits.cpus() > limits.cpusMax()) {
             throw new BadMessage("field " + at + ".cpus: expected at most cpusMax, " + limits.cpusMax());
@@ -161,7 +184,8 @@
         if (reached != rollback) {
             throw new BadMessage("field rollback: the log reaches back to number " + reached + " only");
         }
-        after.replaceAll((name, team) -> team != null || view.inFile(name) ? team
+        after.replaceAll((name, team) -> team != null || view.inFile(name)
+                ? team
                 : new ConfiguredTeam(holds.teams().get(name).limits(), true));
         return after;
     }
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationRecord.java
@@ -18,7 +18,13 @@
  * @param before  of each team that it concerns; null values: only the platform's file spoke of it, or nobody
  * @param after   of the same teams; null: only the platform's file speaks of it again
  */
-record ConfigurationRecord(long number, String key, long at, String by, String why, Map<String, ConfiguredTeam> before,
+record ConfigurationRecord(
+        long number,
+        String key,
+        long at,
+        String by,
+        String why,
+        Map<String, ConfiguredTeam> before,
         Map<String, ConfiguredTeam> after) {
 
     ObjectNode json() {
@@ -47,7 +53,13 @@
     }
 
     static ConfigurationRecord read(JsonNode n) throws BadMessage {
-        return new ConfigurationRecord(Json.integer(n, "number", 0), Json.text(n, "key"), Json.integer(n, "at", 0),
-                Json.text(n, "by"), Json.text(n, "why"), teams(n.get("before")), teams(n.get("after")));
+        return new ConfigurationRecord(
+                Json.integer(n, "number", 0),
+                Json.text(n, "key"),
+                Json.integer(n, "at", 0),
+                Json.text(n, "by"),
+                Json.text(n, "why"),
+                teams(n.get("before")),
+                teams(n.get("after")));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationService.java
@@ -35,6 +35,7 @@
     private static final int PAGE_OVERHEAD_BYTES = 60;
     /** Writes of a change beside its pages: the head and the log. */
     private static final int FIXED_WRITES = 2;
+
     private final StateClient client;
     private final Mirror mirror;
     private final Loop loop;
@@ -42,8 +43,8 @@
     private final String host;
     private final Settings.State limits;
 
-    public ConfigurationService(StateClient client, Mirror mirror, Loop loop, ConfigurationView view, String host,
-            Settings.State limits) {
+    public ConfigurationService(
+            StateClient client, Mirror mirror, Loop loop, ConfigurationView view, String host, Settings.State limits) {
         this.client = client;
         this.mirror = mirror;
         this.loop = loop;
@@ -60,7 +61,10 @@
         ObjectNode teams = n.putObject("teams");
         holds.teams().forEach((name, team) -> {
             Settings.Team t = team.limits();
-            ObjectNode row = teams.putObject(name).put("cpus", t.cpus()).put("cpusMax", t.cpusMax()).put("gpus", t.gpus())
+            ObjectNode row = teams.putObject(name)
+                    .put("cpus", t.cpus())
+                    .put("cpusMax", t.cpusMax())
+                    .put("gpus", t.gpus())
                     .put("gpusMax", t.gpusMax());
             if (team.removed()) {
                 row.put("removed", true);
@@ -94,7 +98,8 @@
             refuse(exchange, 503, "whether the change was made is unknown: ask again with the same key");
             return;
         }
-        mirror.barrier(() -> decide(exchange, request, tries),
+        mirror.barrier(
+                () -> decide(exchange, request, tries),
                 () -> refuse(exchange, 503, "the state service does not answer: ask again with the same key"));
     }
 
@@ -108,8 +113,11 @@
             }
         }
         if (request.expected() >= 0 && request.expected() != holds.number()) {
-            exchange.answer(409, Json.bytes(Json.object().put("error", "the configuration has changed meanwhile")
-                    .put("number", holds.number())));
+            exchange.answer(
+                    409,
+                    Json.bytes(Json.object()
+                            .put("error", "the configuration has changed meanwhile")
+                            .put("number", holds.number())));
             return;
         }
         try {
@@ -155,8 +163,8 @@
             }
             touched.add(page);
         }
-        ConfigurationRecord entry = new ConfigurationRecord(number, request.key(), loop.timeOfDay(), request.by(), request.why(),
-                before, after);
+        ConfigurationRecord entry = new ConfigurationRecord(
+                number, request.key(), loop.timeOfDay(), request.by(), request.why(), before, after);
         List<Write> writes = new ArrayList<>();
         for (int page : touched) {
             while (numbers.size() <= page) {
@@ -185,7 +193,8 @@
     private int withRoom(List<Map<String, ConfiguredTeam>> pages, String name, ConfiguredTeam team) {
         int size = Json.bytes(team.json()).length + name.length() + 4;
         for (int i = 0; i < pages.size(); i++) {
-            if (Json.bytes(ConfigurationRecord.rows(pages.get(i))).length + size + PAGE_OVERHEAD_BYTES <= limits.valueBytes()) {
+            if (Json.bytes(ConfigurationRecord.rows(pages.get(i))).length + size + PAGE_OVERHEAD_BYTES
+                    <= limits.valueBytes()) {
                 return i;
             }
         }
@@ -199,12 +208,14 @@
 
     private void check(List<Write> writes) throws BadMessage {
         if (writes.size() > limits.txnOps()) {
-            throw new BadMessage("the change concerns " + (writes.size() - FIXED_WRITES) + " pages of teams, of which one change may"
-                    + " take " + (limits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
+            throw new BadMessage(
+                    "the change concerns " + (writes.size() - FIXED_WRITES) + " pages of teams, of which one change may"
+                            + " take " + (limits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
         }
         for (Write w : writes) {
             if (Json.bytes(w.value()).length > limits.valueBytes()) {
-                throw new BadMessage(w.key() + " would take more than " + limits.valueBytes() + " bytes: change fewer teams at once");
+                throw new BadMessage(w.key() + " would take more than " + limits.valueBytes()
+                        + " bytes: change fewer teams at once");
             }
         }
     }
@@ -231,13 +242,15 @@
         return notes;
     }
 
-    private void commit(Exchange exchange, ChangeRequest request, Transaction transaction, List<String> notes, int tries) {
+    private void commit(
+            Exchange exchange, ChangeRequest request, Transaction transaction, List<String> notes, int tries) {
         client.commit(transaction.guards, transaction.writes, answer -> {
             if (answer.ok()) {
                 LOG.info("configuration {} by {}: {}", transaction.number, request.by(), request.why());
                 made(exchange, transaction.number, notes);
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
-                // Another change was quicker, or nobody knows: what holds is read before anything is said or sent again.
+                // Another change was quicker, or nobody knows: what holds is read before anything is said or sent
+                // again.
                 attempt(exchange, request, tries + 1);
             } else {
                 refuse(exchange, 503, "the state service refuses the change now");
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationView.java
@@ -23,11 +23,13 @@
 public final class ConfigurationView {
     /** All documents of the configuration are kept under this prefix. */
     public static final String ROOT = Keys.ROOT + "config/";
+
     static final String HEAD = ROOT + "head";
     static final String PAGE = ROOT + "teams/";
     static final String LOG_ROOT = ROOT + "log/";
     /** So many of the last changes are kept. */
     static final int KEPT_CHANGES = 64;
+
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationView.class);
     private final Map<String, JsonNode> documents = new TreeMap<>();
     private final Map<String, ConfiguredTeam> fromFile = new LinkedHashMap<>();
@@ -58,7 +60,10 @@
                 Configuration next = read();
                 current = next == null ? current : next;
             } catch (BadMessage e) {
-                LOG.error("the stored configuration cannot be read ({}): number {} stays in force", e.getMessage(), current.number());
+                LOG.error(
+                        "the stored configuration cannot be read ({}): number {} stays in force",
+                        e.getMessage(),
+                        current.number());
             }
         }
         return current;
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfiguredTeam.java
+++ b/controller/src/main/java/org/landingridge/controller/configuration/ConfiguredTeam.java
@@ -18,7 +18,11 @@
     /** The stored form: guarantee and limit of processors, of accelerators, and 1 for a removed team. */
     JsonNode json() {
         ArrayNode row = Json.array();
-        row.add(limits.cpus()).add(limits.cpusMax()).add(limits.gpus()).add(limits.gpusMax()).add(removed ? 1 : 0);
+        row.add(limits.cpus())
+                .add(limits.cpusMax())
+                .add(limits.gpus())
+                .add(limits.gpusMax())
+                .add(removed ? 1 : 0);
         return row;
     }
 
@@ -31,8 +35,12 @@
                 throw new BadMessage("team " + name + ": expected numbers, 0 or more");
             }
         }
-        Settings.Team limits = new Settings.Team(name, row.get(0).doubleValue(), row.get(1).doubleValue(),
-                row.get(2).doubleValue(), row.get(3).doubleValue());
+        Settings.Team limits = new Settings.Team(
+                name,
+                row.get(0).doubleValue(),
+                row.get(1).doubleValue(),
+                row.get(2).doubleValue(),
+                row.get(3).doubleValue());
         return new ConfiguredTeam(limits, row.get(4).intValue() == 1);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Appraisal.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Appraisal.java
@@ -17,9 +17,11 @@
 final class Appraisal {
     /** A worker reports this much later at most than its interval says: a quarter of it, and the way. */
     private static final double REPORT_SLACK = 0.25;
+
     private static final long WAY_MS = 1_500;
     /** While so few are left to be heard after an election, each is asked at once instead of waited for. */
     private static final int FEW = 12;
+
     private static final int FEW_SHARE = 8;
     /** Reports have come in, mostly, once no machine was heard for the first time for so long. */
     private static final long LULL_MS = 400;
@@ -118,9 +120,17 @@
         boolean mayHold = m.state() == Machine.State.UP || m.inCensus || !m.attempts.isEmpty();
         Row row = !mayHold ? Row.NAMED : m.written || m.inCensus ? Row.HOLDS : Row.REPORTED;
         Word word = !m.everHeard() ? Word.NONE : m.fenced ? Word.OURS : Word.OLD;
-        return Reconciliation.machine(new MachineEvidence(row, word, m.listedFailed,
-                m.state() == Machine.State.LEAVING, now > leaseEnds(m), silent(m, now), m.unanswered >= ASKED,
-                overdue(m, now), Faults.faulty(m.proven, m.failed.size()) && !m.hasLive() && m.state() == Machine.State.UP, crowd(m.zone),
+        return Reconciliation.machine(new MachineEvidence(
+                row,
+                word,
+                m.listedFailed,
+                m.state() == Machine.State.LEAVING,
+                now > leaseEnds(m),
+                silent(m, now),
+                m.unanswered >= ASKED,
+                overdue(m, now),
+                Faults.faulty(m.proven, m.failed.size()) && !m.hasLive() && m.state() == Machine.State.UP,
+                crowd(m.zone),
                 worth(m, now)));
     }
 
@@ -149,6 +159,8 @@
 
     private boolean worth(Machine m, long now) {
         // A give-back that cannot be written now would be carried out later, when the machine may be back.
-        return leaseEnds(m) - now > LEAST_GAIN_MS && ground.lead().state() == Leadership.State.LEADING && (m.hasLive() || m.inCensus && waitingFor);
+        return leaseEnds(m) - now > LEAST_GAIN_MS
+                && ground.lead().state() == Leadership.State.LEADING
+                && (m.hasLive() || m.inCensus && waitingFor);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -5,7 +5,14 @@
 /** One try of a task on one machine, from the moment its start may be sent until it is certainly over. */
 public final class Attempt {
     /** SENT: start given, not yet seen in a report. OVER: certainly not on the machine any more. */
-    public enum State { SENT, FETCHING, RUNNING, SAVING, EXITED, OVER }
+    public enum State {
+        SENT,
+        FETCHING,
+        RUNNING,
+        SAVING,
+        EXITED,
+        OVER
+    }
 
     final String job;
     final int task;
@@ -14,6 +21,7 @@
     final JobSpec spec;
     /** The task that this attempt stands for; null if it is to be got rid of (job over, or not ours). */
     Task owner;
+
     private State state = State.SENT;
     String why;
     /** The newest report that shows it, -1 if none does. */
@@ -26,11 +34,13 @@
     long unansweredUnder;
     /** Token of the last start that was sent straight to the machine, 0 if none was: a copy of it may come late. */
     long directUnder;
+
     boolean stopWanted;
     double graceS;
     long stopSentAt = Long.MIN_VALUE / 2;
     /** Its job is cancelled: from then on its machine's lease may not be renewed while a start of it may still arrive. */
     long offBy = Long.MAX_VALUE;
+
     long since;
     long runningSince;
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempts.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempts.java
@@ -19,11 +19,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     /** The worker's word for an attempt that completed. */
     private static final String DONE = "done";
+
     private final Ground ground;
     private final Faults faults;
     private final Map<String, LiveJob> jobs;
     /** What the tasks of ended jobs take. */
     private final Function<String, JobSpec> endedSpecs;
+
     private long count;
 
     Attempts(Ground ground, Map<String, LiveJob> jobs, Function<String, JobSpec> endedSpecs, Faults faults) {
@@ -36,7 +38,14 @@
     /** Places a task: its start goes out at once, straight to the machine. */
     void place(Task task, Machine m) {
         long number = (ground.token() << 22) + ++count;
-        Attempt a = new Attempt(m, task.job.id(), task.index, number, task.job.spec(), task, ground.loop().now());
+        Attempt a = new Attempt(
+                m,
+                task.job.id(),
+                task.index,
+                number,
+                task.job.spec(),
+                task,
+                ground.loop().now());
         m.attempts.put(number, a);
         m.used(a.spec.image());
         task.to(Task.State.ON_MACHINE, a, ground.loop().now());
@@ -59,7 +68,8 @@
         JobSpec spec = job == null ? endedSpecs.apply(e.job()) : job.spec();
         Attempt a = new Attempt(m, e.job(), e.task(), e.attempt(), spec, null, now);
         m.attempts.put(a.number, a);
-        Said said = e.status() != Report.TaskStatus.EXITED ? Said.ON
+        Said said = e.status() != Report.TaskStatus.EXITED
+                ? Said.ON
                 : DONE.equals(e.why()) && job != null && !spec.service() ? Said.DONE : Said.ENDED;
         Stored stored = job != null ? Stored.LIVE : spec != null ? Stored.OVER : Stored.ABSENT;
         Judgement judgement = Reconciliation.entry(new EntryEvidence(stored, known(task, a), said));
@@ -75,7 +85,11 @@
             }
             case WAIT -> a.owner = task;
             case STOP -> {
-                LOG.debug("{} on {} is stopped: {}", a.name(), m.id, judgement.cause().text());
+                LOG.debug(
+                        "{} on {} is stopped: {}",
+                        a.name(),
+                        m.id,
+                        judgement.cause().text());
                 a.stopWanted = true;
             }
             // An attempt that failed still tells of its job and its machine.
@@ -101,12 +115,14 @@
 
     /** Numbers only grow, from leader to leader and within a reign, and a task is started where none of its attempts can run. */
     private static Known known(Task task, Attempt a) {
-        return task == null ? Known.NONE : switch (task.state()) {
-            case PENDING -> Known.PENDING;
-            case ON_MACHINE -> a.number > task.attempt().number ? Known.EARLIER : Known.ELSEWHERE;
-            case FINISHED -> Known.FINISHED;
-            case DONE -> Known.DONE;
-        };
+        return task == null
+                ? Known.NONE
+                : switch (task.state()) {
+                    case PENDING -> Known.PENDING;
+                    case ON_MACHINE -> a.number > task.attempt().number ? Known.EARLIER : Known.ELSEWHERE;
+                    case FINISHED -> Known.FINISHED;
+                    case DONE -> Known.DONE;
+                };
     }
 
     void seen(Attempt a, Report.Entry e, long now) {
@@ -119,8 +135,12 @@
             case RUNNING -> {
                 if (a.state() != Attempt.State.EXITED && a.state() != Attempt.State.RUNNING) {
                     if (LOG.isDebugEnabled() && a.owner != null) {
-                        LOG.debug("{} runs on {}: {} ms after the job came, {} after it was placed", a.name(),
-                                a.machine.id, now - a.owner.job.since, now - a.since);
+                        LOG.debug(
+                                "{} runs on {}: {} ms after the job came, {} after it was placed",
+                                a.name(),
+                                a.machine.id,
+                                now - a.owner.job.since,
+                                now - a.since);
                     }
                     a.to(Attempt.State.RUNNING, now);
                 }
@@ -174,7 +194,7 @@
                 a.machine.avoidUntil = now + 1_000;
                 task.job.notBefore = now + 500;
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Census.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Census.java
@@ -28,7 +28,8 @@
         }
 
         boolean allowedBy(JobSpec s) {
-            return (!spot || s.spot()) && (s.types() == null || s.types().contains(type))
+            return (!spot || s.spot())
+                    && (s.types() == null || s.types().contains(type))
                     && (s.zone() == null || s.zone().equals(zone));
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Faults.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Faults.java
@@ -20,6 +20,7 @@
     static final int PROVEN = 2;
     /** Or where so many different jobs fail, of which nothing is known. */
     static final int JOBS = 3;
+
     private static final long AVOID_MS = 5_000;
     private static final long PAUSE_MS = 500;
     private static final long PROBE_MS = 2_000;
@@ -46,9 +47,11 @@
                 }
             }
             LOG.info("{} fails on every machine that it is given: one task at a time is tried from now on", job.id());
-            ground.incidents().say(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
-                    + String.join(", ", job.failedOn) + ": it looks like a mistake in the job; one task at a time is tried"
-                    + " until it is cancelled");
+            ground.incidents()
+                    .say(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
+                            + String.join(", ", job.failedOn)
+                            + ": it looks like a mistake in the job; one task at a time is tried"
+                            + " until it is cancelled");
             ground.chronicle().tell("job_broken", "job", job.id(), "machines", job.failedOn.size());
         }
         job.to(health);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -60,6 +60,7 @@
     private static final long DRAIN_MS = 30_000;
     /** So long a machine that was given back is known as such. */
     private static final long RETURNED_MS = 900_000;
+
     private static final long TICK_MS = 500;
     /** A tick that comes so much later than it is due was held up by the whole process. */
     private static final long STOOD_STILL_MS = 1_000;
@@ -67,12 +68,15 @@
     private static final long DOUBT_MS = 1_000;
     /** A higher token costs a change and a report of every machine. */
     private static final long RAISE_MS = 10_000;
+
     private static final long RAISE_ANEW_MS = 1_000;
     /** So long, or until there are so many, ended attempts stay on a machine that a copy of their start could run again. */
     private static final long RAISE_KEPT_MS = 60_000;
+
     private static final int MOST_KEPT = 100;
     /** One in so many machines without a report are many. */
     private static final int MANY = 4;
+
     private final Loop loop;
     private final Leadership lead;
     private final long reignToken;
@@ -86,6 +90,7 @@
     private final Map<String, LiveJob> jobs = new LinkedHashMap<>();
     /** Machines that were given back, with the time; the oldest first. */
     private final Map<String, Long> returned = new LinkedHashMap<>();
+
     private final BootTimes boots = new BootTimes();
     private final Census census;
     private final Attempts attempts;
@@ -97,9 +102,19 @@
     private boolean closed;
 
     /** @param endedSpecs what the tasks of ended jobs take, null where that is not known any more */
-    public Fleet(Loop loop, Http http, Leadership lead, Settings.Workers workers, Function<String, MachineType> types,
-            Function<String, JobSpec> endedSpecs, Policy policy, int maxConnections, Metrics metrics,
-            IncidentReport incidents, Chronicle chronicle, Events events) {
+    public Fleet(
+            Loop loop,
+            Http http,
+            Leadership lead,
+            Settings.Workers workers,
+            Function<String, MachineType> types,
+            Function<String, JobSpec> endedSpecs,
+            Policy policy,
+            int maxConnections,
+            Metrics metrics,
+            IncidentReport incidents,
+            Chronicle chronicle,
+            Events events) {
         this.loop = loop;
         this.lead = lead;
         this.reignToken = lead.token();
@@ -110,7 +125,16 @@
         this.events = events;
         // Clocks differ by 0.05 % and our 200 was written after the report was sent: both err on the safe side.
         this.leaseMs = (long) (workers.leaseS() * 1000 * 1.002) + 250;
-        Ground ground = new Ground(loop, http, lead, reignToken, metrics, incidents, chronicle, events, leaseMs,
+        Ground ground = new Ground(
+                loop,
+                http,
+                lead,
+                reignToken,
+                metrics,
+                incidents,
+                chronicle,
+                events,
+                leaseMs,
                 Math.round(workers.reportS() * 1000));
         census = new Census(ground);
         attempts = new Attempts(ground, jobs, endedSpecs, new Faults(ground, machines::get));
@@ -208,7 +232,11 @@
      * longer than its lease, which a call does not renew.
      */
     public boolean usable(Machine m, long now) {
-        return m.state() == Machine.State.UP && m.fenced && m.written && m.noticeS == null && now >= m.avoidUntil
+        return m.state() == Machine.State.UP
+                && m.fenced
+                && m.written
+                && m.noticeS == null
+                && now >= m.avoidUntil
                 && now - m.reported < leaseMs / 2;
     }
 
@@ -229,7 +257,8 @@
      * likely lost what it held.
      */
     public boolean unheard(Machine m, long now) {
-        return m.inCensus && census.left() * MANY > census.asked()
+        return m.inCensus
+                && census.left() * MANY > census.asked()
                 && appraisal.judge(m, now).cause() == Judgement.Cause.REPORT_DUE;
     }
 
@@ -269,7 +298,8 @@
 
     /** The job's next waiting task that may be placed, or null. */
     public Task nextPlaceable(LiveJob job) {
-        // The one door to every start: whatever asks, nothing of a job begins before all that it needs is stored as done.
+        // The one door to every start: whatever asks, nothing of a job begins before all that it needs is stored as
+        // done.
         if (!job.job().ready()) {
             return null;
         }
@@ -445,8 +475,10 @@
     /** Answers a worker's report; the caller has checked that this process leads. */
     public void report(Report r, Http.Exchange exchange) {
         Machine known = machines.get(r.machine());
-        Judgement judgement = Reconciliation.report(new ReportEvidence(returned.containsKey(r.machine()),
-                known == null || Reports.newer(known, r), Token.of(r.token(), lead.token())));
+        Judgement judgement = Reconciliation.report(new ReportEvidence(
+                returned.containsKey(r.machine()),
+                known == null || Reports.newer(known, r),
+                Token.of(r.token(), lead.token())));
         if (judgement.is(Verdict.ASK)) {
             // The worker would drop our 200, and its lease would run out while it stays with us.
             lead.suspect();
@@ -514,7 +546,9 @@
 
     /** A silent machine's row is to tell for how long it has been so, before a later leader needs to know. */
     private void mute(Machine m) {
-        if (m.voice() != Machine.Voice.MUTED && m.written && (m.state() == Machine.State.UP || m.inCensus)
+        if (m.voice() != Machine.Voice.MUTED
+                && m.written
+                && (m.state() == Machine.State.UP || m.inCensus)
                 && lead.state() == Leadership.State.LEADING) {
             m.to(Machine.Voice.MUTED);
             events.roster(m);
@@ -566,7 +600,7 @@
                         mute(m);
                     }
                 }
-                default -> { }
+                default -> {}
             }
             stuck |= m.state() == Machine.State.UP && orders.withdrawn(m, now);
             kept = Math.max(kept, orders.kept(m));
@@ -582,7 +616,8 @@
         while (returns.hasNext() && now - returns.next() > RETURNED_MS) {
             returns.remove();
         }
-        if ((stuck || kept > MOST_KEPT) && now - tokenRaised > RAISE_MS || kept > 0 && now - tokenRaised > RAISE_KEPT_MS
+        if ((stuck || kept > MOST_KEPT) && now - tokenRaised > RAISE_MS
+                || kept > 0 && now - tokenRaised > RAISE_KEPT_MS
                 || anew && now - tokenRaised > RAISE_ANEW_MS) {
             tokenRaised = now;
             lead.raiseToken();
@@ -615,7 +650,8 @@
     }
 
     private void lapse(Machine m) {
-        // One that this leader never heard is no machine on its way either: counted as such, nothing was rented in its place.
+        // One that this leader never heard is no machine on its way either: counted as such, nothing was rented in its
+        // place.
         if (m.state() == Machine.State.UP || m.inCensus && m.state() == Machine.State.BOOTING) {
             LOG.info("{} is silent: its lease has run out", m.id);
             metrics.lapses.increment();
@@ -625,7 +661,8 @@
                     + (held > 0 ? "; " + held + " tasks are started elsewhere" : ""));
             m.to(Machine.State.LAPSED);
             if (!m.everHeard()) {
-                // Which session ended nobody knows. What was reported in it may still arrive, after the first word of a life that
+                // Which session ended nobody knows. What was reported in it may still arrive, after the first word of a
+                // life that
                 // began since: only a higher token tells them apart.
                 m.to(Machine.Life.ANEW);
                 m.lifeAbove = lead.token();
--- a/controller/src/main/java/org/landingridge/controller/fleet/Ground.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Ground.java
@@ -14,5 +14,14 @@
  * @param leaseMs  after so long without an answer a worker has killed its tasks for certain, drift and margin included
  * @param reportMs how often workers report
  */
-record Ground(Loop loop, Http http, Leadership lead, long token, Metrics metrics, IncidentReport incidents, Chronicle chronicle,
-        Fleet.Events events, long leaseMs, long reportMs) {}
+record Ground(
+        Loop loop,
+        Http http,
+        Leadership lead,
+        long token,
+        Metrics metrics,
+        IncidentReport incidents,
+        Chronicle chronicle,
+        Fleet.Events events,
+        long leaseMs,
+        long reportMs) {}
--- a/controller/src/main/java/org/landingridge/controller/fleet/LiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LiveJob.java
@@ -18,21 +18,29 @@
      * arrays have 100,000, of which few are on machines at a time.
      */
     private final Int2ObjectHashMap<Task> touched = new Int2ObjectHashMap<>();
+
     private final int[] counts = new int[Task.State.values().length];
     /** Accepted after the leader was elected, so no earlier leader can have started any of its tasks. */
     final boolean own;
+
     final long since;
     /** Where the search for a waiting task goes on. */
     int next;
     /** SOUND: nothing speaks against it. DOUBTED: a task has failed. BROKEN: it fails wherever it is tried. */
-    public enum Health { SOUND, DOUBTED, BROKEN }
+    public enum Health {
+        SOUND,
+        DOUBTED,
+        BROKEN
+    }
 
     private Health health = Health.SOUND;
     /** Exits with an error since the last success, and the machines on which they were. */
     int failures;
+
     final Set<String> failedOn = new LinkedHashSet<>();
     /** One of its tasks has completed in this reign. */
     boolean succeeded;
+
     long notBefore;
 
     LiveJob(Job job, boolean own, long now) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -13,21 +13,34 @@
      * BOOTING: never heard. UP: reports. LAPSED: silent so long that its worker has certainly killed its tasks.
      * LEAVING: is being given back. GONE: given back.
      */
-    public enum State { BOOTING, UP, LAPSED, LEAVING, GONE }
+    public enum State {
+        BOOTING,
+        UP,
+        LAPSED,
+        LEAVING,
+        GONE
+    }
 
     /**
      * Whether its reports are answered. HEARD: they are. MUTED: it is silent, and its row in the roster says or is to say
      * for how long; none of its reports is answered, so that a later leader can count its lease from then. RETURNING: it
      * was heard again, and is answered once its row is stored without that.
      */
-    enum Voice { HEARD, MUTED, RETURNING }
+    enum Voice {
+        HEARD,
+        MUTED,
+        RETURNING
+    }
 
     /**
      * Whether the worker that speaks is the one that was known. KNOWN: it is. ANEW: it has begun anew under its old name, by
      * an answer older than what was known when it was asked for; what its earlier life held counts as held until it has
      * shown a token from after that, so that nothing sent to the earlier life can reach it any more.
      */
-    enum Life { KNOWN, ANEW }
+    enum Life {
+        KNOWN,
+        ANEW
+    }
 
     final String id;
     final String type;
@@ -52,6 +65,7 @@
     boolean fenced;
     /** On the roster when this leader was elected, and not yet accounted for. */
     boolean inCensus;
+
     long session = -1;
     long seq = -1;
     long token;
@@ -59,31 +73,38 @@
     long answered;
     /** The latest moment at which an earlier leader can have answered it, for a machine of the census. */
     long answeredBefore;
+
     long heard = Long.MIN_VALUE / 2;
     /** When a report of it came last that said something new: answers to calls renew no lease. */
     long reported = Long.MIN_VALUE / 2;
+
     long appeared;
     /** Rented by this leader and not yet heard of. */
     boolean rented;
+
     Double noticeS;
     boolean calling;
     /** Calls in a row that it has not answered since it was last heard. */
     int unanswered;
     /** The cloud says that it stopped on its own. */
     boolean listedFailed;
+
     long callNotBefore;
     long askNotBefore;
     long idleSince;
     /** Errors of jobs that are not broken since the last success, the jobs, and how many of these succeed elsewhere. */
     int errors;
+
     final Set<String> failed = new LinkedHashSet<>();
     int proven;
     /** Sessions in a row that ended with a start nobody knows to have arrived. */
     int lostStarts;
+
     long avoidUntil = Long.MIN_VALUE / 2;
     long drainUntil = Long.MIN_VALUE / 2;
     /** By number; no cached iterators, since a pass over them may start another. */
     final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>(8, 0.6f, false);
+
     final Set<String> images = new LinkedHashSet<>();
 
     Machine(String id, String addr, MachineType kind, String zone, boolean spot, long now) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Orders.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Orders.java
@@ -22,6 +22,7 @@
     private static final long ASK_PAUSE_MS = 400;
     /** Questions at a time take this part of the connections at most, and never fewer than so many. */
     private static final int ASK_SHARE = 16;
+
     private static final int LEAST_ASKS = 12;
     private static final int CALL_SHARE = 8;
     private final Ground ground;
@@ -37,6 +38,7 @@
     private int asking;
     /** Commands sent straight to machines at a time; more wait for one that is over, the first decided first. */
     private final int mostCalls;
+
     private int calls;
     private boolean closed;
 
@@ -73,7 +75,8 @@
         long now = ground.loop().now();
         boolean direct = report < 0;
         if (!m.fenced || !m.written) {
-            // What is over has to end whether or not this leader may start anything here: between a takeover and the report
+            // What is over has to end whether or not this leader may start anything here: between a takeover and the
+            // report
             // that shows the token half a lease can pass, and in an outage no row is written.
             for (Attempt a : m.attempts.values()) {
                 if (!direct && a.live() && a.owner == null && a.stopWanted && a.state() != Attempt.State.SENT) {
@@ -84,8 +87,7 @@
         }
         for (Attempt a : m.attempts.values()) {
             if (a.state() == Attempt.State.EXITED) {
-                boolean kept = a.owner != null && a.owner.state() == Task.State.FINISHED
-                        && jobs.containsKey(a.job);
+                boolean kept = a.owner != null && a.owner.state() == Task.State.FINISHED && jobs.containsKey(a.job);
                 // A start that may still arrive would run once more if the machine forgot the attempt.
                 if (!direct && !kept && a.unansweredUnder == 0 && !a.copyCouldRun()) {
                     c.forget(a.job, a.task, a.number);
@@ -98,8 +100,9 @@
         if (m.state() == Machine.State.UP) {
             for (Attempt a : m.attempts.values()) {
                 // A start that is on its way straight to the machine is not repeated in the answer that crosses it.
-                if (a.state() == Attempt.State.SENT && !a.stopWanted && (direct
-                        ? a.sentWithReport < 0 && a.unansweredUnder == 0 : now - a.directAt > CROSSING_MS)) {
+                if (a.state() == Attempt.State.SENT
+                        && !a.stopWanted
+                        && (direct ? a.sentWithReport < 0 && a.unansweredUnder == 0 : now - a.directAt > CROSSING_MS)) {
                     c.start(a.job, a.task, a.number);
                     if (!direct) {
                         a.sentWithReport = report;
@@ -112,8 +115,15 @@
 
     void callDirect(Machine m) {
         long now = ground.loop().now();
-        if (closed || m.attempts.isEmpty() || m.calling || !m.fenced || m.addr == null || now < m.callNotBefore
-                || m.state() != Machine.State.UP || now - m.heard > ground.leaseMs() || !ground.lead().mayAct()) {
+        if (closed
+                || m.attempts.isEmpty()
+                || m.calling
+                || !m.fenced
+                || m.addr == null
+                || now < m.callNotBefore
+                || m.state() != Machine.State.UP
+                || now - m.heard > ground.leaseMs()
+                || !ground.lead().mayAct()) {
             return;
         }
         if (calls >= mostCalls) {
@@ -175,7 +185,12 @@
 
     private void ask(Machine m, int tries) {
         long now = ground.loop().now();
-        if (closed || m.addr == null || m.calling || now < m.askNotBefore || !ground.lead().mayAct() || tries > 3
+        if (closed
+                || m.addr == null
+                || m.calling
+                || now < m.askNotBefore
+                || !ground.lead().mayAct()
+                || tries > 3
                 || asking >= mostAsks) {
             return;
         }
@@ -211,7 +226,11 @@
     int kept(Machine m) {
         int kept = 0;
         for (Attempt a : m.attempts.values()) {
-            kept += a.state() == Attempt.State.EXITED && a.copyCouldRun() && a.directUnder == ground.lead().token() ? 1 : 0;
+            kept += a.state() == Attempt.State.EXITED
+                            && a.copyCouldRun()
+                            && a.directUnder == ground.lead().token()
+                    ? 1
+                    : 0;
         }
         return kept;
     }
@@ -237,7 +256,10 @@
     boolean withdrawn(Machine m, long now) {
         for (Attempt a : m.attempts.values()) {
             boolean unwanted = a.stopWanted || a.state() == Attempt.State.EXITED;
-            if (a.unansweredUnder != 0 && unwanted && a.unansweredUnder == ground.lead().token() && now - a.since > 3_000) {
+            if (a.unansweredUnder != 0
+                    && unwanted
+                    && a.unansweredUnder == ground.lead().token()
+                    && now - a.since > 3_000) {
                 return true;
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Reports.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Reports.java
@@ -15,6 +15,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     /** A machine that loses starts takes none for so long, and longer each time. */
     private static final long AVOID_MS = 10_000;
+
     private static final int MOST_AVOIDED = 6;
     private final Ground ground;
     private final Attempts attempts;
@@ -44,7 +45,8 @@
      * @return false if something newer is known already
      */
     boolean mergeAnswer(Machine m, Report r, long session, long seq) {
-        // Sequences only grow within a life: whoever answers now with an older one has begun anew, and what it held is gone.
+        // Sequences only grow within a life: whoever answers now with an older one has begun anew, and what it held is
+        // gone.
         // Without this it would be taken for alive, with its tasks, for good: all its reports look old.
         if (!newer(r, session, seq) && m.life() == Machine.Life.KNOWN) {
             LOG.info("{} has begun anew: it answers with {}/{} after {}/{}", m.id, r.session(), r.seq(), session, seq);
@@ -77,7 +79,8 @@
         if (m.life() == Machine.Life.ANEW) {
             begin(m);
         }
-        // The highest token that a worker has seen only grows within a life. A report that shows less than is known was sent before,
+        // The highest token that a worker has seen only grows within a life. A report that shows less than is known was
+        // sent before,
         // or by an earlier life whose sequence had come further: held up behind a cut, it would end what runs now.
         if (!newer(m, r) || r.token() < m.token) {
             m.older++;
@@ -96,7 +99,8 @@
             // The earlier session's end killed and forgot every task.
             attempts.releaseAll(m, "its session ended");
             m.session = r.session();
-            // A session has a lease's time from its beginning, whether anybody answers it or not. Counted from an answer to the one
+            // A session has a lease's time from its beginning, whether anybody answers it or not. Counted from an
+            // answer to the one
             // before, what was started straight into this one would be placed again while it still runs.
             m.answered = Math.max(m.answered, now);
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Roster.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Roster.java
@@ -30,6 +30,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Roster.class);
     /** The row of a page that names images; in the others each stands as one digit. */
     private static final String IMAGES = "images";
+
     private static final int MAX_IMAGES = 36;
     private static final int MAX_IMAGE_NAME = 24;
     /** Of a value so much may be filled; the rest is for names of images that come later. */
@@ -40,6 +41,7 @@
     private static final int ADDRESS = 22;
     /** Ranks of a page that makes machines usable, and of one that only tells of them. */
     private static final int USABLE = 2;
+
     private static final int LATER = 6;
     private final GroupWriter writer;
     private final Fleet fleet;
@@ -88,9 +90,14 @@
                     return;
                 }
             }
-            fleet.fromRoster(e.getKey(), row.path(0).isTextual() ? row.path(0).textValue() : null,
-                    row.path(1).asText(), row.path(2).asText(), row.path(3).asInt() == 1,
-                    row.path(5).isNumber() && row.path(6).asLong() == previous ? at - row.path(5).asLong()
+            fleet.fromRoster(
+                    e.getKey(),
+                    row.path(0).isTextual() ? row.path(0).textValue() : null,
+                    row.path(1).asText(),
+                    row.path(2).asText(),
+                    row.path(3).asInt() == 1,
+                    row.path(5).isNumber() && row.path(6).asLong() == previous
+                            ? at - row.path(5).asLong()
                             : Long.MAX_VALUE);
             Machine m = fleet.machine(e.getKey());
             pages.put(m.id, size(m), other == null ? page : other);
@@ -107,9 +114,13 @@
         }
         for (Map.Entry<String, JsonNode> e : value.properties()) {
             JsonNode row = e.getValue();
-            boolean right = row.isArray() && (e.getKey().equals(IMAGES) || row.size() >= 4
-                    && (row.get(0).isNull() || row.get(0).isTextual()) && fleet.knows(row.get(1).asText())
-                    && row.get(2).isTextual() && row.get(3).isNumber());
+            boolean right = row.isArray()
+                    && (e.getKey().equals(IMAGES)
+                            || row.size() >= 4
+                                    && (row.get(0).isNull() || row.get(0).isTextual())
+                                    && fleet.knows(row.get(1).asText())
+                                    && row.get(2).isTextual()
+                                    && row.get(3).isNumber());
             if (!right) {
                 return "row " + e.getKey();
             }
@@ -182,7 +193,10 @@
                 if (m != null) {
                     ArrayNode row = n.putArray(id);
                     boolean holds = m.mayHold() || m.inCensus;
-                    row.add(holds ? m.addr : null).add(m.type).add(m.zone).add(m.spot ? 1 : 0)
+                    row.add(holds ? m.addr : null)
+                            .add(m.type)
+                            .add(m.zone)
+                            .add(m.spot ? 1 : 0)
                             .add(hints ? digits(m, images) : "");
                     if (m.voice() == Machine.Voice.MUTED && holds) {
                         row.add(fleet.silentMs(m)).add(fleet.token());
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -6,7 +6,12 @@
      * PENDING: on no machine, as far as this leader can tell. ON_MACHINE: an attempt is or may be on a machine.
      * FINISHED: it reported its end, not yet stored. DONE: stored.
      */
-    public enum State { PENDING, ON_MACHINE, FINISHED, DONE }
+    public enum State {
+        PENDING,
+        ON_MACHINE,
+        FINISHED,
+        DONE
+    }
 
     final LiveJob job;
     final int index;
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -53,7 +53,15 @@
      * segment is asked for. WRITING: the transaction is out. SETTLING: waiting until the mirror shows what holds. PAUSED:
      * the state service refused. CLOSED: the reign is over.
      */
-    private enum State { IDLE, SCANNING, READING, WRITING, SETTLING, PAUSED, CLOSED }
+    private enum State {
+        IDLE,
+        SCANNING,
+        READING,
+        WRITING,
+        SETTLING,
+        PAUSED,
+        CLOSED
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(Compactor.class);
     private static final long IDLE_MS = 1_000;
@@ -61,15 +69,18 @@
     private static final long MIN_AGE_MS = 30_000;
     /** So many of the jobs that ended last stay where a poll finds them at once. */
     private static final int KEPT = 256;
+
     private static final long FIRST_PAUSE_MS = 2_000;
     private static final long LONGEST_PAUSE_MS = 60_000;
     private static final int SCAN_PAGE = 100;
     private static final long SCAN_PAUSE_MS = 300;
     /** After a scan that found nothing to move. */
     private static final long RESCAN_MS = 60_000;
+
     private static final int MOST_STRAYS = 500;
     /** While users' submissions take more than this share of the change rate, nothing is moved. */
     private static final double CROWDED = 0.5;
+
     private static final double LOAD_WINDOW_S = 2;
 
     /** An ended job that may be moved. */
@@ -95,6 +106,7 @@
     private final Set<String> contradicted = new HashSet<>();
     /** Segments that would grow beyond what the state service takes: their jobs stay under keys of their own. */
     private final Set<String> full = new HashSet<>();
+
     private State state = State.IDLE;
     private int maxOps;
     private String scanFrom;
@@ -112,8 +124,18 @@
      * @param limits   of the state service
      * @param share    of those, what this may use; 0: nothing is moved
      */
-    public Compactor(StateClient client, Mirror mirror, Loop loop, JobTable table, History history,
-            Capabilities capabilities, Metrics metrics, Reign reign, LongSupplier leaderVersion, Settings.State limits, double share) {
+    public Compactor(
+            StateClient client,
+            Mirror mirror,
+            Loop loop,
+            JobTable table,
+            History history,
+            Capabilities capabilities,
+            Metrics metrics,
+            Reign reign,
+            LongSupplier leaderVersion,
+            Settings.State limits,
+            double share) {
         this.client = client;
         this.mirror = mirror;
         this.loop = loop;
@@ -195,7 +217,8 @@
         if (!unknowing.isEmpty() != waitsForUpgrade) {
             waitsForUpgrade = !waitsForUpgrade;
             if (waitsForUpgrade) {
-                LOG.info("ended jobs stay where they are until these run a version that knows the history: {}",
+                LOG.info(
+                        "ended jobs stay where they are until these run a version that knows the history: {}",
                         unknowing);
             }
         }
@@ -253,7 +276,10 @@
     /** Reads the batch's segments, one after the other; those that cannot be read drop out with their jobs. */
     private void read(Map<String, List<Candidate>> batch, Map<String, History.Found> read) {
         to(State.READING);
-        String key = batch.keySet().stream().filter(k -> !read.containsKey(k)).findFirst().orElse(null);
+        String key = batch.keySet().stream()
+                .filter(k -> !read.containsKey(k))
+                .findFirst()
+                .orElse(null);
         if (key == null) {
             write(batch, read);
             return;
@@ -326,7 +352,10 @@
         boolean some = false;
         for (Write w : writes) {
             if (w.value() != null && Json.bytes(w.value()).length > valueBytes) {
-                LOG.warn("{} has no room for more jobs within {} bytes: its other jobs keep their own keys", w.key(), valueBytes);
+                LOG.warn(
+                        "{} has no room for more jobs within {} bytes: its other jobs keep their own keys",
+                        w.key(),
+                        valueBytes);
                 full.add(w.key());
                 some = true;
             }
@@ -346,7 +375,8 @@
             // Refused as a whole, for want of rate or in an outage: whoever else wants to write goes first.
             case REFUSED -> pause();
             case INVALID -> {
-                // The state service takes less than its announced limits: asked for the same again, it would refuse for ever.
+                // The state service takes less than its announced limits: asked for the same again, it would refuse for
+                // ever.
                 LOG.warn("the state service takes no transaction of {} changes", maxOps);
                 maxOps = Math.max(2, maxOps / 2);
                 pause();
@@ -358,16 +388,18 @@
 
     private void settle(List<Candidate> batch) {
         to(State.SETTLING);
-        mirror.barrier(() -> {
-            if (state == State.SETTLING) {
-                batch.forEach(c -> strays.remove(c.id));
-                idle(0);
-            }
-        }, () -> {
-            if (state == State.SETTLING) {
-                pause();
-            }
-        });
+        mirror.barrier(
+                () -> {
+                    if (state == State.SETTLING) {
+                        batch.forEach(c -> strays.remove(c.id));
+                        idle(0);
+                    }
+                },
+                () -> {
+                    if (state == State.SETTLING) {
+                        pause();
+                    }
+                });
     }
 
     private void pause() {
@@ -407,7 +439,8 @@
                 if (ended != null && table.get(id) == null) {
                     strayInPass = true;
                     // Those that cannot move would fill the table, and keep all others from moving.
-                    if (!contradicted.contains(id) && !unreadable.contains(Place.of(id).key())
+                    if (!contradicted.contains(id)
+                            && !unreadable.contains(Place.of(id).key())
                             && !full.contains(Place.of(id).key())) {
                         strays.put(id, new Candidate(id, Json.integer(e, "stamp", 0), ended));
                     }
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -23,7 +23,11 @@
  * watch: so absence is asked for past the mirror's barrier.
  */
 public final class History {
-    public enum Outcome { READ, UNREADABLE, UNAVAILABLE }
+    public enum Outcome {
+        READ,
+        UNREADABLE,
+        UNAVAILABLE
+    }
 
     /**
      * What was found of one job.
@@ -35,21 +39,31 @@
     public record Found(Outcome outcome, Ended ended, Segment segment, long version) {}
 
     /** LOADING: asked for, the answer is not here yet. READ: as of its version. UNREADABLE: there, and makes no sense. */
-    private enum State { LOADING, READ, UNREADABLE }
+    private enum State {
+        LOADING,
+        READ,
+        UNREADABLE
+    }
 
-    private enum First { NOT_ASKED, ASKING, ASKED }
+    private enum First {
+        NOT_ASKED,
+        ASKING,
+        ASKED
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(History.class);
     /** Segments kept; with their jobs' numbers of tasks 600 bytes each, mostly. */
     private static final int MOST = 1_024;
     /** The first read brings so many segments: a young history is known whole by it. */
     private static final int FIRST_PAGE = 32;
+
     private final StateClient client;
     private final Mirror mirror;
     private final Metrics metrics;
     private final int most;
     /** The least recently used first. */
     private final Map<String, Entry> entries = new LinkedHashMap<>(16, 0.75f, true);
+
     private First first = First.NOT_ASKED;
     private List<Runnable> afterFirst = new ArrayList<>();
     /** Every segment that exists is among the entries: one that is not does not exist. */
@@ -83,7 +97,8 @@
         }
 
         Found found(int offset) {
-            return state == State.UNREADABLE ? new Found(Outcome.UNREADABLE, null, null, version)
+            return state == State.UNREADABLE
+                    ? new Found(Outcome.UNREADABLE, null, null, version)
                     : new Found(Outcome.READ, segment.get(offset), segment, version);
         }
     }
@@ -153,7 +168,8 @@
     }
 
     private static Found answer(Entry entry, Place place) {
-        return entry.state == State.LOADING ? new Found(Outcome.UNAVAILABLE, null, null, 0)
+        return entry.state == State.LOADING
+                ? new Found(Outcome.UNAVAILABLE, null, null, 0)
                 : entry.found(place.offset());
     }
 
@@ -168,7 +184,7 @@
             switch (answer.status()) {
                 case OK -> read(entry, answer.body().get("data"), Json.integer(answer.body(), "stamp", 0));
                 case NOT_FOUND -> entry.to(State.READ, Segment.EMPTY, 0);
-                default -> { }
+                default -> {}
             }
             if (entries.get(place.key()) == entry && (!kept || began != epoch || entry.state == State.LOADING)) {
                 entries.remove(place.key());
--- a/controller/src/main/java/org/landingridge/controller/history/Place.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Place.java
@@ -8,20 +8,24 @@
 public record Place(String key, int offset) {
     /** All segments are kept under this prefix, which is watched but not read at a start. */
     public static final String ROOT = "lr-past/";
+
     private static final String START = "job-";
     private static final int DIGITS = 6;
     private static final int MOST_DIGITS = 15;
 
     public static Place of(String id) {
         long number = number(id);
-        return number < 0 ? new Place(ROOT + id, 0)
+        return number < 0
+                ? new Place(ROOT + id, 0)
                 : new Place(ROOT + number / Segment.JOBS, (int) (number % Segment.JOBS));
     }
 
     /** The number of an id in its one usual form, or -1: {@code job-0000412} and {@code job-000412} are two jobs. */
     private static long number(String id) {
         int digits = id.length() - START.length();
-        if (!id.startsWith(START) || digits < DIGITS || digits > MOST_DIGITS
+        if (!id.startsWith(START)
+                || digits < DIGITS
+                || digits > MOST_DIGITS
                 || digits > DIGITS && id.charAt(START.length()) == '0') {
             return -1;
         }
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -29,6 +29,7 @@
     public static final int JOBS = 512;
     /** A value that holds any segment, in bytes. */
     public static final int MOST_BYTES = 2_300;
+
     public static final Segment EMPTY = new Segment(new byte[JOBS / 4], new byte[0]);
     private static final int FORM = 1;
     private static final int DONE = 1;
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -9,7 +9,12 @@
 /** What is stored of a job, as this controller knows it. Ended jobs keep no description. */
 public final class Job {
     /** MOVED: it has ended, and only the history knows how. */
-    public enum Status { ACCEPTED, DONE, CANCELLED, MOVED }
+    public enum Status {
+        ACCEPTED,
+        DONE,
+        CANCELLED,
+        MOVED
+    }
 
     private final String id;
     private final int index;
@@ -24,6 +29,7 @@
     private int running;
     /** Jobs that this one needs and that are not known to be done; empty for most. */
     private Set<String> awaited = Set.of();
+
     private long readySince;
 
     Job(String id, int index, long created) {
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -47,10 +47,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
     /** Ended jobs that are kept at most, half a kilobyte each with the mirror's part. */
     private static final int MOST_ENDED = 2_048;
+
     private final Map<String, Job> byId = new HashMap<>();
     private final List<Job> active = new ArrayList<>();
     /** In the order in which their ends came to be known here. */
     private final Set<Job> ended = new LinkedHashSet<>();
+
     private final LongSupplier clock;
     private final Consumer<String> dropped;
     private final int mostEnded;
@@ -63,6 +65,7 @@
     private final Map<String, Set<Job>> dependents = new HashMap<>();
     /** Cancelled jobs whose own key, as far as known here, does not say so yet; mostly since a job that they need was. */
     private final Set<Job> unstored = new LinkedHashSet<>();
+
     private Listener listener;
     private int count;
     private int drops;
@@ -194,7 +197,8 @@
     public static Ended ended(JsonNode value) {
         String how = Json.text(value, "ended");
         int tasks = (int) Math.max(0, Json.integer(value, "takes", 0));
-        return Job.Status.DONE.name().equals(how) ? new Ended(Job.Status.DONE, tasks)
+        return Job.Status.DONE.name().equals(how)
+                ? new Ended(Job.Status.DONE, tasks)
                 : Job.Status.CANCELLED.name().equals(how) ? new Ended(Job.Status.CANCELLED, tasks) : null;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/lead/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/lead/Leadership.java
@@ -7,10 +7,10 @@
 import org.landingridge.controller.peer.Message;
 import org.landingridge.controller.peer.PeerNet;
 import org.landingridge.controller.store.Mirror;
+import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Status;
 import org.landingridge.controller.store.StateClient.Write;
-import org.landingridge.controller.store.StateClient;
 import org.landingridge.net.Loop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
@@ -27,7 +27,13 @@
      * is given, but if the lease turns out to be alive the leader goes on under the same token, since then no one else can
      * have led meanwhile.
      */
-    public enum State { FOLLOWING, CLAIMING, LEADING, PROMISED, SUSPENDED }
+    public enum State {
+        FOLLOWING,
+        CLAIMING,
+        LEADING,
+        PROMISED,
+        SUSPENDED
+    }
 
     /** Told of every change of state. */
     public interface Listener {
@@ -43,9 +49,11 @@
     private static final String LEASE = "lease";
     /** Steady clocks differ by 0.05 %; a tenth of a percent and some milliseconds cover both sides. */
     static final double DRIFT = 0.001;
+
     static final long MARGIN_MS = 60;
     /** From the end of a lease until its tasks are gone, and from the look at the clock until a 200 is sent. */
     private static final long LAPSE_MARGIN_MS = 1_000;
+
     private final StateClient client;
     private final Mirror mirror;
     private final Loop loop;
@@ -57,6 +65,7 @@
     private final long leaseMs;
     /** So long after the last time of which all cancellations are known a worker may still be answered. */
     private final long blindMs;
+
     private final Listener listener;
     private final PeerNet peers;
     private final List<String> others;
@@ -65,11 +74,13 @@
     private long token;
     /** When this controller took the lead last; what it knows may be a watch's wait old then. */
     private long wonAt;
+
     private long rightUntil = Long.MIN_VALUE / 2;
     private String leaderHost;
     private String leaderIncarnation;
     /** The host that led last, by a key that stays when the leader's lease ends. */
     private String lastHost;
+
     private String lastIncarnation;
     private boolean renewing;
     private boolean raising;
@@ -79,11 +90,13 @@
     private long silentSince;
     /** The token under which the last leader began, before this one. */
     private long previous;
+
     private long renewed = Long.MIN_VALUE / 2;
     /** The claim whose transaction is out; null while there is none. */
     private Claim claimed;
     /** The leader that has stepped down by its own word, by its token: its key may be replaced. */
     private long handedOver;
+
     private final long started;
     private final Promises promises;
 
@@ -109,8 +122,19 @@
      * @param blindMs see {@link #blindMs(double, double, long)}
      * @param endings the cancellations that this process knows
      */
-    public Leadership(StateClient client, Mirror mirror, Loop loop, RandomGenerator random, String key, String host,
-            long leaseMs, long blindMs, List<String> others, PeerNet peers, Endings endings, Listener listener) {
+    public Leadership(
+            StateClient client,
+            Mirror mirror,
+            Loop loop,
+            RandomGenerator random,
+            String key,
+            String host,
+            long leaseMs,
+            long blindMs,
+            List<String> others,
+            PeerNet peers,
+            Endings endings,
+            Listener listener) {
         this.blindMs = blindMs;
         this.client = client;
         this.mirror = mirror;
@@ -124,7 +148,8 @@
         this.listener = listener;
         this.others = List.copyOf(others);
         this.peers = peers;
-        this.promises = new Promises(client, loop, peers, key, host, this.others, random.nextLong(), endings, mirror::loaded);
+        this.promises =
+                new Promises(client, loop, peers, key, host, this.others, random.nextLong(), endings, mirror::loaded);
         this.started = loop.now();
     }
 
@@ -244,7 +269,8 @@
                 }
                 if (state != State.SUSPENDED && (blind || loop.now() >= rightUntil)) {
                     if (blind) {
-                        LOG.warn("all cancellations are known only up to {} ms ago: no worker is answered any more",
+                        LOG.warn(
+                                "all cancellations are known only up to {} ms ago: no worker is answered any more",
                                 loop.now() - known());
                     }
                     to(State.SUSPENDED);
@@ -254,7 +280,7 @@
                 }
                 renew(leaseMs / 3);
             }
-            case CLAIMING -> { }
+            case CLAIMING -> {}
         }
         loop.after(leaseMs / 6, this::tick);
     }
@@ -268,7 +294,10 @@
             return;
         }
         // A claim needs the state service: without a sign of life from it there is no point in trying.
-        if (learning || !mirror.following() || loop.now() < claimNotBefore || loop.now() - mirror.lastAnswer() > 2_500) {
+        if (learning
+                || !mirror.following()
+                || loop.now() < claimNotBefore
+                || loop.now() - mirror.lastAnswer() > 2_500) {
             return;
         }
         boolean mine = host.equals(leaderHost);
@@ -285,7 +314,8 @@
         to(State.CLAIMING);
         long seen = mirror.version(key);
         long seenLast = mirror.version(lastKey);
-        // Whatever an earlier process of this host answered is over since this process began. What this one answered when it
+        // Whatever an earlier process of this host answered is over since this process began. What this one answered
+        // when it
         // had the lead before is not: counted from its start, all leases of its own former reign would be long over.
         long silent = host.equals(lastHost) && !incarnation.equals(lastIncarnation) ? started : loop.now();
         // The earlier process of this host is dead: no need to draw lots with the others.
@@ -301,7 +331,8 @@
             }
             Claim claim = new Claim(Json.integer(granted.body(), "permit", 0), sent, silent, seenLast);
             claimed = claim;
-            List<Write> writes = List.of(new Write(key, name(claim.lease), claim.lease), new Write(lastKey, name(claim.lease), 0));
+            List<Write> writes =
+                    List.of(new Write(key, name(claim.lease), claim.lease), new Write(lastKey, name(claim.lease), 0));
             // What was concluded from the last leader's name holds only if no one has led since.
             List<Guard> guards = List.of(new Guard(key, seen), new Guard(lastKey, seenLast));
             client.commit(guards, writes, answer -> {
@@ -317,7 +348,8 @@
                 } else {
                     claimFailed(claim, 200);
                     if (answer.status() == Status.CONFLICT) {
-                        // Somebody was quicker. Who that is has to be read first: claims made before are lost as well, and
+                        // Somebody was quicker. Who that is has to be read first: claims made before are lost as well,
+                        // and
                         // seven controllers that make them keep the state service from the winner.
                         learn();
                     }
@@ -352,15 +384,17 @@
     /** Makes no claim before the mirror has brought what was there when this is called. */
     private void learn() {
         learning = true;
-        mirror.barrier(() -> {
-            learning = false;
-            consider();
-        }, () -> loop.after(200, () -> learning = false));
+        mirror.barrier(
+                () -> {
+                    learning = false;
+                    consider();
+                },
+                () -> loop.after(200, () -> learning = false));
     }
 
     private void claimFailed(Claim claim, long pauseMs) {
         claimed = null;
-        client.release(claim.lease, ignored -> { });
+        client.release(claim.lease, ignored -> {});
         claimFailed(pauseMs);
     }
 
@@ -390,15 +424,17 @@
     /** The new leader's view must hold everything that was written before it was elected. */
     private void awaitMirror() {
         long elected = token;
-        mirror.barrier(() -> {
-            if (leads() && token == elected) {
-                listener.elected(elected);
-            }
-        }, () -> loop.after(200, () -> {
-            if (leads() && token == elected) {
-                awaitMirror();
-            }
-        }));
+        mirror.barrier(
+                () -> {
+                    if (leads() && token == elected) {
+                        listener.elected(elected);
+                    }
+                },
+                () -> loop.after(200, () -> {
+                    if (leads() && token == elected) {
+                        awaitMirror();
+                    }
+                }));
     }
 
     private long right(long sent) {
@@ -490,8 +526,11 @@
     }
 
     public void refused(Message.Refuse refusal) {
-        // One that comes late tells of an earlier trouble: in an outage it would cost the lead that the others have promised.
-        if (!leads() || refusal.token() != token || loop.now() - renewed < leaseMs / 2
+        // One that comes late tells of an earlier trouble: in an outage it would cost the lead that the others have
+        // promised.
+        if (!leads()
+                || refusal.token() != token
+                || loop.now() - renewed < leaseMs / 2
                 || !promises.askedLately(refusal.number())) {
             return;
         }
--- a/controller/src/main/java/org/landingridge/controller/lead/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/lead/Promises.java
@@ -26,6 +26,7 @@
     static final long LIFE_MS = 2_500;
     /** So long a probe of the state service may take, and its failure counts. */
     static final long PROBE_MS = 700;
+
     private static final int MOST_ASKED = 20;
     private final StateClient client;
     private final Loop loop;
@@ -42,6 +43,7 @@
     private final Map<String, Long> granted = new HashMap<>();
     /** What was heard of the others' cancellations, by host. */
     private final Map<String, Heard> heard = new HashMap<>();
+
     private final Endings endings;
     private final BooleanSupplier readWhole;
     /** Of this process: the positions in its own record of cancellations mean nothing in the next one. */
@@ -58,8 +60,16 @@
      * @param endings   the cancellations that this process knows
      * @param readWhole whether it has read the state whole: before, it cannot vouch for what its former life told users
      */
-    Promises(StateClient client, Loop loop, PeerNet peers, String key, String host, List<String> others, long life,
-            Endings endings, BooleanSupplier readWhole) {
+    Promises(
+            StateClient client,
+            Loop loop,
+            PeerNet peers,
+            String key,
+            String host,
+            List<String> others,
+            long life,
+            Endings endings,
+            BooleanSupplier readWhole) {
         this.life = life;
         this.endings = endings;
         this.readWhole = readWhole;
--- a/controller/src/main/java/org/landingridge/controller/obs/Busy.java
+++ b/controller/src/main/java/org/landingridge/controller/obs/Busy.java
@@ -8,7 +8,15 @@
 /** Time of the core's thread by part of its work: what a deployment's size costs, and where. */
 public final class Busy {
     /** What the thread works on; a part does not count what it calls of another. */
-    public enum Part { REPORTS, CARRIED, USERS, PASS, WRITES, MIRROR, DISPLAY }
+    public enum Part {
+        REPORTS,
+        CARRIED,
+        USERS,
+        PASS,
+        WRITES,
+        MIRROR,
+        DISPLAY
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(Busy.class);
     private final LongSupplier clock;
@@ -53,8 +61,12 @@
         StringBuilder line = new StringBuilder("busy ms:");
         for (Part p : Part.values()) {
             int i = p.ordinal();
-            line.append(' ').append(p.name().toLowerCase(Locale.ROOT)).append(' ')
-                    .append((nanos[i] - nanosBefore[i]) / 1_000_000).append(" (").append(times[i] - timesBefore[i])
+            line.append(' ')
+                    .append(p.name().toLowerCase(Locale.ROOT))
+                    .append(' ')
+                    .append((nanos[i] - nanosBefore[i]) / 1_000_000)
+                    .append(" (")
+                    .append(times[i] - timesBefore[i])
                     .append(')');
             nanosBefore[i] = nanos[i];
             timesBefore[i] = times[i];
--- a/controller/src/main/java/org/landingridge/controller/obs/Chronicle.java
+++ b/controller/src/main/java/org/landingridge/controller/obs/Chronicle.java
@@ -26,7 +26,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Chronicle.class);
     private static final boolean JSON = "json".equals(System.getenv("LOG_EVENTS"));
     private final Loop loop;
-    private Consumer<Event> listener = e -> { };
+    private Consumer<Event> listener = e -> {};
 
     public Chronicle(Loop loop) {
         this.loop = loop;
--- a/controller/src/main/java/org/landingridge/controller/obs/Metrics.java
+++ b/controller/src/main/java/org/landingridge/controller/obs/Metrics.java
@@ -31,9 +31,11 @@
         for (Busy.Part part : Busy.Part.values()) {
             String name = part.name().toLowerCase(Locale.ROOT);
             FunctionCounter.builder("landingridge.busy.ms." + name, busy, b -> b.milliseconds(part))
-                    .description("time of the core's thread on this part").register(registry);
+                    .description("time of the core's thread on this part")
+                    .register(registry);
             FunctionCounter.builder("landingridge.busy.times." + name, busy, b -> b.times(part))
-                    .description("how often the core's thread worked on this part").register(registry);
+                    .description("how often the core's thread worked on this part")
+                    .register(registry);
         }
     }
 
@@ -44,9 +46,13 @@
     /** One line a counter: its name and its value. */
     public String text() {
         StringBuilder all = new StringBuilder();
-        registry.getMeters().stream().sorted(Comparator.comparing((Meter m) -> m.getId().getName())).forEach(m ->
-                m.measure().forEach(v -> all.append(m.getId().getName().replace('.', '_')).append(' ')
-                        .append(String.format(Locale.ROOT, "%.0f", v.getValue())).append('\n')));
+        registry.getMeters().stream()
+                .sorted(Comparator.comparing((Meter m) -> m.getId().getName()))
+                .forEach(m -> m.measure()
+                        .forEach(v -> all.append(m.getId().getName().replace('.', '_'))
+                                .append(' ')
+                                .append(String.format(Locale.ROOT, "%.0f", v.getValue()))
+                                .append('\n')));
         return all.toString();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/ops/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/ops/CloudClient.java
@@ -21,12 +21,14 @@
     private static final long TIMEOUT_MS = 5_000;
     /** Calls not made for so long may be made at once; the cloud permits two seconds' worth. */
     private static final long BURST_MS = 1_000;
+
     private final Http http;
     private final Loop loop;
     private final String addr;
     private final long gapMs;
     /** Rents and give-backs, in the order in which they were decided: the first are the largest. */
     private final Deque<Runnable> operations = new ArrayDeque<>();
+
     private final Deque<Runnable> reads = new ArrayDeque<>();
     private boolean waiting;
     private long nextAllowed = Long.MIN_VALUE / 2;
--- a/controller/src/main/java/org/landingridge/controller/ops/NextAction.java
+++ b/controller/src/main/java/org/landingridge/controller/ops/NextAction.java
@@ -2,10 +2,20 @@
 
 /** The post's rule: what to do next about an operation, given what was last observed of it. */
 public enum NextAction {
-    RECORD_SUCCESS, RECORD_FAILURE, WAIT_AND_QUERY, RETRY_ORIGINAL_INTENT, RECONCILE_OR_ESCALATE;
+    RECORD_SUCCESS,
+    RECORD_FAILURE,
+    WAIT_AND_QUERY,
+    RETRY_ORIGINAL_INTENT,
+    RECONCILE_OR_ESCALATE;
 
     /** What a call or a lookup told. */
-    public enum Observation { SUCCEEDED, FAILED_TERMINAL, IN_PROGRESS, NOT_FOUND, UNAVAILABLE }
+    public enum Observation {
+        SUCCEEDED,
+        FAILED_TERMINAL,
+        IN_PROGRESS,
+        NOT_FOUND,
+        UNAVAILABLE
+    }
 
     /**
      * @param replaySafe   the destination deduplicates this very key
--- a/controller/src/main/java/org/landingridge/controller/ops/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/ops/Operation.java
@@ -10,10 +10,20 @@
 
 /** The record of one rent or give-back: its key and request never change; what was seen of it does. */
 public final class Operation implements Document {
-    public enum Kind { RENT, GIVE_BACK }
+    public enum Kind {
+        RENT,
+        GIVE_BACK
+    }
 
     /** DISPATCHED covers the moment between the writing of the record and the first answer. */
-    public enum State { DISPATCHED, UNKNOWN, ESCALATED, SUCCEEDED, FAILED, FORGOTTEN }
+    public enum State {
+        DISPATCHED,
+        UNKNOWN,
+        ESCALATED,
+        SUCCEEDED,
+        FAILED,
+        FORGOTTEN
+    }
 
     public static final String PREFIX = "op/";
     private final String root;
@@ -26,12 +36,19 @@
     private String seen = "";
     /** Token of the leader that works on it. */
     private long claimedBy;
+
     boolean written;
     int tries;
     long firstTry = -1;
     long settledAt;
 
-    Operation(String root, String key, Kind kind, ObjectNode request, long dispatchedAt, long claimedBy,
+    Operation(
+            String root,
+            String key,
+            Kind kind,
+            ObjectNode request,
+            long dispatchedAt,
+            long claimedBy,
             Operations owner) {
         this.root = root;
         this.key = key;
@@ -44,12 +61,19 @@
 
     /** Reads a record back; the caller claims it by writing it anew under its own token. Null where it makes no sense. */
     static Operation read(String root, String key, JsonNode n, long claimedBy, Operations owner) {
-        if (!named(Kind.values(), Json.text(n, "kind")) || !named(State.values(), Json.text(n, "state"))
+        if (!named(Kind.values(), Json.text(n, "kind"))
+                || !named(State.values(), Json.text(n, "state"))
                 || !(n.get("request") instanceof ObjectNode)) {
             return null;
         }
-        Operation op = new Operation(root, key, Kind.valueOf(Json.text(n, "kind")),
-                (ObjectNode) n.get("request"), Json.integer(n, "dispatchedAt", 0), claimedBy, owner);
+        Operation op = new Operation(
+                root,
+                key,
+                Kind.valueOf(Json.text(n, "kind")),
+                (ObjectNode) n.get("request"),
+                Json.integer(n, "dispatchedAt", 0),
+                claimedBy,
+                owner);
         op.state = State.valueOf(Json.text(n, "state"));
         op.seen = Json.text(n, "seen");
         return op;
@@ -118,8 +142,12 @@
             return null;
         }
         ObjectNode n = Json.object();
-        n.put("kind", kind.name()).put("state", state.name()).put("seen", seen).put("dispatchedAt", dispatchedAt)
-                .put("claimedBy", claimedBy).set("request", request);
+        n.put("kind", kind.name())
+                .put("state", state.name())
+                .put("seen", seen)
+                .put("dispatchedAt", dispatchedAt)
+                .put("claimedBy", claimedBy)
+                .set("request", request);
         return n;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/ops/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/ops/Operations.java
@@ -44,6 +44,7 @@
     private static final int MOST_RETURNED = 100;
     /** What the record of an operation takes beside the names of machines, and each of these beside its letters. */
     private static final int RECORD_BYTES = 300;
+
     private static final int NAME_BYTES = 3;
     private final Loop loop;
     private final RandomGenerator random;
@@ -58,8 +59,16 @@
     private int counter;
     private boolean closed;
 
-    public Operations(Loop loop, RandomGenerator random, CloudClient cloud, GroupWriter writer, String root,
-            long token, double queryLimitS, int valueBytes, Events events) {
+    public Operations(
+            Loop loop,
+            RandomGenerator random,
+            CloudClient cloud,
+            GroupWriter writer,
+            String root,
+            long token,
+            double queryLimitS,
+            int valueBytes,
+            Events events) {
         this.loop = loop;
         this.random = random;
         this.cloud = cloud;
@@ -106,8 +115,10 @@
      */
     public boolean renting(String type, String zone, boolean spot) {
         for (Operation op : all.values()) {
-            if (op.kind() == Kind.RENT && op.state() == State.DISPATCHED
-                    && op.request().path("rig").asText().equals(type) && op.request().path("yard").asText().equals(zone)
+            if (op.kind() == Kind.RENT
+                    && op.state() == State.DISPATCHED
+                    && op.request().path("rig").asText().equals(type)
+                    && op.request().path("yard").asText().equals(zone)
                     && op.request().path("standby").asBoolean() == spot) {
                 return true;
             }
@@ -131,7 +142,8 @@
             do {
                 bytes += machines.get(next).length() + NAME_BYTES;
                 boxes.add(machines.get(next++));
-            } while (next < machines.size() && boxes.size() < MOST_RETURNED
+            } while (next < machines.size()
+                    && boxes.size() < MOST_RETURNED
                     && bytes + machines.get(next).length() + NAME_BYTES <= valueBytes);
             create(Kind.GIVE_BACK, request);
         }
@@ -198,7 +210,9 @@
             text = reply.is(400) ? "malformed" : "no capacity";
         } else {
             seen = Observation.UNAVAILABLE;
-            text = reply.outcome() == Http.Outcome.ANSWERED ? "status " + reply.status() : reply.outcome().name();
+            text = reply.outcome() == Http.Outcome.ANSWERED
+                    ? "status " + reply.status()
+                    : reply.outcome().name();
         }
         // The cloud deduplicates a booking under its key for good, and a give-back names the machines: both are safe
         // to send again, with the same key and the same request.
@@ -226,8 +240,11 @@
                 State next = late ? State.ESCALATED : State.UNKNOWN;
                 if (op.state() != next) {
                     if (late) {
-                        LOG.warn("{} is unsettled for {} s: escalated, last seen: {}", op.name(),
-                                queryLimitMs / 1000, text);
+                        LOG.warn(
+                                "{} is unsettled for {} s: escalated, last seen: {}",
+                                op.name(),
+                                queryLimitMs / 1000,
+                                text);
                         events.escalated(op);
                     }
                     op.to(next, text);
--- a/controller/src/main/java/org/landingridge/controller/peer/Message.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/Message.java
@@ -121,9 +121,16 @@
         String host = in.readUTF();
         return switch (type) {
             // A controller of an earlier version neither asks for the others' word nor gives its own.
-            case 1 -> new Ask(host, in.readLong(), in.readLong(), in.available() > 0 ? in.readLong() : Long.MAX_VALUE,
-                    in.available() > 0 ? in.readLong() : 0, in.available() > 0 ? in.readLong() : 0);
-            case 2 -> new Grant(host, in.readLong(), in.readLong(), in.available() > 0 && in.readBoolean() ? word(in) : null);
+            case 1 ->
+                new Ask(
+                        host,
+                        in.readLong(),
+                        in.readLong(),
+                        in.available() > 0 ? in.readLong() : Long.MAX_VALUE,
+                        in.available() > 0 ? in.readLong() : 0,
+                        in.available() > 0 ? in.readLong() : 0);
+            case 2 ->
+                new Grant(host, in.readLong(), in.readLong(), in.available() > 0 && in.readBoolean() ? word(in) : null);
             case 3 -> new Refuse(host, in.readLong(), in.readLong());
             case 4 -> new HandOver(host, in.readLong());
             case 5 -> {
--- a/controller/src/main/java/org/landingridge/controller/peer/Relay.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/Relay.java
@@ -19,6 +19,7 @@
     private static final long WAIT_MS = 1_500;
     /** Reports that wait may hold so many bytes together. */
     private static final int MOST_BYTES = 8 << 20;
+
     private final Loop loop;
     private final PeerNet net;
     private final String host;
--- a/controller/src/main/java/org/landingridge/controller/peer/XnioPeerNet.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/XnioPeerNet.java
@@ -32,14 +32,20 @@
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerNet.class);
     /** Bytes that may wait for one controller: the reports of a large fleet in the moment of an election. */
     private static final int MOST_QUEUED = 2 << 20;
+
     private static final long DIAL_MS = 2_000;
     private final XnioWorker worker;
     private final Loop loop;
     private final Consumer<Message> receiver;
     private final Map<String, Link> links = new HashMap<>();
 
-    public XnioPeerNet(XnioWorker worker, Loop loop, List<Settings.Peer> peers, InetSocketAddress listen,
-            Consumer<Message> receiver) throws IOException {
+    public XnioPeerNet(
+            XnioWorker worker,
+            Loop loop,
+            List<Settings.Peer> peers,
+            InetSocketAddress listen,
+            Consumer<Message> receiver)
+            throws IOException {
         this.worker = worker;
         this.loop = loop;
         this.receiver = receiver;
@@ -57,8 +63,9 @@
                 LOG.debug("accepting a controller failed: {}", e.toString());
             }
         };
-        worker.createStreamConnectionServer(listen, accept,
-                OptionMap.create(Options.REUSE_ADDRESSES, true, Options.TCP_NODELAY, true)).resumeAccepts();
+        worker.createStreamConnectionServer(
+                        listen, accept, OptionMap.create(Options.REUSE_ADDRESSES, true, Options.TCP_NODELAY, true))
+                .resumeAccepts();
     }
 
     @Override
@@ -123,7 +130,10 @@
                     message = Message.decode(new DataInputStream(new ByteArrayInputStream(frame)));
                 } catch (IOException e) {
                     // A frame of its own: what follows it can be read all the same.
-                    LOG.warn("a controller's record of {} bytes cannot be read and is dropped: {}", length, e.toString());
+                    LOG.warn(
+                            "a controller's record of {} bytes cannot be read and is dropped: {}",
+                            length,
+                            e.toString());
                     continue;
                 }
                 try {
@@ -138,7 +148,11 @@
 
     /** The way out to one controller. What cannot be sent soon is dropped: it would be stale. */
     private final class Link {
-        private enum State { DOWN, DIALLING, UP }
+        private enum State {
+            DOWN,
+            DIALLING,
+            UP
+        }
 
         private final InetSocketAddress addr;
         private final Deque<ByteBuffer> queue = new ArrayDeque<>();
@@ -169,24 +183,26 @@
         private void dial() {
             state = State.DIALLING;
             long dial = ++dials;
-            IoFuture<StreamConnection> future = worker.openStreamConnection(addr, null,
-                    OptionMap.create(Options.TCP_NODELAY, true));
-            future.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-                @Override
-                public void handleDone(StreamConnection c, Void none) {
-                    loop.after(0, () -> up(dial, c));
-                }
+            IoFuture<StreamConnection> future =
+                    worker.openStreamConnection(addr, null, OptionMap.create(Options.TCP_NODELAY, true));
+            future.addNotifier(
+                    new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                        @Override
+                        public void handleDone(StreamConnection c, Void none) {
+                            loop.after(0, () -> up(dial, c));
+                        }
 
-                @Override
-                public void handleFailed(IOException e, Void none) {
-                    loop.after(0, () -> down(dial));
-                }
+                        @Override
+                        public void handleFailed(IOException e, Void none) {
+                            loop.after(0, () -> down(dial));
+                        }
 
-                @Override
-                public void handleCancelled(Void none) {
-                    loop.after(0, () -> down(dial));
-                }
-            }, null);
+                        @Override
+                        public void handleCancelled(Void none) {
+                            loop.after(0, () -> down(dial));
+                        }
+                    },
+                    null);
             // A cut shows no error: the dial is given up and tried again.
             loop.after(DIAL_MS, () -> {
                 if (state == State.DIALLING && dial == dials) {
--- a/controller/src/main/java/org/landingridge/controller/progress/Progress.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/Progress.java
@@ -38,6 +38,7 @@
     private static final int CHUNK = 4096;
     /** Of a value so much is filled with what the chunks may come to take. */
     private static final double FILL = 0.85;
+
     private final String jobRoot;
     private final GroupWriter writer;
     private final Events events;
@@ -62,7 +63,10 @@
             int hash = e.getKey().lastIndexOf('#');
             if (hash > 0 && e.getValue().isTextual()) {
                 try {
-                    table.done(e.getKey().substring(0, hash), Integer.parseInt(e.getKey().substring(hash + 1)) * CHUNK, bits(e));
+                    table.done(
+                            e.getKey().substring(0, hash),
+                            Integer.parseInt(e.getKey().substring(hash + 1)) * CHUNK,
+                            bits(e));
                 } catch (IllegalArgumentException x) {
                     // What had finished ends at once where it is started again: its result is kept.
                     LOG.error("the finished tasks of {} cannot be read: they are asked for again", e.getKey());
@@ -157,7 +161,8 @@
                 return null;
             }
             ObjectNode n = Json.object();
-            names().forEach(name -> n.put(name, Base64.getEncoder().encodeToString(chunks.get(name).toByteArray())));
+            names().forEach(name -> n.put(
+                    name, Base64.getEncoder().encodeToString(chunks.get(name).toByteArray())));
             return n;
         }
 
--- a/controller/src/main/java/org/landingridge/controller/recovery/EntryEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/EntryEvidence.java
@@ -9,14 +9,29 @@
  */
 public record EntryEvidence(Stored job, Known task, Said entry) {
     /** ABSENT: neither live nor kept as ended: an ended job of long ago, or none that was ever accepted. */
-    public enum Stored { LIVE, OVER, ABSENT }
+    public enum Stored {
+        LIVE,
+        OVER,
+        ABSENT
+    }
 
     /**
      * PENDING: on no machine. ELSEWHERE: on one, by a later attempt than this. EARLIER: on one, by an attempt before this.
      * FINISHED: not stored yet. DONE: stored.
      */
-    public enum Known { NONE, PENDING, ELSEWHERE, EARLIER, FINISHED, DONE }
+    public enum Known {
+        NONE,
+        PENDING,
+        ELSEWHERE,
+        EARLIER,
+        FINISHED,
+        DONE
+    }
 
     /** ON: fetching, running or saving. DONE: ended with a result. ENDED: ended without one. */
-    public enum Said { ON, DONE, ENDED }
+    public enum Said {
+        ON,
+        DONE,
+        ENDED
+    }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/MachineEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/MachineEvidence.java
@@ -15,15 +15,33 @@
  * @param crowd      so many machines of its zone are silent that a cut is likelier than losses
  * @param worth      what it holds or holds up would wait noticeably longer for its lease than for the cloud's answer
  */
-public record MachineEvidence(Row row, Word word, boolean stopped, boolean returning, boolean leaseOver, boolean silent,
-        boolean unanswered, boolean overdue, boolean faulty, boolean crowd, boolean worth) {
+public record MachineEvidence(
+        Row row,
+        Word word,
+        boolean stopped,
+        boolean returning,
+        boolean leaseOver,
+        boolean silent,
+        boolean unanswered,
+        boolean overdue,
+        boolean faulty,
+        boolean crowd,
+        boolean worth) {
 
     /**
      * NAMED: nothing can be on it: it has not reported yet, or its lease is over. REPORTED: it has, and its row with the
      * address is not stored. HOLDS: stored with its address, so it may hold tasks.
      */
-    public enum Row { NAMED, REPORTED, HOLDS }
+    public enum Row {
+        NAMED,
+        REPORTED,
+        HOLDS
+    }
 
     /** NONE: not heard of. OLD: it has not seen this leader's token. OURS: it has, so no earlier leader can reach it. */
-    public enum Word { NONE, OLD, OURS }
+    public enum Word {
+        NONE,
+        OLD,
+        OURS
+    }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/Picture.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Picture.java
@@ -6,10 +6,14 @@
  */
 public final class Picture {
     /** GATHERING: machines still turn up, or no list was read. COMPLETE: what is up or on its way is known, mostly. */
-    public enum State { GATHERING, COMPLETE }
+    public enum State {
+        GATHERING,
+        COMPLETE
+    }
 
     /** So long nobody unknown may have turned up, in milliseconds. */
     private static final long LULL_MS = 1_000;
+
     private final long beganAt;
     private final long mostMs;
     private State state = State.GATHERING;
--- a/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
@@ -41,8 +41,10 @@
         return switch (e.word()) {
             case NONE -> new Judgement(Verdict.WAIT, Cause.REPORT_DUE);
             case OLD -> new Judgement(Verdict.FENCE, Cause.OLD_TOKEN);
-            case OURS -> e.row() == Row.REPORTED ? new Judgement(Verdict.WAIT, Cause.UNWRITTEN)
-                    : new Judgement(Verdict.ADOPT, Cause.KNOWN);
+            case OURS ->
+                e.row() == Row.REPORTED
+                        ? new Judgement(Verdict.WAIT, Cause.UNWRITTEN)
+                        : new Judgement(Verdict.ADOPT, Cause.KNOWN);
         };
     }
 
@@ -54,7 +56,8 @@
         if (e.crowd()) {
             return new Judgement(Verdict.WAIT, Cause.CUT_OFF);
         }
-        return e.worth() ? new Judgement(Verdict.GIVE_BACK, Cause.SETTLED_BY_RETURN)
+        return e.worth()
+                ? new Judgement(Verdict.GIVE_BACK, Cause.SETTLED_BY_RETURN)
                 : new Judgement(Verdict.WAIT, Cause.LEASE);
     }
 
@@ -68,7 +71,8 @@
         if (!e.newer()) {
             return new Judgement(Verdict.IGNORE, Cause.OLDER);
         }
-        return e.token() == ReportEvidence.Token.LOWER ? new Judgement(Verdict.FENCE, Cause.OLD_TOKEN)
+        return e.token() == ReportEvidence.Token.LOWER
+                ? new Judgement(Verdict.FENCE, Cause.OLD_TOKEN)
                 : new Judgement(Verdict.ADOPT, Cause.KNOWN);
     }
 
@@ -81,17 +85,19 @@
             return new Judgement(unwanted, Cause.NO_SUCH_TASK);
         }
         return switch (e.entry()) {
-            case ON -> switch (e.task()) {
-                case PENDING -> new Judgement(Verdict.ADOPT, Cause.RUNS);
-                case EARLIER -> new Judgement(Verdict.ADOPT, Cause.LATER);
-                case ELSEWHERE -> new Judgement(Verdict.STOP, Cause.ELSEWHERE);
-                default -> new Judgement(Verdict.STOP, Cause.FINISHED);
-            };
-            case DONE -> switch (e.task()) {
-                case PENDING, ELSEWHERE, EARLIER -> new Judgement(Verdict.ADOPT, Cause.RESULT);
-                case FINISHED -> new Judgement(Verdict.WAIT, Cause.UNSTORED);
-                default -> new Judgement(Verdict.CLEAR, Cause.FINISHED);
-            };
+            case ON ->
+                switch (e.task()) {
+                    case PENDING -> new Judgement(Verdict.ADOPT, Cause.RUNS);
+                    case EARLIER -> new Judgement(Verdict.ADOPT, Cause.LATER);
+                    case ELSEWHERE -> new Judgement(Verdict.STOP, Cause.ELSEWHERE);
+                    default -> new Judgement(Verdict.STOP, Cause.FINISHED);
+                };
+            case DONE ->
+                switch (e.task()) {
+                    case PENDING, ELSEWHERE, EARLIER -> new Judgement(Verdict.ADOPT, Cause.RESULT);
+                    case FINISHED -> new Judgement(Verdict.WAIT, Cause.UNSTORED);
+                    default -> new Judgement(Verdict.CLEAR, Cause.FINISHED);
+                };
             case ENDED -> new Judgement(Verdict.CLEAR, Cause.ENDED);
         };
     }
@@ -103,6 +109,8 @@
         if (e.accounted()) {
             return new Judgement(Verdict.PLACE, Cause.SEEN);
         }
-        return e.held() ? new Judgement(Verdict.WAIT, Cause.MAY_BE_HELD) : new Judgement(Verdict.PLACE, Cause.NOBODY_HOLDS);
+        return e.held()
+                ? new Judgement(Verdict.WAIT, Cause.MAY_BE_HELD)
+                : new Judgement(Verdict.PLACE, Cause.NOBODY_HOLDS);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/ReportEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ReportEvidence.java
@@ -9,7 +9,9 @@
  */
 public record ReportEvidence(boolean givenBack, boolean newer, Token token) {
     public enum Token {
-        LOWER, EQUAL, HIGHER;
+        LOWER,
+        EQUAL,
+        HIGHER;
 
         public static Token of(long seen, long ours) {
             return seen < ours ? LOWER : seen == ours ? EQUAL : HIGHER;
--- a/controller/src/main/java/org/landingridge/controller/reign/Expectations.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Expectations.java
@@ -49,9 +49,11 @@
     private static final double RUN_MARGIN = 1.25;
     /** From a task's placing to its run, image and telling included, in seconds. */
     private static final double START_S = 4;
+
     private final Policy policy;
     /** Times the deadline that the platform still asks about. */
     private double second = 1;
+
     private final Map<String, Double> startWithin = new HashMap<>();
     private final Map<String, Double> finishWithin = new HashMap<>();
     private final Map<String, Double> finishAtLast = new HashMap<>();
@@ -60,6 +62,7 @@
     private final Map<String, Double> longest = new HashMap<>();
     /** Running share of the jobs that cannot wait for a boot and still be in time; negative while nothing is known. */
     private double hurried = -1;
+
     private final Map<String, Double> hurriedClass = new HashMap<>();
     private double bootS = 60;
     private int lastSeen = -1;
@@ -96,7 +99,9 @@
     void ended(String job) {
         Seen of = seen.remove(job);
         if (of != null && of.tasks > 1) {
-            longest.merge(of.jobClass, of.longestS * of.tasks / of.sumS,
+            longest.merge(
+                    of.jobClass,
+                    of.longestS * of.tasks / of.sumS,
                     (old, newest) -> old * (1 - NEWEST) + newest * NEWEST);
         }
     }
@@ -141,8 +146,8 @@
         JobSpec spec = job.spec();
         group.startWithinS = startWithin.getOrDefault(spec.jobClass(), 0.0);
         group.runS = runS(spec);
-        group.lastS = START_S + RUN_MARGIN * group.runS
-                * (spec.tasks() > 1 ? longest.getOrDefault(spec.jobClass(), 1.0) : 1);
+        group.lastS =
+                START_S + RUN_MARGIN * group.runS * (spec.tasks() > 1 ? longest.getOrDefault(spec.jobClass(), 1.0) : 1);
         Double within = within(spec);
         long submitted = now + job.submittedAt() - timeOfDay;
         if (job.readySince() > 0 && spec.deadlineS() == null) {
--- a/controller/src/main/java/org/landingridge/controller/reign/Inheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Inheritance.java
@@ -24,7 +24,9 @@
      */
     record Inherited(Priority priority, long due, long lastDue) {
         Inherited and(Inherited other) {
-            return new Inherited(priority.compareTo(other.priority) > 0 ? priority : other.priority, Math.min(due, other.due),
+            return new Inherited(
+                    priority.compareTo(other.priority) > 0 ? priority : other.priority,
+                    Math.min(due, other.due),
                     Math.min(lastDue, other.lastDue));
         }
     }
@@ -48,7 +50,8 @@
             Group group = new Group(job.spec(), null, job.created(), 0, 0);
             expectations.expect(group, job, now, timeOfDay);
             all.apply(group, job.id());
-            Inherited handedOn = new Inherited(all.priority(job.spec()), before(group.due, group.lastS), before(group.lastDue, group.lastS));
+            Inherited handedOn = new Inherited(
+                    all.priority(job.spec()), before(group.due, group.lastS), before(group.lastDue, group.lastS));
             for (String needed : job.awaited()) {
                 all.byId.merge(needed, handedOn, Inherited::and);
             }
@@ -62,7 +65,9 @@
 
     private Priority priority(JobSpec spec) {
         Inherited inherited = byId.get(spec.id());
-        return inherited == null || inherited.priority.compareTo(spec.priority()) <= 0 ? spec.priority() : inherited.priority;
+        return inherited == null || inherited.priority.compareTo(spec.priority()) <= 0
+                ? spec.priority()
+                : inherited.priority;
     }
 
     /** The job as the scheduler is to see it. */
--- a/controller/src/main/java/org/landingridge/controller/reign/Inventory.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Inventory.java
@@ -26,6 +26,7 @@
     private final Runnable listed;
     /** When a list that shows the machine was first asked for. */
     private final Map<String, Long> listedAt = new HashMap<>();
+
     private boolean listing;
     private long nextList;
     private boolean closed;
@@ -108,7 +109,9 @@
         List<String> gone = new ArrayList<>();
         for (Machine m : fleet.machines()) {
             Long first = listedAt.get(m.id());
-            if (first != null && !present.contains(m.id()) && asked - first > 2 * lag + 2_000
+            if (first != null
+                    && !present.contains(m.id())
+                    && asked - first > 2 * lag + 2_000
                     && m.state() == Machine.State.LAPSED) {
                 gone.add(m.id());
             }
--- a/controller/src/main/java/org/landingridge/controller/reign/Parts.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Parts.java
@@ -22,7 +22,23 @@
 import org.landingridge.wire.MachineType;
 
 /** What a reign works with: the parts that every controller runs. */
-public record Parts(Loop loop, Http http, RandomGenerator random, Settings settings, Policy policy, StateClient client,
-        Mirror mirror, Leadership lead, GroupWriter writer, CloudClient cloud, JobTable table, History history,
-        JobLookup lookup, Capabilities capabilities, ConfigurationView configuration,
-        Map<String, MachineType> types, Metrics metrics, IncidentReport incidents, Chronicle chronicle) {}
+public record Parts(
+        Loop loop,
+        Http http,
+        RandomGenerator random,
+        Settings settings,
+        Policy policy,
+        StateClient client,
+        Mirror mirror,
+        Leadership lead,
+        GroupWriter writer,
+        CloudClient cloud,
+        JobTable table,
+        History history,
+        JobLookup lookup,
+        Capabilities capabilities,
+        ConfigurationView configuration,
+        Map<String, MachineType> types,
+        Metrics metrics,
+        IncidentReport incidents,
+        Chronicle chronicle) {}
--- a/controller/src/main/java/org/landingridge/controller/reign/Pass.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Pass.java
@@ -41,12 +41,14 @@
     private static final long IN_FORCE_MS = 6_000;
     /** After so long without news of the state service it is asked whether there are any. */
     private static final long ASK_AGAIN_MS = 2_500;
+
     private final Map<String, Integer> teamIndex = new HashMap<>();
     private Configuration configuration;
     private boolean asking;
     private long nextExcessStep;
     /** Pools that had nothing to give, until when nothing is asked of them. */
     private final Map<String, Long> noCapacityUntil = new HashMap<>();
+
     private final Map<String, Integer> refusals = new HashMap<>();
     private final Peak standing = new Peak();
     private final Picture picture;
@@ -81,7 +83,8 @@
         if (mayHaveChanged(now)) {
             return;
         }
-        Inheritance inheritance = Inheritance.of(parts.table().active(), expectations, now, parts.loop().timeOfDay());
+        Inheritance inheritance = Inheritance.of(
+                parts.table().active(), expectations, now, parts.loop().timeOfDay());
         Map<String, Group> groups = new LinkedHashMap<>();
         for (LiveJob job : fleet.jobs()) {
             int team = teamIndex.getOrDefault(job.spec().team(), -1);
@@ -92,7 +95,11 @@
             int placeable = fleet.placeable(job);
             boolean broken = job.health() == LiveJob.Health.BROKEN;
             int most = broken ? job.count(Task.State.ON_MACHINE) == 0 ? 1 : 0 : placeable;
-            Group group = new Group(inheritance.spec(job.spec()), job, job.job().created(), team,
+            Group group = new Group(
+                    inheritance.spec(job.spec()),
+                    job,
+                    job.job().created(),
+                    team,
                     job.notBefore() <= now ? Math.min(placeable, most) : 0);
             group.probing = broken;
             group.held = job.count(Task.State.PENDING) - placeable;
@@ -111,18 +118,28 @@
                 }
             }
         }
-        Scheduler.Spare spare = service == null ? null
-                : new Scheduler.Spare(service, Math.max(2, (int) Math.ceil(services * parts.policy().spareShare())));
+        Scheduler.Spare spare = service == null
+                ? null
+                : new Scheduler.Spare(service, Math.max(2, (int)
+                        Math.ceil(services * parts.policy().spareShare())));
         long idleMs = expectations.idleMs(parts.types().values());
         // What an earlier leader may have started cannot be placed during the census: that it does not ask for room now
         // says nothing, and machines given back then were rented again a minute later.
         double kept = standing.most(now, demand(teams, groups.values()), idleMs);
-        // Nor does a fresh leader know what was asked for in the time that counts: a fleet that stood at a first start was
+        // Nor does a fresh leader know what was asked for in the time that counts: a fleet that stood at a first start
+        // was
         // given back within seconds, and rented again.
         boolean fresh = now - began < Math.round(parts.policy().idleS() * 1000);
-        Plan plan = Scheduler.plan(new Scheduler.Input(now, nodes, List.copyOf(groups.values()), teams,
-                List.copyOf(parts.types().values()), closedPools(now), spare,
-                idleMs, fresh || fleet.unaccounted() > 0 ? Double.MAX_VALUE : kept));
+        Plan plan = Scheduler.plan(new Scheduler.Input(
+                now,
+                nodes,
+                List.copyOf(groups.values()),
+                teams,
+                List.copyOf(parts.types().values()),
+                closedPools(now),
+                spare,
+                idleMs,
+                fresh || fleet.unaccounted() > 0 ? Double.MAX_VALUE : kept));
         apply(plan);
         giveUpExcess(now, nodes, teams);
     }
@@ -245,7 +262,8 @@
                 if (a.state() == Attempt.State.SENT || a.state() == Attempt.State.FETCHING) {
                     node.fetching++;
                 }
-                int team = a.spec() == null ? 0 : teamIndex.getOrDefault(a.spec().team(), 0);
+                int team =
+                        a.spec() == null ? 0 : teamIndex.getOrDefault(a.spec().team(), 0);
                 Group of = groups.get(a.jobId());
                 JobSpec spec = of == null ? a.spec() : of.spec;
                 Node.Running running = new Node.Running(spec, team, a, a.since(), a.stopWanted());
@@ -277,8 +295,13 @@
             if (op.open() && op.kind() == Operation.Kind.RENT && op.state() != Operation.State.ESCALATED) {
                 MachineType type = parts.types().get(op.request().path("rig").asText());
                 for (int i = 0; type != null && i < op.request().path("count").asInt(); i++) {
-                    nodes.add(new Node(type, op.request().path("yard").asText(),
-                            op.request().path("standby").asBoolean(), null, false, Set.of()));
+                    nodes.add(new Node(
+                            type,
+                            op.request().path("yard").asText(),
+                            op.request().path("standby").asBoolean(),
+                            null,
+                            false,
+                            Set.of()));
                 }
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/reign/Recovery.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Recovery.java
@@ -15,7 +15,11 @@
 /** How far a new leader has come in squaring the reports with the stored state, for people: events and status. */
 final class Recovery {
     /** GATHERING: what is there is not known yet. SETTLING: machines are left to be accounted for. OVER: none is. */
-    private enum State { GATHERING, SETTLING, OVER }
+    private enum State {
+        GATHERING,
+        SETTLING,
+        OVER
+    }
 
     private static final int[] SHARES = {50, 95, 100};
     private static final int NAMED = 5;
@@ -55,20 +59,33 @@
     /** The only place where the state changes. */
     private void to(State next, long now) {
         state = next;
-        chronicle.tell(next == State.OVER ? "recovered" : "picture_complete", "afterMs", now - beganAt, "machines",
-                fleet.size(), "held", fleet.held());
+        chronicle.tell(
+                next == State.OVER ? "recovered" : "picture_complete",
+                "afterMs",
+                now - beganAt,
+                "machines",
+                fleet.size(),
+                "held",
+                fleet.held());
     }
 
     /** Machines by verdict and cause: how many, the first of them, and at most until when they are waited for. */
     void describe(ObjectNode n, long now) {
-        n.put("state", state.name()).put("sinceMs", now - beganAt).put("asked", asked).put("left", fleet.unaccounted())
+        n.put("state", state.name())
+                .put("sinceMs", now - beganAt)
+                .put("asked", asked)
+                .put("left", fleet.unaccounted())
                 .put("heldTasks", fleet.held());
         Map<Verdict, Map<Cause, ObjectNode>> byVerdict = new EnumMap<>(Verdict.class);
         for (Machine m : fleet.machines()) {
             Judgement j = fleet.judge(m, now);
-            ObjectNode of = byVerdict.computeIfAbsent(j.verdict(), v -> new EnumMap<>(Cause.class))
-                    .computeIfAbsent(j.cause(), c -> n.withObject("/machines/" + name(j.verdict()) + "/" + name(c))
-                            .put("why", c.text()).put("count", 0));
+            ObjectNode of = byVerdict
+                    .computeIfAbsent(j.verdict(), v -> new EnumMap<>(Cause.class))
+                    .computeIfAbsent(
+                            j.cause(),
+                            c -> n.withObject("/machines/" + name(j.verdict()) + "/" + name(c))
+                                    .put("why", c.text())
+                                    .put("count", 0));
             of.put("count", of.path("count").asInt() + 1);
             if (of.path("count").asInt() <= NAMED && !j.is(Verdict.ADOPT)) {
                 of.withArray("first").add(m.id());
--- a/controller/src/main/java/org/landingridge/controller/reign/Reign.java
+++ b/controller/src/main/java/org/landingridge/controller/reign/Reign.java
@@ -38,14 +38,15 @@
  * One time in the lead: everything that the leader knows and does, built anew from the state service and from reports
  * at each election and dropped whole when the lead ends.
  */
-public final class Reign implements Fleet.Events, Operations.Events, Progress.Events, JobTable.Listener,
-        Compactor.Reign {
+public final class Reign
+        implements Fleet.Events, Operations.Events, Progress.Events, JobTable.Listener, Compactor.Reign {
     private static final Logger LOG = LoggerFactory.getLogger(Reign.class);
     private static final long PASS_MS = 25;
     /** A pass looks at every machine and job: the pause before it grows by a millisecond for so many of them. */
     private static final int PASS_STEP = 25;
     /** Beyond a report's time a new leader waits so long at most before it rents. */
     private static final long GATHER_MS = 1_500;
+
     private final Parts parts;
     private final Loop loop;
     private final Leadership lead;
@@ -81,20 +82,39 @@
         this.table = parts.table();
         String root = Keys.ROOT;
         expectations = new Expectations(settings.objectives(), policy);
-        fleet = new Fleet(loop, parts.http(), lead, settings.workers(), parts.types()::get,
+        fleet = new Fleet(
+                loop,
+                parts.http(),
+                lead,
+                settings.workers(),
+                parts.types()::get,
                 id -> {
                     Job job = table.get(id);
                     return job == null ? null : job.spec();
-                }, policy, settings.machine().maxConnections(), parts.metrics(), parts.incidents(),
-                parts.chronicle(), this);
+                },
+                policy,
+                settings.machine().maxConnections(),
+                parts.metrics(),
+                parts.incidents(),
+                parts.chronicle(),
+                this);
         parts.metrics().takeovers.increment();
         parts.incidents().say("this controller took the lead under token " + lead.token());
         roster = new Roster(root, writer, fleet, settings.stateLimits().valueBytes());
         progress = new Progress(root, Keys.JOBS, writer, settings.stateLimits().valueBytes(), this);
         cancellations = new Cancellations(writer, table);
-        operations = new Operations(loop, parts.random(), parts.cloud(), writer, root, lead.token(), policy.queryLimitS(),
-                settings.stateLimits().valueBytes(), this);
-        // A fresh process has read the finished tasks before it read their jobs, for such is the order of the keys: unless
+        operations = new Operations(
+                loop,
+                parts.random(),
+                parts.cloud(),
+                writer,
+                root,
+                lead.token(),
+                policy.queryLimitS(),
+                settings.stateLimits().valueBytes(),
+                this);
+        // A fresh process has read the finished tasks before it read their jobs, for such is the order of the keys:
+        // unless
         // they are looked at once more, it starts all of a job's tasks again.
         stored.forEach((key, value) -> {
             if (key.startsWith(root + Progress.PREFIX)) {
@@ -127,16 +147,38 @@
         fleet.jobs().forEach(progress::takeOver);
         roster.splitOversized();
         progress.splitOversized();
-        compactor = new Compactor(parts.client(), parts.mirror(), loop, table, parts.history(),
-                parts.capabilities(), parts.metrics(), this, lead::writeGuard, settings.stateLimits(), policy.historyShare());
+        compactor = new Compactor(
+                parts.client(),
+                parts.mirror(),
+                loop,
+                table,
+                parts.history(),
+                parts.capabilities(),
+                parts.metrics(),
+                this,
+                lead::writeGuard,
+                settings.stateLimits(),
+                policy.historyShare());
         picture = new Picture(loop.now(), Math.round(settings.workers().reportS() * 1250) + GATHER_MS);
         recovery = new Recovery(fleet, picture, parts.chronicle(), loop.now());
         pass = new Pass(parts, fleet, operations, expectations, picture);
         inventory = new Inventory(parts, fleet, operations, this::givenBack, picture::listed);
-        LOG.info("leading under token {}: {} jobs, {} machines on the roster", lead.token(), table.active().size(),
+        LOG.info(
+                "leading under token {}: {} jobs, {} machines on the roster",
+                lead.token(),
+                table.active().size(),
                 fleet.size());
-        parts.chronicle().tell("elected", "token", lead.token(), "jobs", table.active().size(), "machines", fleet.size(),
-                "asked", fleet.unaccounted());
+        parts.chronicle()
+                .tell(
+                        "elected",
+                        "token",
+                        lead.token(),
+                        "jobs",
+                        table.active().size(),
+                        "machines",
+                        fleet.size(),
+                        "asked",
+                        fleet.unaccounted());
         fleet.start();
         compactor.start();
         tick();
@@ -240,9 +282,10 @@
         long tookS = (loop.timeOfDay() - job.submittedAt()) / 1000;
         LOG.debug("{} is done after {} s", job.id(), tookS);
         if (within != null && tookS > within) {
-            parts.incidents().say(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
-                    + tookS + " s instead of " + Math.round(within) + " s, with " + fleet.waiting()
-                    + " tasks of all jobs waiting for room now");
+            parts.incidents()
+                    .say(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
+                            + tookS + " s instead of " + Math.round(within) + " s, with " + fleet.waiting()
+                            + " tasks of all jobs waiting for room now");
         }
         table.end(job, Job.Status.DONE, job.tasks(), revision, true);
     }
@@ -271,13 +314,16 @@
     @Override
     public void escalated(Operation op) {
         parts.metrics().escalated.increment();
-        parts.incidents().say(op.name() + " (" + op.kind() + ") has had no clear outcome for long: it counts as"
-                + " unsettled room and is asked about now and then");
+        parts.incidents()
+                .say(op.name() + " (" + op.kind() + ") has had no clear outcome for long: it counts as"
+                        + " unsettled room and is asked about now and then");
     }
 
     @Override
     public void noCapacity(Operation op) {
-        pass.noCapacity(Scheduler.pool(op.request().path("rig").asText(), op.request().path("yard").asText(),
+        pass.noCapacity(Scheduler.pool(
+                op.request().path("rig").asText(),
+                op.request().path("yard").asText(),
                 op.request().path("standby").asBoolean()));
         changed();
     }
@@ -346,8 +392,13 @@
         var unsettled = n.putArray("unsettledOperations");
         for (Operation op : operations.all()) {
             if (op.open()) {
-                unsettled.addObject().put("key", op.name()).put("kind", op.kind().name())
-                        .put("state", op.state().name()).put("seen", op.seen()).put("since", op.dispatchedAt());
+                unsettled
+                        .addObject()
+                        .put("key", op.name())
+                        .put("kind", op.kind().name())
+                        .put("state", op.state().name())
+                        .put("seen", op.seen())
+                        .put("since", op.dispatchedAt());
             }
         }
         return n;
--- a/controller/src/main/java/org/landingridge/controller/sched/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/ExcessWork.java
@@ -15,9 +15,11 @@
     private static final double SHARE = 0.25;
     /** A step takes so many processors at least, so that the last of the excess goes too. */
     private static final double LEAST_CPUS = 16;
-    private static final Comparator<Node.Running> FIRST_TO_GO = Comparator
-            .comparing((Node.Running r) -> r.spec.priority()).thenComparing(Comparator.comparingLong((Node.Running r) -> r.startedAt)
-                    .reversed());
+
+    private static final Comparator<Node.Running> FIRST_TO_GO = Comparator.comparing(
+                    (Node.Running r) -> r.spec.priority())
+            .thenComparing(
+                    Comparator.comparingLong((Node.Running r) -> r.startedAt).reversed());
 
     private ExcessWork() {}
 
@@ -27,11 +29,19 @@
         for (int t = 0; t < teams.size(); t++) {
             Team team = teams.get(t);
             List<Node.Running> running = running(nodes, t);
-            double cpus = team.cpusMax > 0 ? running.stream().mapToDouble(r -> r.spec.cpus()).sum() - team.cpusMax : 0;
-            double gpus = team.gpusMax > 0 ? running.stream().mapToDouble(r -> r.spec.gpus()).sum() - team.gpusMax : 0;
+            double cpus = team.cpusMax > 0
+                    ? running.stream().mapToDouble(r -> r.spec.cpus()).sum() - team.cpusMax
+                    : 0;
+            double gpus = team.gpusMax > 0
+                    ? running.stream().mapToDouble(r -> r.spec.gpus()).sum() - team.gpusMax
+                    : 0;
             if (cpus > 1e-6 || gpus > 1e-6) {
                 running.sort(FIRST_TO_GO);
-                take(running, Math.max(cpus * SHARE, Math.min(cpus, LEAST_CPUS)), Math.max(gpus * SHARE, Math.min(gpus, 1)), stops);
+                take(
+                        running,
+                        Math.max(cpus * SHARE, Math.min(cpus, LEAST_CPUS)),
+                        Math.max(gpus * SHARE, Math.min(gpus, 1)),
+                        stops);
             }
         }
         return stops;
@@ -57,7 +67,8 @@
             if (enough) {
                 return;
             }
-            boolean helps = freedCpus < cpus - 1e-6 && r.spec.cpus() > 0 || freedGpus < gpus - 1e-6 && r.spec.gpus() > 0;
+            boolean helps =
+                    freedCpus < cpus - 1e-6 && r.spec.cpus() > 0 || freedGpus < gpus - 1e-6 && r.spec.gpus() > 0;
             if (helps) {
                 stops.add(r);
                 freedCpus += r.spec.cpus();
--- a/controller/src/main/java/org/landingridge/controller/sched/GiveBack.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/GiveBack.java
@@ -20,6 +20,7 @@
     private static final double TELLING_S = 2;
     /** A machine is vacated if it becomes free sooner by so many seconds, beside what the moves cost. */
     private static final double GAIN_S = 10;
+
     private final Scheduler.Input in;
     private final Plan plan;
     private final Prices prices;
@@ -27,6 +28,7 @@
     private final List<Node> up = new ArrayList<>();
     /** Processors on them, in use on them, and to be kept. */
     private double there;
+
     private double used;
     private double needed;
 
@@ -42,8 +44,7 @@
             }
         }
         needed = Math.max(in.standing(), used * (1 + HEADROOM));
-        up.sort(Comparator.comparing((Node n) -> !dear(n))
-                .thenComparingDouble(n -> n.type.cpus() - n.cpus));
+        up.sort(Comparator.comparing((Node n) -> !dear(n)).thenComparingDouble(n -> n.type.cpus() - n.cpus));
     }
 
     private boolean dear(Node n) {
@@ -68,8 +69,8 @@
         }
         for (Node n : up) {
             boolean empty = n.running.isEmpty() && n.cpus >= n.type.cpus() - 1e-9;
-            boolean needless = empty && (dear(n) || n.draining) && n.idleMs >= NEEDLESS_MS
-                    && there - n.type.cpus() >= needed;
+            boolean needless =
+                    empty && (dear(n) || n.draining) && n.idleMs >= NEEDLESS_MS && there - n.type.cpus() >= needed;
             if (!empty || n.idleMs < in.idleMs() && !needless) {
                 continue;
             }
@@ -146,8 +147,9 @@
         List<Node.Running> longer = new ArrayList<>();
         double last = 0;
         for (Node.Running r : n.running) {
-            double cost = r.spec == null ? 0 : r.spec.saveS() + TELLING_S
-                    + r.spec.imageGb() / Math.max(0.01, n.type.fetchGbPerS());
+            double cost = r.spec == null
+                    ? 0
+                    : r.spec.saveS() + TELLING_S + r.spec.imageGb() / Math.max(0.01, n.type.fetchGbPerS());
             if (movable(r) && r.leftS > Math.max(held, cost)) {
                 longer.add(r);
                 last = Math.max(last, r.leftS - cost);
@@ -157,7 +159,13 @@
     }
 
     private static boolean movable(Node.Running r) {
-        return !r.stopping && r.spec != null && r.spec.checkpointS() > 0 && r.spec.spot() && r.spec.zone() == null
-                && !r.spec.oneZone() && !r.spec.spread() && r.ranS >= SETTLED_S;
+        return !r.stopping
+                && r.spec != null
+                && r.spec.checkpointS() > 0
+                && r.spec.spot()
+                && r.spec.zone() == null
+                && !r.spec.oneZone()
+                && !r.spec.spread()
+                && r.ranS >= SETTLED_S;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/sched/Group.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/Group.java
@@ -11,6 +11,7 @@
     public final Object job;
     /** Place in the order of arrival. */
     public final long order;
+
     public final int team;
     public int waiting;
     /** Tasks that wait too, and may not be started before it is known that no machine holds them. */
@@ -53,7 +54,8 @@
         if (spec.zone() != null && !spec.zone().equals(zone)) {
             return false;
         }
-        // Tasks that are held may be in any zone, on a machine that nobody has heard yet: without counting them, one of a job
+        // Tasks that are held may be in any zone, on a machine that nobody has heard yet: without counting them, one of
+        // a job
         // that has to be together is started apart from them, and one of a scattered job beside too many.
         if (spec.oneZone() && (perZone.isEmpty() ? held > 0 : !perZone.containsKey(zone))) {
             return false;
--- a/controller/src/main/java/org/landingridge/controller/sched/Node.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/Node.java
@@ -14,6 +14,7 @@
         public final int team;
         /** Opaque to the scheduler. */
         public final Object attempt;
+
         public final long startedAt;
         /** Already told to stop: its room comes free by itself. */
         public boolean stopping;
@@ -40,6 +41,7 @@
     public final Object machine;
     /** UP nodes take tasks now; the others are on their way and only count against renting. */
     public final boolean up;
+
     public final Set<String> images;
     public final List<Running> running = new ArrayList<>();
     public long idleMs;
@@ -49,6 +51,7 @@
     public boolean unheard;
     /** Vacated a short while ago, to be given back. */
     public boolean draining;
+
     double cpus;
     double gpus;
     double memory;
@@ -56,6 +59,7 @@
     int services;
     /** Room that comes free once what is stopping has stopped. */
     double soonCpus;
+
     double soonGpus;
     double soonMemory;
 
--- a/controller/src/main/java/org/landingridge/controller/sched/Prices.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/Prices.java
@@ -7,6 +7,7 @@
 final class Prices {
     /** A machine whose processors cost so many times the cheapest there are counts as dear. */
     private static final double DEAR = 1.5;
+
     private final double cheapest;
 
     Prices(List<MachineType> types) {
--- a/controller/src/main/java/org/landingridge/controller/sched/Renting.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/Renting.java
@@ -29,15 +29,18 @@
     private static final double UNHURRIED_S = 1_800;
     /** A job of that sort of which nothing runs so long after it came gets room for some of its tasks all the same. */
     private static final double FLOOR_S = 60;
+
     private static final int FLOOR_TASKS = 4;
     /** No sum is made over less time than this, in seconds: it would ask for a fleet for one job. */
     private static final double LEAST_S = 15;
+
     private final Scheduler.Input in;
     private final Plan plan;
     private final Prices prices;
     private final Map<String, Integer> perZone = new HashMap<>();
     /** Machines that are on their way, and those that this round adds. */
     private final List<Node> coming = new ArrayList<>();
+
     private final Map<String, Integer> wanted = new LinkedHashMap<>();
     private double bootS;
     /** Processors of dear machines that may still be rented in this round. */
@@ -180,7 +183,8 @@
         int at = 0;
         for (int left = tasks; left > 0; left--) {
             plan.steps++;
-            while (at < coming.size() && !(coming.get(at).fits(g.spec) && coming.get(at).allows(g))) {
+            while (at < coming.size()
+                    && !(coming.get(at).fits(g.spec) && coming.get(at).allows(g))) {
                 plan.steps++;
                 at++;
             }
@@ -208,17 +212,18 @@
                 if (!t.fits(g.spec) || prices.dear(t, spot) && (!dear || dearBudget <= 0)) {
                     continue;
                 }
-                double each = Math.max(g.spec.cpus() / t.cpus(),
-                        t.memoryGb() > 0 ? g.spec.memoryGb() / t.memoryGb() : 0);
+                double each =
+                        Math.max(g.spec.cpus() / t.cpus(), t.memoryGb() > 0 ? g.spec.memoryGb() / t.memoryGb() : 0);
                 for (String zone : t.zones()) {
                     String pool = Scheduler.pool(t.name(), zone, spot);
-                    if (!g.zoneAllowed(zone) || in.noCapacityUntil().getOrDefault(pool, 0L) > in.now()
+                    if (!g.zoneAllowed(zone)
+                            || in.noCapacityUntil().getOrDefault(pool, 0L) > in.now()
                             || wanted.getOrDefault(pool, 0) >= MAX_RENT) {
                         continue;
                     }
                     // Equal prices: the zone with the fewest machines, so that a zone's loss hurts little.
-                    double cost = (spot ? t.spotPrice() : t.price()) * each
-                            * (1 + 1e-3 * perZone.getOrDefault(zone, 0));
+                    double cost =
+                            (spot ? t.spotPrice() : t.price()) * each * (1 + 1e-3 * perZone.getOrDefault(zone, 0));
                     if (cost < bestCost) {
                         bestCost = cost;
                         bestType = t;
--- a/controller/src/main/java/org/landingridge/controller/sched/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/Scheduler.java
@@ -23,8 +23,16 @@
      * @param idleMs   how long an idle machine is kept
      * @param standing processors that were asked for lately within the teams' guarantees: so many are kept up
      */
-    public record Input(long now, List<Node> nodes, List<Group> groups, List<Team> teams, List<MachineType> types,
-            Map<String, Long> noCapacityUntil, Spare spare, long idleMs, double standing) {}
+    public record Input(
+            long now,
+            List<Node> nodes,
+            List<Group> groups,
+            List<Team> teams,
+            List<MachineType> types,
+            Map<String, Long> noCapacityUntil,
+            Spare spare,
+            long idleMs,
+            double standing) {}
 
     /** Standing room for services: so many more tasks of this size are to find a place at once. */
     public record Spare(JobSpec like, int tasks) {}
@@ -50,10 +58,14 @@
     private static final double WAIT_FOR_SAVE = 0.4;
     /** More work than this, in seconds of its run, is not thrown away for a task that starts in time. */
     private static final double MOST_LOST_S = 60;
+
     private static final Comparator<Group> FIRST_COME =
             Comparator.comparing((Group g) -> g.spec.priority()).reversed().thenComparingLong(g -> g.order);
-    static final Comparator<Group> URGENT = Comparator.comparing((Group g) -> g.spec.priority()).reversed()
-            .thenComparingInt(g -> g.missed).thenComparingLong(g -> g.startBy).thenComparingLong(g -> g.order);
+    static final Comparator<Group> URGENT = Comparator.comparing((Group g) -> g.spec.priority())
+            .reversed()
+            .thenComparingInt(g -> g.missed)
+            .thenComparingLong(g -> g.startBy)
+            .thenComparingLong(g -> g.order);
 
     private final Input in;
     private final Plan plan = new Plan();
@@ -91,7 +103,9 @@
             }
             boolean some = false;
             for (Node.Running r : n.running) {
-                if (n.up && r.spec != null && (least == null || r.spec.priority().compareTo(least) < 0)) {
+                if (n.up
+                        && r.spec != null
+                        && (least == null || r.spec.priority().compareTo(least) < 0)) {
                     least = r.spec.priority();
                 }
                 if (n.up && r.stopping) {
@@ -118,7 +132,8 @@
         List<Group> borrowing = new ArrayList<>();
         Map<Group, Integer> within = new LinkedHashMap<>();
         Map<Group, Integer> beyond = new LinkedHashMap<>();
-        Priority last = order.isEmpty() ? null : order.get(order.size() - 1).spec.priority();
+        Priority last =
+                order.isEmpty() ? null : order.get(order.size() - 1).spec.priority();
         for (Group g : order) {
             if (g.held > 0 && g.spec.priority().compareTo(last) > 0) {
                 reserve(g);
@@ -178,8 +193,10 @@
     private void giveWay(List<Group> order) {
         double seconds = 1000 / processors();
         for (int chance = 0; chance < 2; chance++) {
-            PriorityQueue<Group> largest = new PriorityQueue<>(Comparator.comparingDouble(Scheduler::work).reversed()
-                    .thenComparing(Comparator.comparingLong((Group g) -> g.order).reversed()));
+            PriorityQueue<Group> largest = new PriorityQueue<>(Comparator.comparingDouble(Scheduler::work)
+                    .reversed()
+                    .thenComparing(
+                            Comparator.comparingLong((Group g) -> g.order).reversed()));
             // Those that gave way wait for all that did not.
             double work = 0;
             for (Group g : order) {
@@ -320,7 +337,9 @@
 
     /** False if the task would start late there, since its image must be fetched first. */
     private static boolean timely(Group g, Node n) {
-        return g.startWithinS <= 0 || g.spec.image() == null || n.images.contains(g.spec.image())
+        return g.startWithinS <= 0
+                || g.spec.image() == null
+                || n.images.contains(g.spec.image())
                 || g.spec.imageGb() / Math.max(0.01, n.type.fetchGbPerS()) < g.startWithinS * 0.6;
     }
 
@@ -431,8 +450,8 @@
                 return null;
             }
             // Least work lost first: what started last.
-            candidates.sort(Comparator.comparing((Node.Running r) -> r.spec.priority())
-                    .thenComparing(r -> -r.startedAt));
+            candidates.sort(
+                    Comparator.comparing((Node.Running r) -> r.spec.priority()).thenComparing(r -> -r.startedAt));
             List<Node.Running> victims = new ArrayList<>();
             double cpus = n.soonCpus;
             double gpus = n.soonGpus;
@@ -455,13 +474,15 @@
             }
             victims.forEach(r -> in.teams.get(r.team).goesOn(r.spec));
             return Node.fits(g.spec, cpus, gpus, memory) && !victims.isEmpty()
-                    ? new Candidate(cost + (timely(g, n) ? 0 : UNTIMELY), index, n, victims) : null;
+                    ? new Candidate(cost + (timely(g, n) ? 0 : UNTIMELY), index, n, victims)
+                    : null;
         }
 
         private void carryOut(Candidate c) {
             for (Node.Running r : c.stops) {
                 r.stopping = true;
-                r.atOnce = g.startWithinS > 0 && r.spec.saveS() > g.startWithinS * WAIT_FOR_SAVE
+                r.atOnce = g.startWithinS > 0
+                        && r.spec.saveS() > g.startWithinS * WAIT_FOR_SAVE
                         && Math.min(r.ranS, r.spec.checkpointS()) < MOST_LOST_S;
                 in.teams.get(r.team).stopping(r.spec);
                 c.node.soonCpus += r.spec.cpus();
--- a/controller/src/main/java/org/landingridge/controller/sched/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/sched/Team.java
@@ -14,6 +14,7 @@
     private double stoppingGpus;
     /** What may be in use besides, unseen: it counts within the limit only. */
     private double heldCpus;
+
     private double heldGpus;
 
     public Team(double cpus, double cpusMax, double gpus, double gpusMax) {
--- a/controller/src/main/java/org/landingridge/controller/store/GroupWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/GroupWriter.java
@@ -22,7 +22,12 @@
  * late, or from a leader of the past, changes nothing.
  */
 public final class GroupWriter {
-    private enum State { IDLE, WAITING, WRITING, REREADING }
+    private enum State {
+        IDLE,
+        WAITING,
+        WRITING,
+        REREADING
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(GroupWriter.class);
     private static final long STARVED_MS = 3_000;
@@ -31,6 +36,7 @@
     private static final int MOST_BYTES = 60_000;
     /** What a write takes beside its value. */
     private static final int OVERHEAD_BYTES = 100;
+
     private final StateClient client;
     private final Mirror mirror;
     private final Loop loop;
@@ -51,8 +57,15 @@
      * @param share         of the puts and deletes a second, what the leader may use
      * @param leaderVersion version of the leader's key, or 0 while this process may not write
      */
-    public GroupWriter(StateClient client, Mirror mirror, Loop loop, Settings.State limits, double share, String leaderKey,
-            LongSupplier leaderVersion, Busy busy) {
+    public GroupWriter(
+            StateClient client,
+            Mirror mirror,
+            Loop loop,
+            Settings.State limits,
+            double share,
+            String leaderKey,
+            LongSupplier leaderVersion,
+            Busy busy) {
         this.client = client;
         this.mirror = mirror;
         this.loop = loop;
@@ -103,7 +116,10 @@
             to(State.IDLE);
             return;
         }
-        List<Document> group = dirty.stream().filter(Document::ready).sorted(Comparator.comparingInt(Document::rank)).limit(maxOps)
+        List<Document> group = dirty.stream()
+                .filter(Document::ready)
+                .sorted(Comparator.comparingInt(Document::rank))
+                .limit(maxOps)
                 .toList();
         List<Guard> guards = new ArrayList<>();
         List<Write> writes = new ArrayList<>();
@@ -189,28 +205,34 @@
             LOG.warn("a group of {} writes is invalid: {} at most from now on", group.size(), maxOps);
             dirty.addAll(group);
         } else {
-            LOG.error("{} cannot be stored: the state service calls it invalid", group.get(0).key());
+            LOG.error(
+                    "{} cannot be stored: the state service calls it invalid",
+                    group.get(0).key());
         }
         again(REFUSED_PAUSE_MS);
     }
 
     private void reread(long began) {
-        mirror.barrier(() -> {
-            if (began == epoch) {
-                again(50);
-            }
-        }, () -> loop.after(300, () -> {
-            if (began == epoch) {
-                reread(began);
-            }
-        }));
+        mirror.barrier(
+                () -> {
+                    if (began == epoch) {
+                        again(50);
+                    }
+                },
+                () -> loop.after(300, () -> {
+                    if (began == epoch) {
+                        reread(began);
+                    }
+                }));
     }
 
     private void again(long atLeast) {
         to(State.IDLE);
         if (!dirty.isEmpty()) {
             to(State.WAITING);
-            loop.after(Math.max(atLeast, Math.max(20, nextAllowed - loop.now())), () -> busy.during(Busy.Part.WRITES, this::write));
+            loop.after(
+                    Math.max(atLeast, Math.max(20, nextAllowed - loop.now())),
+                    () -> busy.during(Busy.Part.WRITES, this::write));
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/store/Keys.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Keys.java
@@ -6,6 +6,7 @@
     public static final String ROOT = "lr/";
     /** One key a job that is live, or has ended lately. */
     public static final String JOBS = ROOT + "job/";
+
     public static final String LEADER = ROOT + "leader";
     /** Who led last, for as long as no other follows. */
     public static final String LEADER_LAST = LEADER + "-last";
--- a/controller/src/main/java/org/landingridge/controller/store/Mirror.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Mirror.java
@@ -29,7 +29,10 @@
         default void lost() {}
     }
 
-    private enum State { LOADING, FOLLOWING }
+    private enum State {
+        LOADING,
+        FOLLOWING
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(Mirror.class);
     private static final long WATCH_MS = 10_000;
@@ -46,6 +49,7 @@
     private long lastAnswer = Long.MIN_VALUE / 2;
     /** Everything stored before this time, by the loop's clock, has been taken over here. */
     private long viewAt = Long.MIN_VALUE / 2;
+
     private boolean loaded;
     private List<Waiter> waiting = new ArrayList<>();
     private boolean barrierDue;
@@ -58,8 +62,8 @@
      * @param prefix  what is read at the start and kept
      * @param watched a prefix of it: what the listener is told of
      */
-    public Mirror(StateClient client, Loop loop, String prefix, String watched, long pauseMs, Busy busy,
-            Listener listener) {
+    public Mirror(
+            StateClient client, Loop loop, String prefix, String watched, long pauseMs, Busy busy, Listener listener) {
         this.client = client;
         this.loop = loop;
         this.prefix = prefix;
--- a/controller/src/main/java/org/landingridge/controller/store/Page.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Page.java
@@ -11,9 +11,11 @@
     private final String key;
     /** What each row may take, in bytes. */
     private final Map<String, Integer> rows = new LinkedHashMap<>();
+
     private int bytes;
     /** Pages that take rows of this one over, and have not been stored since. */
     private final List<Page> successors = new ArrayList<>();
+
     private boolean everStored;
 
     protected Page(String key) {
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -11,7 +11,16 @@
 /** Calls to the state service. Every outcome is one of the named ones; UNKNOWN may still be carried out. */
 public final class StateClient {
     /** INVALID: the request is not one that the service takes, as where a value or a transaction is larger than its limits. */
-    public enum Status { OK, CONFLICT, NOT_FOUND, NO_LEASE, INVALID, TOO_OLD, REFUSED, UNKNOWN }
+    public enum Status {
+        OK,
+        CONFLICT,
+        NOT_FOUND,
+        NO_LEASE,
+        INVALID,
+        TOO_OLD,
+        REFUSED,
+        UNKNOWN
+    }
 
     /**
      * An answer; {@code body} is null unless the service sent one.
@@ -57,12 +66,20 @@
     }
 
     public void list(String prefix, String after, int limit, Consumer<Answer> done) {
-        call("GET", "/store?under=" + prefix + (after == null ? "" : "&from=" + after) + "&limit=" + limit, null,
-                TIMEOUT_MS, done);
+        call(
+                "GET",
+                "/store?under=" + prefix + (after == null ? "" : "&from=" + after) + "&limit=" + limit,
+                null,
+                TIMEOUT_MS,
+                done);
     }
 
     public void watch(String prefix, long after, long waitMs, Consumer<Answer> done) {
-        call("GET", "/watch?under=" + prefix + "&from=" + after + "&blockMs=" + waitMs, null, waitMs + TIMEOUT_MS,
+        call(
+                "GET",
+                "/watch?under=" + prefix + "&from=" + after + "&blockMs=" + waitMs,
+                null,
+                waitMs + TIMEOUT_MS,
                 done);
     }
 
@@ -100,7 +117,12 @@
     }
 
     private void call(String method, String path, JsonNode body, long timeoutMs, Consumer<Answer> done) {
-        http.call(addr, method, path, body == null ? null : Json.bytes(body), timeoutMs,
+        http.call(
+                addr,
+                method,
+                path,
+                body == null ? null : Json.bytes(body),
+                timeoutMs,
                 reply -> done.accept(read(reply)));
     }
 
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -41,6 +41,7 @@
     public static final String ROOT = Keys.ROOT + "node/";
     /** The level of every feature that this version knows. */
     private static final int LEVEL = 1;
+
     private static final long RETRY_MS = 5_000;
     private static final Logger LOG = LoggerFactory.getLogger(Capabilities.class);
     private final StateClient client;
@@ -91,7 +92,8 @@
         }
         if (mirror.following()) {
             String key = ROOT + host;
-            client.commit(List.of(new Guard(key, mirror.version(key))), List.of(new Write(key, levels, 0)), answer -> { });
+            client.commit(
+                    List.of(new Guard(key, mirror.version(key))), List.of(new Write(key, levels, 0)), answer -> {});
         }
         // Until the mirror brings it back: an answer that got lost and a refusal are the same from here.
         loop.after(RETRY_MS, this::announce);
