--- a/controller/src/main/java/org/landingridge/controller/users/Admission.java
+++ b/controller/src/main/java/org/landingridge/controller/users/Admission.java
@@ -17,6 +17,7 @@
 final class Admission {
     /** A submission, in the bucket's tokens: rates are fractions. */
     private static final long ONE = 1_000;
+
     private static final long SAID_MS = 2_500;
     private static final int LONGEST_S = 4;
     private final LongSupplier clock;
@@ -24,11 +25,13 @@
     private final double share;
     /** So many at once are let in after a quiet time: users do not come evenly, nor to every controller. */
     private final double burst;
+
     private final Bucket bucket;
     private double rate;
     private long saidUntil = Long.MIN_VALUE / 2;
     /** Turned away in the second that began then. */
     private int turnedAway;
+
     private long countedSince;
 
     /**
@@ -43,22 +46,28 @@
         this.share = most * share / nodes;
         this.burst = most * share;
         this.rate = this.share;
-        bucket = Bucket.builder().addLimit(limit(rate)).withCustomTimePrecision(new TimeMeter() {
-            @Override
-            public long currentTimeNanos() {
-                return clock.getAsLong() * 1_000_000;
-            }
+        bucket = Bucket.builder()
+                .addLimit(limit(rate))
+                .withCustomTimePrecision(new TimeMeter() {
+                    @Override
+                    public long currentTimeNanos() {
+                        return clock.getAsLong() * 1_000_000;
+                    }
 
-            @Override
-            public boolean isWallClockBased() {
-                return false;
-            }
-        }).build();
+                    @Override
+                    public boolean isWallClockBased() {
+                        return false;
+                    }
+                })
+                .build();
     }
 
     private Bandwidth limit(double perS) {
         long tokens = Math.max(ONE / 10, Math.round(perS * ONE));
-        return Bandwidth.builder().capacity(Math.max(ONE, Math.round(burst * ONE))).refillGreedy(tokens, Duration.ofSeconds(1)).build();
+        return Bandwidth.builder()
+                .capacity(Math.max(ONE, Math.round(burst * ONE)))
+                .refillGreedy(tokens, Duration.ofSeconds(1))
+                .build();
     }
 
     /** The leader's sign of life: whether it comes short of changes. It counts until the next, or for a while. */
@@ -70,8 +79,8 @@
     private void to(double perS) {
         if (Math.abs(perS - rate) > 0.1) {
             rate = perS;
-            bucket.replaceConfiguration(BucketConfiguration.builder().addLimit(limit(perS)).build(),
-                    TokensInheritanceStrategy.AS_IS);
+            bucket.replaceConfiguration(
+                    BucketConfiguration.builder().addLimit(limit(perS)).build(), TokensInheritanceStrategy.AS_IS);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/users/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/users/JobLookup.java
@@ -58,24 +58,27 @@
             finding.over(past);
             return;
         }
-        barrier(finding, () -> here(id, finding, () -> {
-            if (!table.partial()) {
-                finding.absent();
-                return;
-            }
-            // An ended job may have a key of its own that is not kept here. If it is gone from there it may have moved
-            // since the history was looked at, so that is looked at again, past another barrier.
-            client.get(Keys.JOBS + id, answer -> {
-                Ended ended = answer.ok() ? JobTable.ended(answer.body().path("data")) : null;
-                if (ended != null) {
-                    finding.over(ended);
-                } else if (answer.status() == Status.NOT_FOUND) {
-                    barrier(finding, () -> here(id, finding, finding::absent));
-                } else {
-                    finding.unavailable(NO_ANSWER);
-                }
-            });
-        }));
+        barrier(
+                finding,
+                () -> here(id, finding, () -> {
+                    if (!table.partial()) {
+                        finding.absent();
+                        return;
+                    }
+                    // An ended job may have a key of its own that is not kept here. If it is gone from there it may
+                    // have moved
+                    // since the history was looked at, so that is looked at again, past another barrier.
+                    client.get(Keys.JOBS + id, answer -> {
+                        Ended ended = answer.ok() ? JobTable.ended(answer.body().path("data")) : null;
+                        if (ended != null) {
+                            finding.over(ended);
+                        } else if (answer.status() == Status.NOT_FOUND) {
+                            barrier(finding, () -> here(id, finding, finding::absent));
+                        } else {
+                            finding.unavailable(NO_ANSWER);
+                        }
+                    });
+                }));
     }
 
     private void here(String id, Finding finding, Runnable absent) {
@@ -85,7 +88,8 @@
                 finding.live(job);
                 return;
             }
-            // Another controller may know already that the job is cancelled with one that it needs, and may have said so.
+            // Another controller may know already that the job is cancelled with one that it needs, and may have said
+            // so.
             resolve(job, failure -> {
                 if (failure != null) {
                     finding.unavailable(failure);
@@ -121,12 +125,13 @@
 
     /** Looks up every awaited job that the table does not keep, as a leader has to before it can start what awaits them. */
     public void resolveAll() {
-        table.unresolved().forEach(id -> resolve(id, failure -> { }));
+        table.unresolved().forEach(id -> resolve(id, failure -> {}));
     }
 
     /** Looks up what the job awaits and the table does not keep; {@code done} is told what failed, or null. */
     private void resolve(Job job, Consumer<String> done) {
-        List<String> missing = job.awaited().stream().filter(id -> table.get(id) == null).toList();
+        List<String> missing =
+                job.awaited().stream().filter(id -> table.get(id) == null).toList();
         int[] left = {missing.size()};
         String[] failed = new String[1];
         for (String id : missing) {
--- a/controller/src/main/java/org/landingridge/controller/users/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/users/JobService.java
@@ -38,6 +38,7 @@
     private static final int FLOOD_S = 2;
     /** Of the state service's changes: the leader's writes take the other half. */
     private static final double SHARE = 0.5;
+
     private final StateClient client;
     private final Mirror mirror;
     private final Loop loop;
@@ -52,9 +53,17 @@
     private final Turns turns;
 
     /** @param pipelines whether every controller runs a version that heeds what a job awaits */
-    public JobService(StateClient client, Mirror mirror, Loop loop, JobTable table, JobLookup lookup, ConfigurationView configuration,
+    public JobService(
+            StateClient client,
+            Mirror mirror,
+            Loop loop,
+            JobTable table,
+            JobLookup lookup,
+            ConfigurationView configuration,
             Settings settings,
-            Map<String, MachineType> types, BooleanSupplier pipelines, Metrics metrics) {
+            Map<String, MachineType> types,
+            BooleanSupplier pipelines,
+            Metrics metrics) {
         this.client = client;
         this.mirror = mirror;
         this.loop = loop;
@@ -66,7 +75,11 @@
         this.pipelines = pipelines;
         this.metrics = metrics;
         this.turns = new Turns(loop::now);
-        this.admission = new Admission(loop::now, settings.stateLimits().writeRps(), SHARE, settings.peers().size() + 1);
+        this.admission = new Admission(
+                loop::now,
+                settings.stateLimits().writeRps(),
+                SHARE,
+                settings.peers().size() + 1);
     }
 
     /** A sign of life of the leader, which may come short of changes. */
@@ -220,8 +233,10 @@
                 || team.gpusMax() > 0 && spec.gpus() * together > team.gpusMax() + 1e-6) {
             return "the job needs more than the limit of team " + spec.team();
         }
-        if (Json.bytes(JobTable.accepted(spec, loop.timeOfDay())).length > settings.stateLimits().valueBytes()) {
-            return "its description takes more than the " + settings.stateLimits().valueBytes() + " bytes that can be stored";
+        if (Json.bytes(JobTable.accepted(spec, loop.timeOfDay())).length
+                > settings.stateLimits().valueBytes()) {
+            return "its description takes more than the "
+                    + settings.stateLimits().valueBytes() + " bytes that can be stored";
         }
         return null;
     }
@@ -247,42 +262,48 @@
                 return;
             }
         }
-        Told told = new Told(exchange, spec.id(), () -> { });
-        lookup.past(spec.id(), told, found -> told.over(found.ended()),
+        Told told = new Told(exchange, spec.id(), () -> {});
+        lookup.past(
+                spec.id(),
+                told,
+                found -> told.over(found.ended()),
                 found -> put(exchange, spec, record, found.version(), tries, false));
     }
 
-    private void put(Exchange exchange, JobSpec spec, ObjectNode record, long segmentVersion, int tries, boolean again) {
+    private void put(
+            Exchange exchange, JobSpec spec, ObjectNode record, long segmentVersion, int tries, boolean again) {
         String key = Keys.JOBS + spec.id();
         String segment = Place.of(spec.id()).key();
-        client.commit(List.of(new Guard(key, 0), new Guard(segment, segmentVersion)),
-                List.of(new Write(key, record, 0)), answer -> {
-            switch (answer.status()) {
-                case OK -> {
-                    if (answer.revision() > mirror.revision()) {
-                        mirror.committed(key, answer.revision());
-                        table.changed(spec.id(), record, answer.revision());
-                    }
-                    boolean cancelled = JobTable.ended(record) != null;
-                    exchange.answer(201, describe(spec.id(), cancelled ? "cancelled" : "queued", 0, 0));
-                }
-                case CONFLICT -> conflict(exchange, spec, record, tries);
-                case UNKNOWN -> {
-                    // The same conditional put once more: it settles whether the first was carried out.
-                    if (!again) {
-                        put(exchange, spec, record, segmentVersion, tries, true);
-                    } else {
-                        busy(exchange, "the state service does not answer");
-                    }
-                }
-                default -> {
-                    if (answer.overRate()) {
-                        turns.refused();
+        client.commit(
+                List.of(new Guard(key, 0), new Guard(segment, segmentVersion)),
+                List.of(new Write(key, record, 0)),
+                answer -> {
+                    switch (answer.status()) {
+                        case OK -> {
+                            if (answer.revision() > mirror.revision()) {
+                                mirror.committed(key, answer.revision());
+                                table.changed(spec.id(), record, answer.revision());
+                            }
+                            boolean cancelled = JobTable.ended(record) != null;
+                            exchange.answer(201, describe(spec.id(), cancelled ? "cancelled" : "queued", 0, 0));
+                        }
+                        case CONFLICT -> conflict(exchange, spec, record, tries);
+                        case UNKNOWN -> {
+                            // The same conditional put once more: it settles whether the first was carried out.
+                            if (!again) {
+                                put(exchange, spec, record, segmentVersion, tries, true);
+                            } else {
+                                busy(exchange, "the state service does not answer");
+                            }
+                        }
+                        default -> {
+                            if (answer.overRate()) {
+                                turns.refused();
+                            }
+                            busy(exchange, "the state service refuses");
+                        }
                     }
-                    busy(exchange, "the state service refuses");
-                }
-            }
-        });
+                });
     }
 
     /** The job is there already, or other jobs of its range have moved into the history meanwhile: then once more. */
@@ -334,7 +355,8 @@
                 mirror.committed(key, answer.revision());
                 table.end(job, Job.Status.CANCELLED, job.tasks(), answer.revision(), true);
                 LOG.info("{} is cancelled", job.id());
-                exchange.answer(200, Json.bytes(Json.object().put("id", job.id()).put("status", "cancelled")));
+                exchange.answer(
+                        200, Json.bytes(Json.object().put("id", job.id()).put("status", "cancelled")));
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
                 cancel(exchange, job.id(), tries + 1);
             } else {
@@ -389,7 +411,11 @@
     }
 
     private static ObjectNode state(String id, String status, int done, int running) {
-        return Json.object().put("id", id).put("status", status).put("done", done).put("running", running);
+        return Json.object()
+                .put("id", id)
+                .put("status", status)
+                .put("done", done)
+                .put("running", running);
     }
 
     /** Refused for now, at once, with the time to come back. */
--- a/controller/src/main/java/org/landingridge/controller/users/Turns.java
+++ b/controller/src/main/java/org/landingridge/controller/users/Turns.java
@@ -18,6 +18,7 @@
     private static final double QUIET = 0.02;
     /** Of what gets through a little is left free: what is refused costs changes too, and anybody may be refused. */
     private static final double USED = 0.95;
+
     private static final double GROWTH = 1.02;
     private static final double STEP = 0.2;
     /** So long without a refusal nobody is held to anything any more. */
--- a/controller/src/test/java/org/landingridge/controller/config/SettingsTest.java
+++ b/controller/src/test/java/org/landingridge/controller/config/SettingsTest.java
@@ -60,9 +60,14 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"'host_name = \"rig-0\"','',host_name", "'\"10.0.0.1:8080\"','\"10.0.0.1\"',serve_on",
-        "'rps = 250.0','rps = \"x\"',cluster.state.rps", "'lease_s = 10.0','lease_s = 0',cluster.workers.lease_s",
-        "'txn_ops = 8','txn_ops = 1',cluster.state.txn_ops", "'[external]','[other]',external"})
+    @CsvSource({
+        "'host_name = \"rig-0\"','',host_name",
+        "'\"10.0.0.1:8080\"','\"10.0.0.1\"',serve_on",
+        "'rps = 250.0','rps = \"x\"',cluster.state.rps",
+        "'lease_s = 10.0','lease_s = 0',cluster.workers.lease_s",
+        "'txn_ops = 8','txn_ops = 1',cluster.state.txn_ops",
+        "'[external]','[other]',external"
+    })
     void aWrongFieldIsNamedWithItsFile(String from, String to, String field) throws IOException {
         Path file = file(GOOD.replaceFirst(java.util.regex.Pattern.quote(from), to));
         BadSettings e = assertThrows(BadSettings.class, () -> Settings.read(file));
@@ -71,9 +76,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"'host_name = \"rig-1\"','host_name = \"rig-0\"',known.host_name",
+    @CsvSource({
+        "'host_name = \"rig-1\"','host_name = \"rig-0\"',known.host_name",
         "'name = \"red\"','name = \"red\"\n[[cluster.teams]]\nname = \"red\"',cluster.teams.name",
-        "'[cluster]','[cluster]\nzones = [\"a\", \"b\", \"a\"]',cluster.zones"})
+        "'[cluster]','[cluster]\nzones = [\"a\", \"b\", \"a\"]',cluster.zones"
+    })
     void whatStandsTwiceIsNamed(String from, String to, String field) throws IOException {
         Path file = file(GOOD.replaceFirst(java.util.regex.Pattern.quote(from), to.replace("\\n", "\n")));
         BadSettings e = assertThrows(BadSettings.class, () -> Settings.read(file));
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -31,7 +31,8 @@
         Segment segment = Segment.EMPTY;
         for (int i = 0; i < 700; i++) {
             int offset = random.nextInt(Segment.JOBS);
-            Ended ended = random.nextInt(4) == 0 ? new Ended(Job.Status.CANCELLED, 0)
+            Ended ended = random.nextInt(4) == 0
+                    ? new Ended(Job.Status.CANCELLED, 0)
                     : new Ended(Job.Status.DONE, 1 + random.nextInt(1 << random.nextInt(17)));
             Ended kept = model.putIfAbsent(offset, ended);
             segment = segment.with(Map.of(offset, kept == null ? ended : kept));
@@ -51,8 +52,8 @@
         for (int i = 0; i < Segment.JOBS; i++) {
             segment = segment.with(Map.of(i, new Ended(Job.Status.DONE, JobSpec.MAX_TASKS)));
         }
-        assertTrue(Json.bytes(segment.json()).length <= Segment.MOST_BYTES, "bytes "
-                + Json.bytes(segment.json()).length);
+        assertTrue(
+                Json.bytes(segment.json()).length <= Segment.MOST_BYTES, "bytes " + Json.bytes(segment.json()).length);
     }
 
     @Test
@@ -65,8 +66,8 @@
     /** Any single byte that is wrong is noticed: a damaged segment may not be read as one with fewer jobs. */
     @Test
     void damageIsNoticed() throws BadMessage {
-        Segment segment = Segment.EMPTY.with(Map.of(0, new Ended(Job.Status.DONE, 300), 9,
-                new Ended(Job.Status.CANCELLED, 0)));
+        Segment segment =
+                Segment.EMPTY.with(Map.of(0, new Ended(Job.Status.DONE, 300), 9, new Ended(Job.Status.CANCELLED, 0)));
         byte[] whole = Base64.getDecoder().decode(Json.text(segment.json(), "ended"));
         for (int i = 0; i < whole.length; i++) {
             byte[] damaged = whole.clone();
@@ -91,8 +92,21 @@
     @Test
     void noTwoIdsShareAPlace() {
         Set<Place> places = new HashSet<>();
-        String[] ids = {"job-000412", "job-0000412", "job-412", "job-00412", "job-100412", "job-1000412", "job-0100412",
-            "job-999999999999999", "job-9999999999999999", "job-a00412", "job-000412a", "job-00041-2", "job-٠٠٠٤١٢"};
+        String[] ids = {
+            "job-000412",
+            "job-0000412",
+            "job-412",
+            "job-00412",
+            "job-100412",
+            "job-1000412",
+            "job-0100412",
+            "job-999999999999999",
+            "job-9999999999999999",
+            "job-a00412",
+            "job-000412a",
+            "job-00041-2",
+            "job-٠٠٠٤١٢"
+        };
         for (String id : ids) {
             assertTrue(places.add(Place.of(id)), id);
         }
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -82,12 +82,32 @@
     }
 
     private static JobSpec spec(String id, List<String> awaits) {
-        return new JobSpec(id, "c", "t", false, Priority.NORMAL, 2, 1, 0, 1, "i", 0.1, null, null, false, false, true, 5, 0, 0,
-                null).awaiting(awaits);
+        return new JobSpec(
+                        id,
+                        "c",
+                        "t",
+                        false,
+                        Priority.NORMAL,
+                        2,
+                        1,
+                        0,
+                        1,
+                        "i",
+                        0.1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        5,
+                        0,
+                        0,
+                        null)
+                .awaiting(awaits);
     }
 
     private static JobTable table() {
-        return new JobTable(() -> 1, id -> { }, KEPT);
+        return new JobTable(() -> 1, id -> {}, KEPT);
     }
 
     /** A controller that has just begun reads all keys in their order. */
@@ -152,11 +172,15 @@
         }
         model.specs.put(id, spec(id, awaits));
         model.derive();
-        List<String> unfinished = awaits.stream().filter(a -> !model.done.contains(a)).toList();
+        List<String> unfinished =
+                awaits.stream().filter(a -> !model.done.contains(a)).toList();
         boolean cancelled = unfinished.stream().anyMatch(model::isCancelled) && random.nextBoolean();
         // A controller that is behind stores it as waiting, although what it needs is cancelled by now.
-        model.store(id, cancelled ? JobTable.cancelled(model.specs.get(id))
-                : JobTable.accepted(model.specs.get(id).awaiting(unfinished), 0));
+        model.store(
+                id,
+                cancelled
+                        ? JobTable.cancelled(model.specs.get(id))
+                        : JobTable.accepted(model.specs.get(id).awaiting(unfinished), 0));
         tell(id);
     }
 
@@ -185,8 +209,8 @@
                     model.store(job.id(), JobTable.ended(job, Job.Status.CANCELLED));
                     tell(job.id());
                 }
-                String id = pick(those(i -> model.isOver(i) && model.keys.containsKey(i)
-                        && JobTable.ended(model.keys.get(i)) != null));
+                String id = pick(those(i ->
+                        model.isOver(i) && model.keys.containsKey(i) && JobTable.ended(model.keys.get(i)) != null));
                 if (id != null) {
                     model.history.put(id, JobTable.ended(model.keys.get(id)).how());
                     model.store(id, null);
--- a/controller/src/test/java/org/landingridge/controller/lead/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/lead/PromisesTest.java
@@ -51,12 +51,13 @@
 
         @Override
         public Timer after(long millis, Runnable task) {
-            return () -> { };
+            return () -> {};
         }
     };
     /** Nobody can use the state service. */
-    private final StateClient client = new StateClient((addr, method, path, body, timeoutMs, done) ->
-            done.accept(Http.Reply.NOT_SENT), "state");
+    private final StateClient client =
+            new StateClient((addr, method, path, body, timeoutMs, done) -> done.accept(Http.Reply.NOT_SENT), "state");
+
     private final Map<String, Giver> givers = new LinkedHashMap<>();
     private final List<Message> toAsker = new ArrayList<>();
     private int lives;
@@ -76,10 +77,18 @@
         }
 
         void begin() {
-            table = new JobTable(loop::now, id -> { });
+            table = new JobTable(loop::now, id -> {});
             whole = false;
-            promises = new Promises(client, loop, (to, m) -> toAsker.add(m), "leader", host, List.of("rig-0"), ++lives,
-                    table.endings(), () -> whole);
+            promises = new Promises(
+                    client,
+                    loop,
+                    (to, m) -> toAsker.add(m),
+                    "leader",
+                    host,
+                    List.of("rig-0"),
+                    ++lives,
+                    table.endings(),
+                    () -> whole);
         }
 
         void read(Map<Long, Long> all) {
@@ -93,8 +102,27 @@
     }
 
     private static JobSpec spec(long number) {
-        return new JobSpec(String.format("job-%06d", number), "batch", "blue", false, Priority.NORMAL, 1, 1, 0, 1, "img", 0.3,
-                null, null, false, false, true, 1, 0, 0, null);
+        return new JobSpec(
+                String.format("job-%06d", number),
+                "batch",
+                "blue",
+                false,
+                Priority.NORMAL,
+                1,
+                1,
+                0,
+                1,
+                "img",
+                0.3,
+                null,
+                null,
+                false,
+                false,
+                true,
+                1,
+                0,
+                0,
+                null);
     }
 
     private static void cancel(JobTable table, long revision) {
@@ -107,13 +135,22 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    @DisplayName("whoever calls a time known has all that was told before: words lost, late, twice, in pages, from former lives")
+    @DisplayName(
+            "whoever calls a time known has all that was told before: words lost, late, twice, in pages, from former lives")
     void nothingIsMissing(long seed) {
         Random random = new Random(seed);
         Set<Long> here = new HashSet<>();
         List<Message> asks = new ArrayList<>();
-        Promises asker = new Promises(client, loop, (to, m) -> asks.add(new Addressed(to, m).route()), "leader", "rig-0", OTHERS,
-                77, new Endings(), () -> true);
+        Promises asker = new Promises(
+                client,
+                loop,
+                (to, m) -> asks.add(new Addressed(to, m).route()),
+                "leader",
+                "rig-0",
+                OTHERS,
+                77,
+                new Endings(),
+                () -> true);
         OTHERS.forEach(h -> givers.put(h, new Giver(h)));
         Map<Long, Long> stored = new LinkedHashMap<>();
         long revision = 10;
@@ -164,8 +201,10 @@
             knownAdvanced += known > 0 ? 1 : 0;
             for (Giver giver : givers.values()) {
                 long view = since;
-                giver.toldAt.forEach((r, at) -> assertTrue(at >= known || r <= view || here.contains(r),
-                        () -> r + " told by " + giver.host + " at " + at + " is missing, though all is known before " + known));
+                giver.toldAt.forEach((r, at) -> assertTrue(
+                        at >= known || r <= view || here.contains(r),
+                        () -> r + " told by " + giver.host + " at " + at + " is missing, though all is known before "
+                                + known));
             }
         }
         assertTrue(knownAdvanced > 1_000, "it was known most of the time: " + knownAdvanced);
@@ -200,9 +239,19 @@
     void earlierVersionsAndNonsense() throws IOException {
         byte[] grant = new Message.Grant("rig-1", 3, 4, null).encode();
         byte[] before = java.util.Arrays.copyOf(grant, grant.length - 1);
-        assertEquals(new Message.Grant("rig-1", 3, 4, null), Message.decode(new DataInputStream(new ByteArrayInputStream(before))));
-        Message.Grant full = new Message.Grant("rig-1", 3, 4, new Message.Word(9, 0, 2, true,
-                List.of(new Endings.Ending(7, "job-000007"), new Endings.Ending(8, "job-000008"))));
+        assertEquals(
+                new Message.Grant("rig-1", 3, 4, null),
+                Message.decode(new DataInputStream(new ByteArrayInputStream(before))));
+        Message.Grant full = new Message.Grant(
+                "rig-1",
+                3,
+                4,
+                new Message.Word(
+                        9,
+                        0,
+                        2,
+                        true,
+                        List.of(new Endings.Ending(7, "job-000007"), new Endings.Ending(8, "job-000008"))));
         assertEquals(full, copy(full));
         byte[] bytes = full.encode();
         for (int cut = before.length + 1; cut < bytes.length; cut++) {
@@ -214,12 +263,14 @@
     @Test
     @DisplayName("a cancellation that is heard of before the job itself ends the job when it comes")
     void foretold() {
-        JobTable table = new JobTable(loop::now, id -> { });
+        JobTable table = new JobTable(loop::now, id -> {});
         table.cancelled("job-000009", 9);
         table.changed("job-000009", JobTable.accepted(spec(9), 0), 5);
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
         assertEquals(List.of(), table.active());
-        assertEquals(List.of(new Endings.Ending(9, "job-000009")), table.endings().after(0, 0).endings());
+        assertEquals(
+                List.of(new Endings.Ending(9, "job-000009")),
+                table.endings().after(0, 0).endings());
         table.changed("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
         assertEquals(1, table.endings().count());
     }
@@ -237,9 +288,10 @@
     }
 
     @Test
-    @DisplayName("a record that has let go of something the leader lacks gives no word; it comes in pages where it has all")
+    @DisplayName(
+            "a record that has let go of something the leader lacks gives no word; it comes in pages where it has all")
     void theRecordIsBounded() {
-        JobTable table = new JobTable(loop::now, id -> { });
+        JobTable table = new JobTable(loop::now, id -> {});
         for (long revision = 1; revision <= 6_000; revision++) {
             cancel(table, revision);
         }
--- a/controller/src/test/java/org/landingridge/controller/peer/RelayTest.java
+++ b/controller/src/test/java/org/landingridge/controller/peer/RelayTest.java
@@ -30,7 +30,7 @@
 
         @Override
         public Timer after(long millis, Runnable task) {
-            return () -> { };
+            return () -> {};
         }
     };
 
@@ -75,7 +75,8 @@
         present.report("rig-0", report("m-2"));
         for (Message m : sent) {
             Message.Report carried = (Message.Report) m;
-            present.answered(new Message.Answer("rig-0", carried.number(), 200, ("that of " + new String(carried.body())).getBytes()));
+            present.answered(new Message.Answer(
+                    "rig-0", carried.number(), 200, ("that of " + new String(carried.body())).getBytes()));
         }
         assertEquals(List.of("m-2 gets that of m-2"), answers);
     }
--- a/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
@@ -57,8 +57,8 @@
             }
             made = longer;
         }
-        var constructor = type.getDeclaredConstructor(Arrays.stream(parts).map(RecordComponent::getType)
-                .toArray(Class<?>[]::new));
+        var constructor = type.getDeclaredConstructor(
+                Arrays.stream(parts).map(RecordComponent::getType).toArray(Class<?>[]::new));
         List<R> all = new ArrayList<>();
         for (Object[] values : made) {
             all.add(constructor.newInstance(values));
@@ -70,7 +70,8 @@
         return value instanceof Boolean b ? b ? "yes" : "no" : value.toString();
     }
 
-    private static <R extends Record> void matches(String heading, Class<R> type, Function<R, Judgement> judge, int many)
+    private static <R extends Record> void matches(
+            String heading, Class<R> type, Function<R, Judgement> judge, int many)
             throws IOException, ReflectiveOperationException {
         List<String[]> lines = table(heading);
         RecordComponent[] parts = type.getRecordComponents();
@@ -82,7 +83,8 @@
             for (String[] line : lines) {
                 boolean fits = true;
                 for (int i = 0; i < parts.length; i++) {
-                    fits &= line[i].equals("-") || line[i].equals(text(parts[i].getAccessor().invoke(evidence)));
+                    fits &= line[i].equals("-")
+                            || line[i].equals(text(parts[i].getAccessor().invoke(evidence)));
                 }
                 if (fits) {
                     first = line;
@@ -92,7 +94,9 @@
             assertTrue(first != null, () -> "no line for " + evidence);
             used.add(first);
             Judgement judgement = judge.apply(evidence);
-            assertEquals(first[parts.length] + " " + first[parts.length + 1], judgement.verdict() + " " + judgement.cause(),
+            assertEquals(
+                    first[parts.length] + " " + first[parts.length + 1],
+                    judgement.verdict() + " " + judgement.cause(),
                     evidence.toString());
         }
         assertEquals(lines.size(), used.size(), "lines of " + heading + " that something fits");
@@ -115,7 +119,11 @@
 
     @Test
     void tasks() throws IOException, ReflectiveOperationException {
-        matches("Tasks that are on no machine, as far as anybody has reported", TaskEvidence.class, Reconciliation::task, 8);
+        matches(
+                "Tasks that are on no machine, as far as anybody has reported",
+                TaskEvidence.class,
+                Reconciliation::task,
+                8);
     }
 
     @Test
--- a/controller/src/test/java/org/landingridge/controller/sched/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/sched/SchedulerTest.java
@@ -20,13 +20,31 @@
 
 /** The scheduler against a slow plain model of what a plan may and must do. */
 class SchedulerTest {
-    private static final MachineType T4 =
-            new MachineType("t4", 4, 0, 8, 30, 1, 1.0, 0.3, 30, List.of("a", "b"));
+    private static final MachineType T4 = new MachineType("t4", 4, 0, 8, 30, 1, 1.0, 0.3, 30, List.of("a", "b"));
 
-    private static JobSpec spec(int n, boolean service, Priority p, int tasks, double cpus, boolean spot,
-            boolean oneZone, boolean spread) {
-        return new JobSpec(String.format("job-%06d", n), "c", "t", service, p, tasks, cpus, 0, cpus, "img-" + n % 3,
-                1, null, n % 7 == 0 ? "a" : null, oneZone, spread, spot, 30, 0, 0, null);
+    private static JobSpec spec(
+            int n, boolean service, Priority p, int tasks, double cpus, boolean spot, boolean oneZone, boolean spread) {
+        return new JobSpec(
+                String.format("job-%06d", n),
+                "c",
+                "t",
+                service,
+                p,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "img-" + n % 3,
+                1,
+                null,
+                n % 7 == 0 ? "a" : null,
+                oneZone,
+                spread,
+                spot,
+                30,
+                0,
+                0,
+                null);
     }
 
     /** A random world; the same seed gives the same. */
@@ -35,7 +53,12 @@
         List<Team> teams = List.of(new Team(8, r.nextBoolean() ? 16 : 0, 0, 0), new Team(4, 12, 0, 0));
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < 1 + r.nextInt(8); i++) {
-            Node n = new Node(T4, r.nextBoolean() ? "a" : "b", r.nextInt(3) == 0, "m" + i, r.nextInt(5) > 0,
+            Node n = new Node(
+                    T4,
+                    r.nextBoolean() ? "a" : "b",
+                    r.nextInt(3) == 0,
+                    "m" + i,
+                    r.nextInt(5) > 0,
                     r.nextBoolean() ? Set.of("img-1") : Set.of());
             for (int k = r.nextInt(4); n.up && k > 0; k--) {
                 int team = r.nextInt(2);
@@ -48,8 +71,19 @@
         List<Group> groups = new ArrayList<>();
         for (int i = 0; i < r.nextInt(6); i++) {
             int tasks = 1 + r.nextInt(6);
-            groups.add(new Group(spec(i, r.nextInt(3) == 0, Priority.values()[r.nextInt(3)], tasks,
-                    1 + r.nextInt(3), r.nextBoolean(), r.nextInt(4) == 0, r.nextInt(4) == 0), "j" + i, i, r.nextInt(2),
+            groups.add(new Group(
+                    spec(
+                            i,
+                            r.nextInt(3) == 0,
+                            Priority.values()[r.nextInt(3)],
+                            tasks,
+                            1 + r.nextInt(3),
+                            r.nextBoolean(),
+                            r.nextInt(4) == 0,
+                            r.nextInt(4) == 0),
+                    "j" + i,
+                    i,
+                    r.nextInt(2),
                     tasks));
         }
         return new Scheduler.Input(2_000, nodes, groups, teams, List.of(T4), new HashMap<>(), null, 1_000, 0);
@@ -80,8 +114,9 @@
         taken.forEach((n, cpus) -> assertTrue(cpus <= free(n) + 1e-6, "no node is given more than it has"));
         zones.forEach((g, z) -> {
             assertTrue(!g.spec.oneZone() || z.size() == 1, "one zone only");
-            assertTrue(!g.spec.spread()
-                    || z.values().stream().allMatch(c -> c <= (g.spec.tasks() + 1) / 2), "spread over zones");
+            assertTrue(
+                    !g.spec.spread() || z.values().stream().allMatch(c -> c <= (g.spec.tasks() + 1) / 2),
+                    "spread over zones");
         });
         for (int t = 0; t < 2; t++) {
             double max = in.teams().get(t).cpusMax;
@@ -100,9 +135,11 @@
                     continue;
                 }
                 for (Node n : in.nodes()) {
-                    boolean may = n.up && (!n.spot || g.spec.spot())
+                    boolean may = n.up
+                            && (!n.spot || g.spec.spot())
                             && (g.spec.zone() == null || g.spec.zone().equals(n.zone));
-                    assertTrue(!may || free(n) - taken.getOrDefault(n, 0.0) < g.spec.cpus() - 1e-6,
+                    assertTrue(
+                            !may || free(n) - taken.getOrDefault(n, 0.0) < g.spec.cpus() - 1e-6,
                             g.spec.id() + " waits beside room on " + n.machine);
                 }
             }
@@ -132,15 +169,28 @@
         for (long seed = 0; seed < 200; seed++) {
             Plan a = Scheduler.plan(world(seed));
             Plan b = Scheduler.plan(world(seed));
-            assertEquals(a.placements.stream().map(p -> p.group().job + "@" + p.node().machine).toList(),
-                    b.placements.stream().map(p -> p.group().job + "@" + p.node().machine).toList());
+            assertEquals(
+                    a.placements.stream()
+                            .map(p -> p.group().job + "@" + p.node().machine)
+                            .toList(),
+                    b.placements.stream()
+                            .map(p -> p.group().job + "@" + p.node().machine)
+                            .toList());
             assertEquals(a.rents, b.rents);
         }
     }
 
     private static Scheduler.Input one(Group g, List<Node> nodes) {
-        return new Scheduler.Input(1_000_000, nodes, List.of(g), List.of(new Team(0, 0, 0, 0)), List.of(T4),
-                new HashMap<>(), null, 60_000, 0);
+        return new Scheduler.Input(
+                1_000_000,
+                nodes,
+                List.of(g),
+                List.of(new Team(0, 0, 0, 0)),
+                List.of(T4),
+                new HashMap<>(),
+                null,
+                60_000,
+                0);
     }
 
     @Test
@@ -153,7 +203,11 @@
         assertEquals(2, machines, "six tasks of 30 s in two rows of three before 200 s are over");
         g.waiting = 6;
         g.due = 1_000_000 + 60_000;
-        assertEquals(6, Scheduler.plan(one(g, List.of())).rents.stream().mapToInt(Plan.Rent::count).sum());
+        assertEquals(
+                6,
+                Scheduler.plan(one(g, List.of())).rents.stream()
+                        .mapToInt(Plan.Rent::count)
+                        .sum());
     }
 
     @Test
@@ -180,8 +234,20 @@
 
     private static List<Object> first(Group... groups) {
         Node n = new Node(T4, "a", false, "m", true, Set.of());
-        return Scheduler.plan(new Scheduler.Input(0, List.of(n), List.of(groups), List.of(new Team(0, 0, 0, 0)),
-                List.of(T4), new HashMap<>(), null, 60_000, 0)).placements.stream().map(p -> p.group().job).toList();
+        return Scheduler.plan(new Scheduler.Input(
+                        0,
+                        List.of(n),
+                        List.of(groups),
+                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(T4),
+                        new HashMap<>(),
+                        null,
+                        60_000,
+                        0))
+                .placements
+                .stream()
+                .map(p -> p.group().job)
+                .toList();
     }
 
     @Test
@@ -199,14 +265,14 @@
         Team owner = new Team(8, 0, 0, 0);
         for (int i = 0; i < 3; i++) {
             Node n = new Node(T4, "a", false, "m" + i, true, Set.of());
-            n.add(new Node.Running(spec(900 + i, false, Priority.NORMAL, 1, 4, false, false, false), 0, "a" + i, i,
-                    false));
+            n.add(new Node.Running(
+                    spec(900 + i, false, Priority.NORMAL, 1, 4, false, false, false), 0, "a" + i, i, false));
             lender.usedCpus += 4;
             nodes.add(n);
         }
         Group g = new Group(spec(1, false, Priority.NORMAL, 2, 4, false, false, false), "j", 1, 1, 2);
-        Plan plan = Scheduler.plan(new Scheduler.Input(2_000, nodes, List.of(g), List.of(lender, owner), List.of(T4),
-                new HashMap<>(), null, 60_000, 0));
+        Plan plan = Scheduler.plan(new Scheduler.Input(
+                2_000, nodes, List.of(g), List.of(lender, owner), List.of(T4), new HashMap<>(), null, 60_000, 0));
         assertEquals(1, plan.stops.size(), "twelve processors in use, eight guaranteed: four are borrowed");
         assertEquals(1, plan.unplaced);
     }
@@ -214,8 +280,27 @@
     /** A task of one processor on a node, {@code ranS} seconds old, that can save if {@code saves}. */
     private static Node.Running old(int n, double ranS, double leftS, boolean saves) {
         JobSpec s = spec(n, false, Priority.NORMAL, 1, 1, true, false, false);
-        JobSpec saving = new JobSpec(s.id(), s.jobClass(), s.team(), false, s.priority(), 1, 1, 0, 1, null, 0, null,
-                null, false, false, true, 60, saves ? 15 : 0, saves ? 3 : 0, null);
+        JobSpec saving = new JobSpec(
+                s.id(),
+                s.jobClass(),
+                s.team(),
+                false,
+                s.priority(),
+                1,
+                1,
+                0,
+                1,
+                null,
+                0,
+                null,
+                null,
+                false,
+                false,
+                true,
+                60,
+                saves ? 15 : 0,
+                saves ? 3 : 0,
+                null);
         Node.Running r = new Node.Running(saving, 0, "a" + n, 0, false);
         r.ranS = ranS;
         r.leftS = leftS;
@@ -227,9 +312,20 @@
         dear.add(onDear);
         Node cheap = new Node(T4, "a", true, "cheap", true, Set.of());
         cheap.add(old(902, 50, 100, true));
-        return Scheduler.plan(new Scheduler.Input(0, List.of(dear, cheap), List.of(waiting),
-                List.of(new Team(0, 0, 0, 0)), List.of(T4), new HashMap<>(), null, 60_000, standing))
-                .stops.stream().map(r -> r.attempt).toList();
+        return Scheduler.plan(new Scheduler.Input(
+                        0,
+                        List.of(dear, cheap),
+                        List.of(waiting),
+                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(T4),
+                        new HashMap<>(),
+                        null,
+                        60_000,
+                        standing))
+                .stops
+                .stream()
+                .map(r -> r.attempt)
+                .toList();
     }
 
     /** A node on which something was stopped for one task may be the only one that has more to stop for the next. */
@@ -242,8 +338,8 @@
             teams.get(1).usedCpus += 1;
         }
         Group g = new Group(spec(2, false, Priority.HIGH, 2, 2, false, false, false), "j", 1, 0, 2);
-        Plan plan = Scheduler.plan(new Scheduler.Input(2_000, List.of(n), List.of(g), teams, List.of(T4), new HashMap<>(), null,
-                1_000, 0));
+        Plan plan = Scheduler.plan(new Scheduler.Input(
+                2_000, List.of(n), List.of(g), teams, List.of(T4), new HashMap<>(), null, 1_000, 0));
         assertEquals(4, plan.stops.size());
         assertEquals(0, plan.unplaced);
     }
@@ -267,8 +363,16 @@
             Node other = new Node(T4, "a", true, "other", true, Set.of());
             other.add(old(902, 50, 100, false));
             for (double standing : new double[] {0, 6}) {
-                Plan plan = Scheduler.plan(new Scheduler.Input(0, List.of(idle, other), List.of(),
-                        List.of(new Team(0, 0, 0, 0)), List.of(T4), new HashMap<>(), null, 60_000, standing));
+                Plan plan = Scheduler.plan(new Scheduler.Input(
+                        0,
+                        List.of(idle, other),
+                        List.of(),
+                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(T4),
+                        new HashMap<>(),
+                        null,
+                        60_000,
+                        standing));
                 assertEquals(!spot && standing == 0 ? 1 : 0, plan.idle.size(), "spot " + spot + ", " + standing);
             }
         }
@@ -301,8 +405,10 @@
             full.put(Scheduler.pool("t4", "b", true), 1_000L);
         }
         Map<Boolean, Integer> rented = new HashMap<>();
-        Scheduler.plan(new Scheduler.Input(0, nodes, queue, List.of(new Team(0, 0, 0, 0)), List.of(T4), full, null,
-                60_000, 0)).rents.forEach(r -> rented.merge(r.spot(), r.count(), Integer::sum));
+        Scheduler.plan(new Scheduler.Input(
+                        0, nodes, queue, List.of(new Team(0, 0, 0, 0)), List.of(T4), full, null, 60_000, 0))
+                .rents
+                .forEach(r -> rented.merge(r.spot(), r.count(), Integer::sum));
         return rented;
     }
 
@@ -328,8 +434,8 @@
         for (int i = 0; i < 10; i++) {
             groups.add(new Group(spec(i, false, Priority.NORMAL, tasks, 4, true, false, false), "j" + i, i, 0, tasks));
         }
-        Plan plan = Scheduler.plan(new Scheduler.Input(0, nodes, groups, List.of(new Team(0, 0, 0, 0)), List.of(T4),
-                new HashMap<>(), null, 60_000, 0));
+        Plan plan = Scheduler.plan(new Scheduler.Input(
+                0, nodes, groups, List.of(new Team(0, 0, 0, 0)), List.of(T4), new HashMap<>(), null, 60_000, 0));
         assertEquals(Math.min(10 * tasks, machines / 10), plan.placements.size());
         assertTrue(plan.rents.stream().allMatch(r -> r.count() <= 50), "a request asks for 50 machines at most");
         return plan.steps;
@@ -354,15 +460,24 @@
         Group service = new Group(spec(1, true, Priority.HIGH, 1, 3, false, false, false), "s", 0, 0, 0);
         service.held = 1;
         Group array = new Group(spec(2, false, arrays, 4, 1, false, false, false), "a", 1, 0, 4);
-        return Scheduler.plan(new Scheduler.Input(2_000, nodes, List.of(service, array), List.of(new Team(100, 0, 0, 0)),
-                List.of(T4), new HashMap<>(), null, 1_000, 0));
+        return Scheduler.plan(new Scheduler.Input(
+                2_000,
+                nodes,
+                List.of(service, array),
+                List.of(new Team(100, 0, 0, 0)),
+                List.of(T4),
+                new HashMap<>(),
+                null,
+                1_000,
+                0));
     }
 
     /** Guards the room of services after a loss of all controllers: 562 tasks were started and stopped within 4 s. */
     @Test
     void whatACensusHoldsUpKeepsRoomFromLowerPriorities() {
         assertEquals(1, besideHeld(false, Priority.NORMAL).placements.size(), "three processors are kept");
-        assertEquals(4, besideHeld(true, Priority.NORMAL).placements.size(), "it is most likely on the unheard machine");
+        assertEquals(
+                4, besideHeld(true, Priority.NORMAL).placements.size(), "it is most likely on the unheard machine");
         assertEquals(4, besideHeld(false, Priority.HIGH).placements.size(), "equals are not stopped for it either");
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/users/TurnsTest.java
+++ b/controller/src/test/java/org/landingridge/controller/users/TurnsTest.java
@@ -62,7 +62,8 @@
         Map<String, Double> left = new LinkedHashMap<>(perS);
         while (!left.isEmpty()) {
             double even = most / left.size();
-            var least = left.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow();
+            var least =
+                    left.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow();
             double gets = Math.min(even, least.getValue());
             given.put(least.getKey(), gets);
             most -= gets;
--- a/emulator/src/main/java/org/landingridge/emulator/Cloud.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Cloud.java
@@ -36,6 +36,7 @@
         final long rentedAt;
         /** Null until it has booted. */
         private String addr;
+
         public boolean deleted;
 
         Box(String id, String zone, boolean spot) {
@@ -62,10 +63,12 @@
     public final Map<String, Integer> requests = new HashMap<>();
     /** Of spot machines, and of ordinary ones. */
     public int capacity = 20;
+
     public boolean trouble;
     public long bootMs;
     /** Share of the machines rented from now on that never come up. */
     public double neverUp;
+
     private int names;
 
     public Cloud(Loop loop, RandomGenerator random, Offer offer, Machines machines, Truth truth) {
@@ -82,8 +85,12 @@
         ArrayNode all = Json.array();
         for (Box b : boxes.values()) {
             if (!b.deleted) {
-                ObjectNode n = all.addObject().put("id", b.id).put("rig", offer.type()).put("yard", b.zone)
-                        .put("standby", b.spot).put("status", b.addr == null ? "booting" : "running")
+                ObjectNode n = all.addObject()
+                        .put("id", b.id)
+                        .put("rig", offer.type())
+                        .put("yard", b.zone)
+                        .put("standby", b.spot)
+                        .put("status", b.addr == null ? "booting" : "running")
                         .put("heldS", (loop.now() - b.rentedAt) / 1000.0);
                 if (b.addr != null) {
                     n.put("addr", b.addr);
@@ -154,8 +161,14 @@
         if (x.path().equals("/machine_types")) {
             ObjectNode n = Json.object();
             ObjectNode t = n.putArray("rigs").addObject();
-            t.put("name", offer.type()).put("cpus", offer.cpus()).put("cards", 0).put("memoryGb", offer.memoryGb())
-                    .put("localGb", 30).put("fetchGbPerS", 1).put("hourly", 1).put("spotPrice", 0.3)
+            t.put("name", offer.type())
+                    .put("cpus", offer.cpus())
+                    .put("cards", 0)
+                    .put("memoryGb", offer.memoryGb())
+                    .put("localGb", 30)
+                    .put("fetchGbPerS", 1)
+                    .put("hourly", 1)
+                    .put("spotPrice", 0.3)
                     .put("startupS", offer.bootMs() / 1000.0);
             offer.zones().forEach(t.putArray("yards")::add);
             x.answer(200, Json.bytes(n));
@@ -170,7 +183,9 @@
             boolean repeated = made != null;
             if (made == null) {
                 boolean spot = body.get("standby").booleanValue();
-                long used = boxes.values().stream().filter(b -> !b.deleted && b.spot == spot).count();
+                long used = boxes.values().stream()
+                        .filter(b -> !b.deleted && b.spot == spot)
+                        .count();
                 int count = (int) Math.min(body.get("count").intValue(), capacity - used);
                 if (count <= 0) {
                     x.answer(503, Json.bytes(Json.object().put("error", "no capacity")));
@@ -178,11 +193,15 @@
                 }
                 made = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
-                    made.add(rent(body.get("yard").textValue(), body.get("standby").booleanValue()).id);
+                    made.add(rent(
+                                    body.get("yard").textValue(),
+                                    body.get("standby").booleanValue())
+                            .id);
                 }
                 bookings.put(booking, made);
             }
-            made.forEach(id -> truth.ordered(Truth.Order.RENT, id, null, boxes.get(id).pool(), repeated));
+            made.forEach(id ->
+                    truth.ordered(Truth.Order.RENT, id, null, boxes.get(id).pool(), repeated));
             ObjectNode n = Json.object();
             made.forEach(n.putArray("boxes")::add);
             x.answer(200, Json.bytes(n));
--- a/emulator/src/main/java/org/landingridge/emulator/Loopback.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Loopback.java
@@ -57,17 +57,22 @@
         client = new HttpClient(worker.getIoThread(), loop, 64);
         state = new StateService(loop, shelf);
         truth = truthOf.apply(state);
-        Cloud cloud = new Cloud(loop, random, config.offer, new Cloud.Machines() {
-            @Override
-            public String boot(Cloud.Box box) {
-                return bootWorker(box);
-            }
+        Cloud cloud = new Cloud(
+                loop,
+                random,
+                config.offer,
+                new Cloud.Machines() {
+                    @Override
+                    public String boot(Cloud.Box box) {
+                        return bootWorker(box);
+                    }
 
-            @Override
-            public void kill(Cloud.Box box) {
-                killWorker(box);
-            }
-        }, truth);
+                    @Override
+                    public void kill(Cloud.Box box) {
+                        killWorker(box);
+                    }
+                },
+                truth);
         cloud.capacity = config.machines;
         serve(stateAddr, state);
         serve(cloudAddr, cloud);
@@ -75,16 +80,25 @@
 
     private HttpServer serve(String addr, Server server) {
         int colon = addr.lastIndexOf(':');
-        HttpServer http = new HttpServer(worker, new InetSocketAddress(HOST, Integer.parseInt(addr.substring(colon + 1))),
-                MAX_BODY, server::serve);
+        HttpServer http = new HttpServer(
+                worker,
+                new InetSocketAddress(HOST, Integer.parseInt(addr.substring(colon + 1))),
+                MAX_BODY,
+                server::serve);
         http.start();
         return http;
     }
 
     private String bootWorker(Cloud.Box box) {
         String addr = HOST + ":" + freePort();
-        Worker w = new Worker(new Worker.Config(addr, config.offer.type(), config.offer.cpus(), config.reportMs,
-                config.leaseMs, config.nodes), loop, client, random, truth, box);
+        Worker w = new Worker(
+                new Worker.Config(
+                        addr, config.offer.type(), config.offer.cpus(), config.reportMs, config.leaseMs, config.nodes),
+                loop,
+                client,
+                random,
+                truth,
+                box);
         workers.put(box.id, new Running(w, serve(addr, w)));
         LOG.info("machine {} is up{}", box.id, box.spot ? " (spot)" : "");
         return addr;
--- a/emulator/src/main/java/org/landingridge/emulator/Rules.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Rules.java
@@ -20,10 +20,12 @@
     public final Map<String, JobSpec> specs = new HashMap<>();
     /** What users were told last: accepted, done or cancelled. */
     public final Map<String, String> told = new HashMap<>();
+
     private final Map<String, Long> firstStarts = new HashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
     /** When a user was first told that the job is done or cancelled. */
     private final Map<String, Long> overAt = new HashMap<>();
+
     public final Map<String, Long> cancelledAt = new HashMap<>();
     private final Map<String, Long> acceptedAt = new HashMap<>();
     public final Set<String> cancelAsked = new HashSet<>();
@@ -31,21 +33,25 @@
     public final Map<String, String> places = new HashMap<>();
     /** The same by job, and what each team uses: looked up at each start. */
     private final Map<String, Map<String, String>> placesOf = new HashMap<>();
+
     private final Map<String, Double> used = new HashMap<>();
     /** Jobs that were submitted with a mistake. */
     public final Set<String> mistaken = new HashSet<>();
+
     private final Map<String, Double> saved = new HashMap<>();
     public final Set<String> completed = new HashSet<>();
     private final Map<String, Integer> completedOf = new HashMap<>();
     public final Map<String, Double> limits = new HashMap<>();
     /** Told of every order that arrives; null where nobody counts them. */
     public Orders orders;
+
     private final Loop loop;
     private final long cancelMs;
     /** Told of each job, by id, at the moment at which the last of its tasks completes. */
-    public Consumer<String> allCompleted = id -> { };
+    public Consumer<String> allCompleted = id -> {};
     /** Jobs that no controller may accept, with the status that each has to get; their ids are nobody else's. */
     public final Map<String, Integer> unacceptable = new HashMap<>();
+
     public int starts;
     /** Starts of tasks that had completed before: no rule forbids them, but they are work done twice. */
     public int repeats;
@@ -102,7 +108,8 @@
         if (places.containsKey(task)) {
             broke("ran_twice", task + " starts on " + machine + " while on " + places.get(task));
         }
-        if (spec.zone() != null && !spec.zone().equals(zone) || spot && !spec.spot()
+        if (spec.zone() != null && !spec.zone().equals(zone)
+                || spot && !spec.spot()
                 || spec.types() != null && !spec.types().contains(type)) {
             broke("wrong_place", task + " on " + machine);
         }
@@ -139,14 +146,17 @@
             used.merge(specs.get(id).team(), -specs.get(id).cpus(), Double::sum);
             placesOf.get(id).remove(task);
         }
-        if (done && completed.add(task) && completedOf.merge(id, 1, Integer::sum) == specs.get(id).tasks()) {
+        if (done
+                && completed.add(task)
+                && completedOf.merge(id, 1, Integer::sum) == specs.get(id).tasks()) {
             allCompleted.accept(id);
         }
     }
 
     /** True once all tasks of the job have completed. */
     public boolean allDone(String id) {
-        return specs.containsKey(id) && completedOf.getOrDefault(id, 0) == specs.get(id).tasks();
+        return specs.containsKey(id)
+                && completedOf.getOrDefault(id, 0) == specs.get(id).tasks();
     }
 
     /** All jobs that this one needs, directly or through others. */
@@ -209,7 +219,9 @@
 
     /** Of these jobs every known one about which no user has had an answer since is forgotten. */
     public void unanswered(long since, Collection<String> ids) {
-        ids.stream().filter(id -> told.containsKey(id) && answeredAt.getOrDefault(id, 0L) < since).limit(20)
+        ids.stream()
+                .filter(id -> told.containsKey(id) && answeredAt.getOrDefault(id, 0L) < since)
+                .limit(20)
                 .forEach(id -> broke("forgotten", id + " is " + told.get(id) + " and gets no answer since " + since));
     }
 
@@ -229,7 +241,10 @@
         if (due != null && asked.equals("submit") && status < 500 && status != due && status != 429) {
             broke("accepted", id + " can never run, or is malformed, and gets " + status + " instead of " + due);
         }
-        if (askedAt < overAt.getOrDefault(id, 0L) && status < 400 && !state.equals("done") && !state.equals("cancelled")) {
+        if (askedAt < overAt.getOrDefault(id, 0L)
+                && status < 400
+                && !state.equals("done")
+                && !state.equals("cancelled")) {
             return;
         }
         if (status == 404 && before != null) {
--- a/emulator/src/main/java/org/landingridge/emulator/Shelf.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Shelf.java
@@ -20,7 +20,10 @@
     /** @param file created where it is missing; a second process on the same file is refused by the store's lock */
     public Shelf(Path file) {
         // Writes of a stopped process are lost back to the last commit of the store, never half applied.
-        store = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
+        store = new MVStore.Builder()
+                .fileName(file.toString())
+                .autoCommitDisabled()
+                .open();
         values = store.openMap("values");
         versions = store.openMap("versions");
         bound = store.openMap("bound");
@@ -30,8 +33,12 @@
 
     /** Fills {@code keys} with what was kept; returns the revision. */
     long load(SortedMap<String, StateService.Entry> keys) {
-        values.forEach((key, value) -> keys.put(key, new StateService.Entry(Json.parse(value.getBytes(StandardCharsets.UTF_8)),
-                versions.get(key), bound.getOrDefault(key, 0L))));
+        values.forEach((key, value) -> keys.put(
+                key,
+                new StateService.Entry(
+                        Json.parse(value.getBytes(StandardCharsets.UTF_8)),
+                        versions.get(key),
+                        bound.getOrDefault(key, 0L))));
         return meta.getOrDefault(REVISION, 0L);
     }
 
--- a/emulator/src/main/java/org/landingridge/emulator/Sim.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Sim.java
@@ -79,9 +79,10 @@
     public long now;
     /** Null where nobody looks. */
     public Observer observer;
+
     private long order;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Server> servers = new HashMap<>();
     private final Map<String, Host> hosts = new HashMap<>();
     /** Ways that are cut, by how many cuts. */
@@ -90,6 +91,7 @@
     public boolean measured;
     /** What is sent into a cut is lost instead of held. */
     public boolean dropping;
+
     private final List<Held> held = new ArrayList<>();
     /** Hosts that can send, and to which nothing arrives. */
     public final Set<String> deaf = new HashSet<>();
@@ -169,7 +171,13 @@
             return;
         }
         Runnable go = () -> {
-            to.after(latency() + (slow.isEmpty() ? 0 : random.nextInt(slow.getOrDefault(to.name, 0L).intValue() + 1)), task);
+            to.after(
+                    latency()
+                            + (slow.isEmpty()
+                                    ? 0
+                                    : random.nextInt(
+                                            slow.getOrDefault(to.name, 0L).intValue() + 1)),
+                    task);
             double share = copied.getOrDefault(to.name, copied.getOrDefault("", 0.0));
             if (share > 0 && random.nextDouble() < share) {
                 to.after(latency() + random.nextLong(copiedWithinMs), task);
--- a/emulator/src/main/java/org/landingridge/emulator/StateService.java
+++ b/emulator/src/main/java/org/landingridge/emulator/StateService.java
@@ -20,6 +20,7 @@
 public final class StateService implements Server {
     /** An answer holds no more entries, and no more bytes, than this. */
     private static final int PAGE_ENTRIES = 1_000;
+
     private static final int PAGE_BYTES = 512 * 1024;
     private static final int LATE_MS = 2_000;
     private static final int LATEST_MS = 12_000;
@@ -59,11 +60,13 @@
     private final Map<Long, Long> lives = new HashMap<>();
     /** Open watches, with the timers that end them. */
     private final Map<Watch, Loop.Timer> watches = new LinkedHashMap<>();
+
     private final Shelf shelf;
     private long revision;
     private long nextLease;
     /** Changes up to this revision are forgotten: a watch from before it is too old. */
     private long forgotten;
+
     private boolean outage;
     /** Clients for which the service answers 503, while the others are served; their open watches wait. */
     private final Set<String> refused = new HashSet<>();
@@ -75,15 +78,18 @@
     public int tooLarge;
     /** The most requests, and puts and deletes, in any second. */
     public int mostRequests;
+
     public int mostWrites;
     /** Requests so far, by client. */
     public final Map<String, Integer> requestsOf = new HashMap<>();
+
     private int requests;
     private volatile int allRequests;
     private int writes;
     private int lastWrites;
     /** Requests, and puts and deletes, a second; 0 for no limit. Beyond them, and a second's worth of burst: 429. */
     public double rps;
+
     public double writeRps;
     public int tooMany;
     public int valueBytes = 4096;
@@ -93,10 +99,12 @@
     public int keptChanges = 10_000;
     /** Share of transactions that get no answer; whether they are carried out at once or later, after newer ones; by whose chance. */
     private double lateWrites;
+
     private boolean atOnce;
     private RandomGenerator random;
     /** Conditions on keys under these prefixes are taken to hold: to see what breaks without them. */
     public final Set<String> blindTo = new HashSet<>();
+
     private double requestsLeft;
     private double writesLeft;
     private long refilled;
@@ -251,7 +259,8 @@
             return;
         }
         for (Watch w : new ArrayList<>(watches.keySet())) {
-            if (!refused.contains(w.client) && (w.after < forgotten || !events(w.prefix, w.after).isEmpty())) {
+            if (!refused.contains(w.client)
+                    && (w.after < forgotten || !events(w.prefix, w.after).isEmpty())) {
                 watches.remove(w).cancel();
                 answer(w);
             }
@@ -398,7 +407,8 @@
         refilled = loop.now();
         requestsLeft = Math.min(rps, requestsLeft + passed * rps);
         writesLeft = Math.min(writeRps, writesLeft + passed * writeRps);
-        int changes = x.path().equals("/commit") ? Json.parse(x.body()).path("writes").size() : 0;
+        int changes =
+                x.path().equals("/commit") ? Json.parse(x.body()).path("writes").size() : 0;
         if (requestsLeft < 1 || writesLeft < changes) {
             return false;
         }
@@ -415,8 +425,8 @@
         String from = query.get("from");
         boolean more = false;
         int bytes = 0;
-        Map<String, Entry> rest = from == null || from.compareTo(prefix) < 0 ? keys.tailMap(prefix, true)
-                : keys.tailMap(from, false);
+        Map<String, Entry> rest =
+                from == null || from.compareTo(prefix) < 0 ? keys.tailMap(prefix, true) : keys.tailMap(from, false);
         for (Map.Entry<String, Entry> e : rest.entrySet()) {
             if (!e.getKey().startsWith(prefix)) {
                 break;
@@ -426,7 +436,9 @@
                 break;
             }
             bytes += e.getKey().length() + Json.bytes(e.getValue().value).length + 40;
-            entries.addObject().put("key", e.getKey()).put("stamp", e.getValue().version)
+            entries.addObject()
+                    .put("key", e.getKey())
+                    .put("stamp", e.getValue().version)
                     .set("data", e.getValue().value);
         }
         n.put("more", more).put("edition", revision);
@@ -444,7 +456,8 @@
         for (JsonNode g : body.path("guards")) {
             String key = g.get("key").textValue();
             Entry e = keys.get(key);
-            if ((e == null ? 0 : e.version) != g.get("stamp").longValue() && blindTo.stream().noneMatch(key::startsWith)) {
+            if ((e == null ? 0 : e.version) != g.get("stamp").longValue()
+                    && blindTo.stream().noneMatch(key::startsWith)) {
                 failed.add(g.get("key"));
             }
         }
@@ -470,7 +483,10 @@
             if (w.has("delete")) {
                 change(w.get("delete").textValue(), null, 0);
             } else {
-                change(w.get("write").textValue(), w.get("data"), w.has("permit") ? w.get("permit").longValue() : 0);
+                change(
+                        w.get("write").textValue(),
+                        w.get("data"),
+                        w.has("permit") ? w.get("permit").longValue() : 0);
             }
         }
         if (shelf != null) {
--- a/emulator/src/main/java/org/landingridge/emulator/Truth.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Truth.java
@@ -30,7 +30,14 @@
     void ends(String task, boolean done);
 
     /** What a controller can order. */
-    enum Order { START, STOP, CLEAR, RENT, GIVE_BACK, CALL }
+    enum Order {
+        START,
+        STOP,
+        CLEAR,
+        RENT,
+        GIVE_BACK,
+        CALL
+    }
 
     /** Whoever counts orders. */
     interface Orders {
--- a/emulator/src/main/java/org/landingridge/emulator/Worker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Worker.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
+import org.landingridge.net.Http;
 import org.landingridge.net.Http.Exchange;
 import org.landingridge.net.Loop;
-import org.landingridge.net.Http;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
@@ -88,15 +88,19 @@
 
     /** A task that runs here, or null. */
     public String running() {
-        return tasks.entrySet().stream().filter(e -> e.getValue().status.equals("running"))
-                .map(e -> e.getKey().substring(0, e.getKey().lastIndexOf('#'))).findFirst().orElse(null);
+        return tasks.entrySet().stream()
+                .filter(e -> e.getValue().status.equals("running"))
+                .map(e -> e.getKey().substring(0, e.getKey().lastIndexOf('#')))
+                .findFirst()
+                .orElse(null);
     }
 
     /** Processors that nothing on it takes. */
     public double free() {
         double free = config.cpus;
         for (Map.Entry<String, Run> e : tasks.entrySet()) {
-            JobSpec spec = e.getValue().status.equals("ended") ? null
+            JobSpec spec = e.getValue().status.equals("ended")
+                    ? null
                     : truth.spec(e.getKey().substring(0, e.getKey().lastIndexOf('/')));
             free -= spec == null ? 0 : spec.cpus();
         }
@@ -149,13 +153,21 @@
 
     private byte[] state() {
         ObjectNode n = Json.object();
-        n.put("box", box.id).put("addr", config.addr).put("rig", config.type).put("yard", box.zone).put("standby", box.spot)
-                .put("shift", session).put("tally", ++seq).put("baton", token);
+        n.put("box", box.id)
+                .put("addr", config.addr)
+                .put("rig", config.type)
+                .put("yard", box.zone)
+                .put("standby", box.spot)
+                .put("shift", session)
+                .put("tally", ++seq)
+                .put("baton", token);
         ArrayNode list = n.putArray("takes");
         tasks.forEach((name, run) -> {
             int hash = name.lastIndexOf('#');
-            ObjectNode t = list.addObject().put("take", name.substring(0, hash))
-                    .put("try", Long.parseLong(name.substring(hash + 1))).put("status", run.status);
+            ObjectNode t = list.addObject()
+                    .put("take", name.substring(0, hash))
+                    .put("try", Long.parseLong(name.substring(hash + 1)))
+                    .put("status", run.status);
             if (run.why != null) {
                 t.put("cause", run.why);
             }
@@ -233,7 +245,8 @@
                 }
                 case "halt" -> {
                     Run run = tasks.get(name);
-                    truth.ordered(Truth.Order.STOP, box.id, name, box.pool(), run == null || run.status.equals("ended"));
+                    truth.ordered(
+                            Truth.Order.STOP, box.id, name, box.pool(), run == null || run.status.equals("ended"));
                     if (run != null && !run.status.equals("ended")) {
                         save(name, run, c.path("wrapupS").doubleValue());
                         over(name, run, "halted");
@@ -262,7 +275,8 @@
         double cpus = 0;
         for (Map.Entry<String, Run> e : tasks.entrySet()) {
             if (!e.getValue().status.equals("ended")) {
-                cpus += truth.spec(e.getKey().substring(0, e.getKey().lastIndexOf('/'))).cpus();
+                cpus += truth.spec(e.getKey().substring(0, e.getKey().lastIndexOf('/')))
+                        .cpus();
                 if (e.getKey().startsWith(task + "#")) {
                     run.why = "busy";
                 }
@@ -287,7 +301,8 @@
                 later(name, run, life, 200, () -> over(name, run, "error"));
             } else if (!spec.service()) {
                 run.began = loop.now() - Math.round(truth.saved(task) * 1000);
-                long takes = truth.completed(task) ? 10
+                long takes = truth.completed(task)
+                        ? 10
                         : Math.max(10, Math.round(spec.estimateS() * 1000) - (loop.now() - run.began));
                 later(name, run, life, takes, () -> over(name, run, "done"));
             }
--- a/emulator/src/test/java/org/landingridge/emulator/ShelfTest.java
+++ b/emulator/src/test/java/org/landingridge/emulator/ShelfTest.java
@@ -17,8 +17,14 @@
         JsonNode[] answer = new JsonNode[1];
         Sim.Host host = sim.host("client");
         sim.listen("state", sim.host("state"), state);
-        sim.client(host).call("state", method, path, body == null ? null : body.getBytes(StandardCharsets.UTF_8), 1_000,
-                reply -> answer[0] = Json.parse(reply.body()));
+        sim.client(host)
+                .call(
+                        "state",
+                        method,
+                        path,
+                        body == null ? null : body.getBytes(StandardCharsets.UTF_8),
+                        1_000,
+                        reply -> answer[0] = Json.parse(reply.body()));
         sim.run(sim.now + 100);
         return answer[0];
     }
@@ -29,7 +35,9 @@
         Sim.Host first = sim.host("s");
         try (Shelf shelf = new Shelf(dir.resolve("state.mv"))) {
             StateService state = new StateService(first, shelf);
-            long lease = call(state, "POST", "/holds", "{\"lifeMs\":3000}").get("permit").longValue();
+            long lease = call(state, "POST", "/holds", "{\"lifeMs\":3000}")
+                    .get("permit")
+                    .longValue();
             call(state, "POST", "/commit", "{\"writes\":[{\"write\":\"a\",\"data\":{\"n\":1}}]}");
             call(state, "POST", "/commit", "{\"writes\":[{\"write\":\"b\",\"data\":{},\"permit\":" + lease + "}]}");
             call(state, "POST", "/commit", "{\"writes\":[{\"write\":\"c\",\"data\":{}}]}");
@@ -45,8 +53,11 @@
             assertEquals(2, call(state, "GET", "/store/b", null).get("stamp").longValue());
             sim.run(sim.now + 4_000);
             assertNull(state.value("b"));
-            assertEquals(6, call(state, "POST", "/commit", "{\"writes\":[{\"write\":\"d\",\"data\":{}}]}")
-                    .get("edition").longValue());
+            assertEquals(
+                    6,
+                    call(state, "POST", "/commit", "{\"writes\":[{\"write\":\"d\",\"data\":{}}]}")
+                            .get("edition")
+                            .longValue());
         }
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/CapacityCommand.java
+++ b/experiment/src/main/java/org/landingridge/experiment/CapacityCommand.java
@@ -19,7 +19,9 @@
  * Plays the real core at several sizes along one axis at a time, in simulated time, fits a straight line through what each cost, and
  * holds it against a size that was left out of the fit.
  */
-@Command(name = "capacity", mixinStandardHelpOptions = true,
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
         description = "Measure what each size costs the leader and the state service, along one axis at a time.")
 public final class CapacityCommand implements Callable<Integer> {
     private static final int DURATION_S = 90;
@@ -29,7 +31,10 @@
     @Option(names = "--seed", defaultValue = "1", description = "of all plays")
     private long seed;
 
-    @Option(names = "--scale", defaultValue = "1", description = "all numbers of workers, starts and ended jobs are divided by it")
+    @Option(
+            names = "--scale",
+            defaultValue = "1",
+            description = "all numbers of workers, starts and ended jobs are divided by it")
     private int scale;
 
     /** A size to be played. */
@@ -89,8 +94,9 @@
 
     /** What a play cost. */
     enum Figure {
-        LEADER_MS("leader's processor, ms a second", o -> o.busyMs().values().stream().mapToLong(Long::longValue).sum()
-                / (double) DURATION_S),
+        LEADER_MS(
+                "leader's processor, ms a second",
+                o -> o.busyMs().values().stream().mapToLong(Long::longValue).sum() / (double) DURATION_S),
         LEADER_MB("leader's heap, MB", o -> o.leaderKb() / 1024.0),
         REQUESTS("state service, requests a second", o -> o.requests() / (double) DURATION_S),
         MOST_CHANGES("state service, changes in the busiest second", Play.Outcome::mostWrites);
@@ -130,12 +136,44 @@
         for (int i = 0; i < size.teams; i++) {
             String team = "team-" + i;
             teams.put(team, new Settings.Team(team, workers * CPUS_A_WORKER / size.teams, 0, 0, 0));
-            arrivals.add(new Experiment.Arrivals("batch", team, false, TASKS_A_JOB, TASKS_A_JOB, CPUS_A_WORKER / size.tasksAWorker,
-                    size.runS(), jobsAMinute, 0, 2, DURATION_S, Priority.NORMAL, 0, 0, 0, Experiment.Placing.ANYWHERE));
+            arrivals.add(new Experiment.Arrivals(
+                    "batch",
+                    team,
+                    false,
+                    TASKS_A_JOB,
+                    TASKS_A_JOB,
+                    CPUS_A_WORKER / size.tasksAWorker,
+                    size.runS(),
+                    jobsAMinute,
+                    0,
+                    2,
+                    DURATION_S,
+                    Priority.NORMAL,
+                    0,
+                    0,
+                    0,
+                    Experiment.Placing.ANYWHERE));
         }
         Settings.State state = new Settings.State(500, 40, 4, 8);
-        return new Experiment(axis + " " + value, List.of(seed), DURATION_S, size.controllers, workers, workers, 25, 5, 26.5, 45,
-                state, state, size.ended / scale, HistoryProbe.Form.SEGMENTS, teams, arrivals, List.of(), List.of(),
+        return new Experiment(
+                axis + " " + value,
+                List.of(seed),
+                DURATION_S,
+                size.controllers,
+                workers,
+                workers,
+                25,
+                5,
+                26.5,
+                45,
+                state,
+                state,
+                size.ended / scale,
+                HistoryProbe.Form.SEGMENTS,
+                teams,
+                arrivals,
+                List.of(),
+                List.of(),
                 new Experiment.Meetings(0, 0, 0, List.of()));
     }
 
@@ -148,7 +186,9 @@
         out.println(" intercept | slope | largest residual | predicted for the last |");
         out.println("| --- |" + " --- |".repeat(axis.values.length + 4));
         for (Figure figure : Figure.values()) {
-            double[] measured = IntStream.range(0, outcomes.length).mapToDouble(i -> figure.of.applyAsDouble(outcomes[i])).toArray();
+            double[] measured = IntStream.range(0, outcomes.length)
+                    .mapToDouble(i -> figure.of.applyAsDouble(outcomes[i]))
+                    .toArray();
             row(out, figure.title, axis.values, measured);
         }
         TreeSet<String> parts = new TreeSet<>();
@@ -172,17 +212,27 @@
         }
         int last = values.length - 1;
         double predicted = line.at(values[last]);
-        String error = measured[last] == 0 ? "-" : String.format(Locale.ROOT, "%+.0f%%", 100 * (predicted / measured[last] - 1));
-        out.printf(Locale.ROOT, " %.2f | %.3g | %.2f | %.2f (%s) |%n", line.intercept, line.slope, line.largestResidual(values, measured, last),
-                predicted, error);
+        String error = measured[last] == 0
+                ? "-"
+                : String.format(Locale.ROOT, "%+.0f%%", 100 * (predicted / measured[last] - 1));
+        out.printf(
+                Locale.ROOT,
+                " %.2f | %.3g | %.2f | %.2f (%s) |%n",
+                line.intercept,
+                line.slope,
+                line.largestResidual(values, measured, last),
+                predicted,
+                error);
     }
 
     /** A straight line by least squares. */
     record Line(double intercept, double slope) {
         /** @param count so many of the first points count */
         static Line through(int[] x, double[] y, int count) {
-            double meanX = IntStream.range(0, count).mapToDouble(i -> x[i]).average().orElse(0);
-            double meanY = IntStream.range(0, count).mapToDouble(i -> y[i]).average().orElse(0);
+            double meanX =
+                    IntStream.range(0, count).mapToDouble(i -> x[i]).average().orElse(0);
+            double meanY =
+                    IntStream.range(0, count).mapToDouble(i -> y[i]).average().orElse(0);
             double covariance = 0;
             double variance = 0;
             for (int i = 0; i < count; i++) {
@@ -198,7 +248,10 @@
         }
 
         double largestResidual(int[] x, double[] y, int count) {
-            return IntStream.range(0, count).mapToDouble(i -> Math.abs(y[i] - at(x[i]))).max().orElse(0);
+            return IntStream.range(0, count)
+                    .mapToDouble(i -> Math.abs(y[i] - at(x[i])))
+                    .max()
+                    .orElse(0);
         }
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/Experiment.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Experiment.java
@@ -26,25 +26,69 @@
  * @param next  the state service's limits after the fault {@code limits_fall}, which upgraded controllers are told of
  * @param ended jobs that ended before, in segments or with a key each
  */
-public record Experiment(String name, List<Long> seeds, int durationS, int controllers, int machines, int up,
-        double bootS, double reportS, double leaseS, double cancelS, Settings.State state, Settings.State next, int ended,
-        HistoryProbe.Form form, Map<String, Settings.Team> teams, List<Arrivals> arrivals, List<Pipelines> pipelines,
-        List<Fault> faults, Meetings meetings) {
+public record Experiment(
+        String name,
+        List<Long> seeds,
+        int durationS,
+        int controllers,
+        int machines,
+        int up,
+        double bootS,
+        double reportS,
+        double leaseS,
+        double cancelS,
+        Settings.State state,
+        Settings.State next,
+        int ended,
+        HistoryProbe.Form form,
+        Map<String, Settings.Team> teams,
+        List<Arrivals> arrivals,
+        List<Pipelines> pipelines,
+        List<Fault> faults,
+        Meetings meetings) {
 
     /** A class of jobs: so many at the start, and then by chance so many a minute. */
-    public record Arrivals(String jobClass, String team, boolean service, int tasksMin, int tasksMax, double cpus,
-            double runS, double perMinute, int initial, double fromS, double untilS, Priority priority, double checkpointS,
-            double mistaken, double cancelled, Placing placing) {}
+    public record Arrivals(
+            String jobClass,
+            String team,
+            boolean service,
+            int tasksMin,
+            int tasksMax,
+            double cpus,
+            double runS,
+            double perMinute,
+            int initial,
+            double fromS,
+            double untilS,
+            Priority priority,
+            double checkpointS,
+            double mistaken,
+            double cancelled,
+            Placing placing) {}
 
     /** Pipelines that come by chance, so many a minute; of a share of them the user calls off one job. */
-    public record Pipelines(String team, double perMinute, double fromS, double untilS, double cancelled, List<Stage> stages) {}
+    public record Pipelines(
+            String team, double perMinute, double fromS, double untilS, double cancelled, List<Stage> stages) {}
 
     /** Between so many jobs of one class, each of which awaits every job of the stages that it needs. */
-    public record Stage(String jobClass, int jobsMin, int jobsMax, int tasksMin, int tasksMax, double cpus, double runS,
-            Priority priority, List<Integer> needs) {}
+    public record Stage(
+            String jobClass,
+            int jobsMin,
+            int jobsMax,
+            int tasksMin,
+            int tasksMax,
+            double cpus,
+            double runS,
+            Priority priority,
+            List<Integer> needs) {}
 
     /** How the tasks of a class's jobs are bound to zones. */
-    public enum Placing { ANYWHERE, ONE_ZONE, SCATTER, ZONE_A }
+    public enum Placing {
+        ANYWHERE,
+        ONE_ZONE,
+        SCATTER,
+        ZONE_A
+    }
 
     /**
      * Troubles that meet: so many times between two moments, two or three of these kinds within some seconds, drawn anew for
@@ -55,12 +99,42 @@
     /** Something that goes wrong. */
     public record Fault(double atS, Kind kind, double forS, int count, double share) {
         public enum Kind {
-            CRASH_LEADER, CRASH_ALL, STATE_OUTAGE, CUT_LEADER_STATE, CUT_LEADER_WORKERS, HANG_MACHINES, LOSE_MACHINES, LOSE_ZONE,
+            CRASH_LEADER,
+            CRASH_ALL,
+            STATE_OUTAGE,
+            CUT_LEADER_STATE,
+            CUT_LEADER_WORKERS,
+            HANG_MACHINES,
+            LOSE_MACHINES,
+            LOSE_ZONE,
             CUT_ZONE,
-            LOST_ANSWERS, FREEZE_LEADER, FREEZE_ALL, REFUSE_LEADER_STATE, CUT_LEADER_PEERS, RESTART_MACHINES, BOOT_TROUBLE,
-            POLL_STORM, COPIES, LATE_WRITES, LATE_REPORTS, DEAF_MACHINES, CUT_LEADER_STATE_PEERS, CRASH_OTHER, HOLD_ORDERS,
-            REFUSE_OTHER_STATE, UNANSWERED_WRITES, KEPT_REPORTS, MUTE_MACHINES, CANCEL_NOW, CANCEL_AND_HANG, CANCEL_AT_END,
-            ODD_REQUESTS, CLOSE_LOOKS, HAND_OVERS, UPGRADE, LIMITS_FALL
+            LOST_ANSWERS,
+            FREEZE_LEADER,
+            FREEZE_ALL,
+            REFUSE_LEADER_STATE,
+            CUT_LEADER_PEERS,
+            RESTART_MACHINES,
+            BOOT_TROUBLE,
+            POLL_STORM,
+            COPIES,
+            LATE_WRITES,
+            LATE_REPORTS,
+            DEAF_MACHINES,
+            CUT_LEADER_STATE_PEERS,
+            CRASH_OTHER,
+            HOLD_ORDERS,
+            REFUSE_OTHER_STATE,
+            UNANSWERED_WRITES,
+            KEPT_REPORTS,
+            MUTE_MACHINES,
+            CANCEL_NOW,
+            CANCEL_AND_HANG,
+            CANCEL_AT_END,
+            ODD_REQUESTS,
+            CLOSE_LOOKS,
+            HAND_OVERS,
+            UPGRADE,
+            LIMITS_FALL
         }
     }
 
@@ -70,12 +144,15 @@
         try {
             n = new TomlMapper().readTree(Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read as TOML: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new BadSettings(file + ": cannot be read as TOML: "
+                    + e.getMessage().lines().findFirst().orElse(""));
         }
         try (InputStream in = Experiment.class.getResourceAsStream("experiment.schema.json")) {
             String errors = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                     .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8))
-                    .validate(n.toString(), InputFormat.JSON).stream().map(Object::toString)
+                    .validate(n.toString(), InputFormat.JSON)
+                    .stream()
+                    .map(Object::toString)
                     .collect(Collectors.joining("; "));
             if (!errors.isEmpty()) {
                 throw new BadSettings(file + ": " + errors);
@@ -90,7 +167,14 @@
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         for (JsonNode t : n.path("teams")) {
             String name = t.get("name").textValue();
-            if (teams.put(name, new Settings.Team(name, t.get("cpus").doubleValue(), t.path("cpus_max").asDouble(0), 0, 0))
+            if (teams.put(
+                            name,
+                            new Settings.Team(
+                                    name,
+                                    t.get("cpus").doubleValue(),
+                                    t.path("cpus_max").asDouble(0),
+                                    0,
+                                    0))
                     != null) {
                 throw new BadSettings(file + ": teams: " + name + " is there twice, expected one of each name");
             }
@@ -99,14 +183,24 @@
         int number = 0;
         for (JsonNode a : n.path("arrivals")) {
             String at = file + ": arrivals[" + number++ + "]";
-            Arrivals made = new Arrivals(a.get("class").textValue(), a.get("team").textValue(),
-                    a.path("service").asBoolean(false), a.path("tasks_min").asInt(1),
-                    a.path("tasks_max").asInt(Math.max(1, a.path("tasks_min").asInt(1))), a.path("cpus").asDouble(1),
-                    a.path("run_s").asDouble(10), a.path("per_minute").asDouble(0), a.path("initial").asInt(0),
-                    a.path("from_s").asDouble(0), a.path("until_s").asDouble(Double.MAX_VALUE),
-                    a.has("priority") ? Priority.of(a.get("priority").textValue())
+            Arrivals made = new Arrivals(
+                    a.get("class").textValue(),
+                    a.get("team").textValue(),
+                    a.path("service").asBoolean(false),
+                    a.path("tasks_min").asInt(1),
+                    a.path("tasks_max").asInt(Math.max(1, a.path("tasks_min").asInt(1))),
+                    a.path("cpus").asDouble(1),
+                    a.path("run_s").asDouble(10),
+                    a.path("per_minute").asDouble(0),
+                    a.path("initial").asInt(0),
+                    a.path("from_s").asDouble(0),
+                    a.path("until_s").asDouble(Double.MAX_VALUE),
+                    a.has("priority")
+                            ? Priority.of(a.get("priority").textValue())
                             : a.path("service").asBoolean(false) ? Priority.HIGH : Priority.NORMAL,
-                    a.path("checkpoint_s").asDouble(0), a.path("mistaken").asDouble(0), a.path("cancelled").asDouble(0),
+                    a.path("checkpoint_s").asDouble(0),
+                    a.path("mistaken").asDouble(0),
+                    a.path("cancelled").asDouble(0),
                     Placing.valueOf(a.path("placing").asText("anywhere").toUpperCase(java.util.Locale.ROOT)));
             if (!teams.containsKey(made.team)) {
                 throw new BadSettings(at + ".team: expected a team of this file, got " + made.team);
@@ -122,14 +216,20 @@
         }
         List<Fault> faults = new ArrayList<>();
         for (JsonNode f : n.path("faults")) {
-            faults.add(new Fault(f.get("at_s").doubleValue(),
+            faults.add(new Fault(
+                    f.get("at_s").doubleValue(),
                     kind(f.get("kind")),
-                    f.path("for_s").asDouble(3), f.path("count").asInt(1), f.path("share").asDouble(0.2)));
+                    f.path("for_s").asDouble(3),
+                    f.path("count").asInt(1),
+                    f.path("share").asDouble(0.2)));
         }
         JsonNode m = n.path("meetings");
         List<Fault.Kind> kinds = new ArrayList<>();
         m.path("kinds").forEach(k -> kinds.add(kind(k)));
-        Meetings meetings = new Meetings(m.path("count").asInt(0), m.path("from_s").asDouble(0), m.path("until_s").asDouble(0),
+        Meetings meetings = new Meetings(
+                m.path("count").asInt(0),
+                m.path("from_s").asDouble(0),
+                m.path("until_s").asDouble(0),
                 kinds);
         if (meetings.count > 0 && meetings.untilS <= meetings.fromS) {
             throw new BadSettings(file + ": meetings.until_s: expected more than from_s, " + meetings.fromS);
@@ -144,22 +244,42 @@
         }
         List<Long> seeds = new ArrayList<>();
         n.get("seeds").forEach(x -> seeds.add(x.longValue()));
-        return new Experiment(n.get("name").textValue(), seeds, n.get("duration_s").intValue(),
-                c.path("controllers").asInt(3), machines, up, c.path("boot_s").asDouble(3), c.path("report_s").asDouble(1),
-                c.path("lease_s").asDouble(8), c.path("cancel_s").asDouble(World.CANCEL_MS / 1000.0),
-                state, limits(s.path("next"), state), n.path("history").path("ended").asInt(0),
-                n.path("history").path("form").asText("segments").equals("keys") ? HistoryProbe.Form.KEYS
-                        : HistoryProbe.Form.SEGMENTS, teams, arrivals, pipelines, faults, meetings);
+        return new Experiment(
+                n.get("name").textValue(),
+                seeds,
+                n.get("duration_s").intValue(),
+                c.path("controllers").asInt(3),
+                machines,
+                up,
+                c.path("boot_s").asDouble(3),
+                c.path("report_s").asDouble(1),
+                c.path("lease_s").asDouble(8),
+                c.path("cancel_s").asDouble(World.CANCEL_MS / 1000.0),
+                state,
+                limits(s.path("next"), state),
+                n.path("history").path("ended").asInt(0),
+                n.path("history").path("form").asText("segments").equals("keys")
+                        ? HistoryProbe.Form.KEYS
+                        : HistoryProbe.Form.SEGMENTS,
+                teams,
+                arrivals,
+                pipelines,
+                faults,
+                meetings);
     }
 
     private static Settings.State limits(JsonNode s, Settings.State otherwise) {
-        return new Settings.State(s.path("rps").asDouble(otherwise.rps()), s.path("write_rps").asDouble(otherwise.writeRps()),
-                s.path("value_kb").asDouble(otherwise.valueKb()), s.path("txn_ops").asInt(otherwise.txnOps()));
+        return new Settings.State(
+                s.path("rps").asDouble(otherwise.rps()),
+                s.path("write_rps").asDouble(otherwise.writeRps()),
+                s.path("value_kb").asDouble(otherwise.valueKb()),
+                s.path("txn_ops").asInt(otherwise.txnOps()));
     }
 
     private static Pipelines pipelines(String at, JsonNode p, Map<String, Settings.Team> teams) throws BadSettings {
         if (!teams.containsKey(p.get("team").textValue())) {
-            throw new BadSettings(at + ".team: expected a team of this file, got " + p.get("team").textValue());
+            throw new BadSettings(at + ".team: expected a team of this file, got "
+                    + p.get("team").textValue());
         }
         List<Stage> stages = new ArrayList<>();
         for (JsonNode s : p.get("stages")) {
@@ -172,12 +292,24 @@
             }
             int jobs = s.path("jobs_min").asInt(1);
             int tasks = s.path("tasks_min").asInt(1);
-            stages.add(new Stage(s.get("class").textValue(), jobs, Math.max(jobs, s.path("jobs_max").asInt(jobs)), tasks,
-                    Math.max(tasks, s.path("tasks_max").asInt(tasks)), s.path("cpus").asDouble(1), s.path("run_s").asDouble(10),
-                    Priority.of(s.path("priority").asText("normal")), needs));
+            stages.add(new Stage(
+                    s.get("class").textValue(),
+                    jobs,
+                    Math.max(jobs, s.path("jobs_max").asInt(jobs)),
+                    tasks,
+                    Math.max(tasks, s.path("tasks_max").asInt(tasks)),
+                    s.path("cpus").asDouble(1),
+                    s.path("run_s").asDouble(10),
+                    Priority.of(s.path("priority").asText("normal")),
+                    needs));
         }
-        return new Pipelines(p.get("team").textValue(), p.path("per_minute").asDouble(1), p.path("from_s").asDouble(0),
-                p.path("until_s").asDouble(Double.MAX_VALUE), p.path("cancelled").asDouble(0), stages);
+        return new Pipelines(
+                p.get("team").textValue(),
+                p.path("per_minute").asDouble(1),
+                p.path("from_s").asDouble(0),
+                p.path("until_s").asDouble(Double.MAX_VALUE),
+                p.path("cancelled").asDouble(0),
+                stages);
     }
 
     private static Fault.Kind kind(JsonNode name) {
--- a/experiment/src/main/java/org/landingridge/experiment/HistoryProbe.java
+++ b/experiment/src/main/java/org/landingridge/experiment/HistoryProbe.java
@@ -28,7 +28,10 @@
  */
 public final class HistoryProbe {
     /** KEYS: a key for each ended job, as versions before 0.2 left them. SEGMENTS: all moved into the history. */
-    public enum Form { KEYS, SEGMENTS }
+    public enum Form {
+        KEYS,
+        SEGMENTS
+    }
 
     /**
      * One measurement.
@@ -42,28 +45,52 @@
 
     private static final Duration PATIENCE = Duration.ofSeconds(5);
     private static final int FIRST = 100_000;
-    private final HttpClient http = HttpClient.newBuilder().connectTimeout(PATIENCE).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().connectTimeout(PATIENCE).build();
 
     /** @param limitS how long the controller has to become ready */
     public Result measure(Path jar, Form form, int ended, int limitS) throws IOException, InterruptedException {
         StateService[] state = new StateService[1];
         String serve = "127.0.0.1:" + Loopback.freePort();
         Path settings = Files.createTempFile("probe", ".toml");
-        try (Loopback loopback = new Loopback(new Loopback.Config(new Cloud.Offer("t4", 4, 8, List.of("a"), 1_000, 1_000),
-                1, List.of(new Worker.Node("rig-0", serve)), 1_000, 10_000), null, s -> {
+        try (Loopback loopback = new Loopback(
+                new Loopback.Config(
+                        new Cloud.Offer("t4", 4, 8, List.of("a"), 1_000, 1_000),
+                        1,
+                        List.of(new Worker.Node("rig-0", serve)),
+                        1_000,
+                        10_000),
+                null,
+                s -> {
                     state[0] = s;
                     seed(s, form, ended);
                     return new StoredTruth(s);
                 })) {
-            Files.writeString(settings, String.format(SETTINGS, serve, Loopback.freePort(), loopback.cloud(),
-                    loopback.state()), StandardCharsets.UTF_8);
+            Files.writeString(
+                    settings,
+                    String.format(SETTINGS, serve, Loopback.freePort(), loopback.cloud(), loopback.state()),
+                    StandardCharsets.UTF_8);
             long began = System.nanoTime();
             // The class-data archive beside the jar, as in deploy/service.toml; without one this says nothing.
             String archive = jar.toString().replaceAll("\\.jar$", ".jsa");
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-Xmx64m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData",
-                    "-XX:SharedArchiveFile=" + archive, "-Xshare:auto", "-Xlog:disable", "-jar", jar.toString(), "--config",
-                    settings.toString()).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            Process process = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-Xmx64m",
+                            "-Xss256k",
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-XX:-UsePerfData",
+                            "-XX:SharedArchiveFile=" + archive,
+                            "-Xshare:auto",
+                            "-Xlog:disable",
+                            "-jar",
+                            jar.toString(),
+                            "--config",
+                            settings.toString())
+                    .redirectErrorStream(true)
+                    .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                    .start();
             try {
                 return watch(process, loopback, state[0], form, ended, serve, began, limitS);
             } finally {
@@ -74,8 +101,16 @@
         }
     }
 
-    private Result watch(Process process, Loopback loopback, StateService state, Form form, int ended, String serve,
-            long began, int limitS) throws InterruptedException {
+    private Result watch(
+            Process process,
+            Loopback loopback,
+            StateService state,
+            Form form,
+            int ended,
+            String serve,
+            long began,
+            int limitS)
+            throws InterruptedException {
         long readyMs = -1;
         AtomicInteger requests = new AtomicInteger();
         List<String> failed = new ArrayList<>();
@@ -93,10 +128,29 @@
         } else {
             expect(failed, "a new job", 201, "queued", ask("POST", serve, "/api/jobs", job(FIRST + ended + 7)));
             expect(failed, "an old job", 200, "done", ask("GET", serve, "/api/jobs/" + World.id(FIRST + 1), null));
-            expect(failed, "an old job's retry", 200, "done", ask("POST", serve, "/api/jobs", job(FIRST + ended / 7 * 7 - 1)));
-            expect(failed, "an old cancelled job", 200, "cancelled", ask("GET", serve, "/api/jobs/" + World.id(FIRST), null));
-            expect(failed, "nobody's job", 404, null, ask("GET", serve, "/api/jobs/" + World.id(FIRST + ended + 9), null));
-            expect(failed, "a cancellation", 200, "cancelled",
+            expect(
+                    failed,
+                    "an old job's retry",
+                    200,
+                    "done",
+                    ask("POST", serve, "/api/jobs", job(FIRST + ended / 7 * 7 - 1)));
+            expect(
+                    failed,
+                    "an old cancelled job",
+                    200,
+                    "cancelled",
+                    ask("GET", serve, "/api/jobs/" + World.id(FIRST), null));
+            expect(
+                    failed,
+                    "nobody's job",
+                    404,
+                    null,
+                    ask("GET", serve, "/api/jobs/" + World.id(FIRST + ended + 9), null));
+            expect(
+                    failed,
+                    "a cancellation",
+                    200,
+                    "cancelled",
                     ask("POST", serve, "/api/jobs/" + World.id(FIRST + ended + 7) + "/cancel", ""));
         }
         return new Result(form, ended, readyMs, requests.get(), peakKb(process), failed);
@@ -115,7 +169,8 @@
     }
 
     private static String job(int number) {
-        return "{\"id\":\"" + World.id(number) + "\",\"lane\":\"l\",\"crew\":\"local\",\"shape\":\"sweep\",\"urgency\":\"normal\","
+        return "{\"id\":\"" + World.id(number)
+                + "\",\"lane\":\"l\",\"crew\":\"local\",\"shape\":\"sweep\",\"urgency\":\"normal\","
                 + "\"takes\":3,\"cpus\":1.0,\"memoryGb\":1.0,\"reel\":\"i\",\"sizeGb\":0.1,\"runtimeS\":600.0}";
     }
 
@@ -123,9 +178,16 @@
 
     private Reply ask(String method, String server, String path, String body) throws InterruptedException {
         try {
-            HttpResponse<byte[]> r = http.send(HttpRequest.newBuilder(URI.create("http://" + server + path)).timeout(PATIENCE)
-                    .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                            : HttpRequest.BodyPublishers.ofString(body)).build(), HttpResponse.BodyHandlers.ofByteArray());
+            HttpResponse<byte[]> r = http.send(
+                    HttpRequest.newBuilder(URI.create("http://" + server + path))
+                            .timeout(PATIENCE)
+                            .method(
+                                    method,
+                                    body == null
+                                            ? HttpRequest.BodyPublishers.noBody()
+                                            : HttpRequest.BodyPublishers.ofString(body))
+                            .build(),
+                    HttpResponse.BodyHandlers.ofByteArray());
             return new Reply(r.statusCode(), Json.parse(r.body()));
         } catch (IOException e) {
             return new Reply(0, null);
@@ -142,8 +204,10 @@
     /** The kernel's high-water mark of the process, 0 where there is none to read. */
     private static long peakKb(Process process) {
         try (Stream<String> lines = Files.lines(Path.of("/proc", "" + process.pid(), "status"))) {
-            return lines.filter(l -> l.startsWith("VmHWM:")).mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
-                    .findFirst().orElse(0);
+            return lines.filter(l -> l.startsWith("VmHWM:"))
+                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException e) {
             return 0;
         }
--- a/experiment/src/main/java/org/landingridge/experiment/OrderBook.java
+++ b/experiment/src/main/java/org/landingridge/experiment/OrderBook.java
@@ -51,6 +51,7 @@
     private final Predicate<String> alive;
     /** True for a job that its user has cancelled. */
     private final Predicate<String> cancelled;
+
     private final Map<Order, Line> lines = new EnumMap<>(Order.class);
     private final Map<String, Long> started = new HashMap<>();
     private final Set<String> unused = new HashSet<>();
@@ -80,7 +81,9 @@
             }
             case STOP -> {
                 Long at = started.remove(attempt);
-                if (at != null && now - at < STOPPED_MS && !cancelled.test(attempt.substring(0, attempt.indexOf('/')))) {
+                if (at != null
+                        && now - at < STOPPED_MS
+                        && !cancelled.test(attempt.substring(0, attempt.indexOf('/')))) {
                     lines.get(Order.START).needless++;
                 }
             }
@@ -102,7 +105,7 @@
                     back.computeIfAbsent(pool, p -> new ArrayDeque<>()).addLast(now);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/experiment/src/main/java/org/landingridge/experiment/Play.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Play.java
@@ -12,7 +12,6 @@
 import org.landingridge.emulator.Truth;
 import org.landingridge.emulator.Worker;
 import org.landingridge.wire.JobSpec;
-import org.landingridge.wire.Priority;
 
 /** Plays an experiment once, with one seed, and notes what happened. */
 final class Play {
@@ -24,15 +23,31 @@
      *
      * @param busyMs milliseconds of this machine's processor that all leaders' threads spent, by part
      */
-    record Outcome(long seed, List<String> broken, int submitted, int done, int cancelled, int repeats, int refused,
-            List<Sample> samples, List<Recovery.Result> recoveries, Map<Truth.Order, OrderBook.Count> orders,
-            List<World.Told> events, Admissions.Result admissions, List<Served.Figure> served, Map<String, Long> busyMs,
-            int requests, int mostWrites, long leaderKb, double tookS) {}
+    record Outcome(
+            long seed,
+            List<String> broken,
+            int submitted,
+            int done,
+            int cancelled,
+            int repeats,
+            int refused,
+            List<Sample> samples,
+            List<Recovery.Result> recoveries,
+            Map<Truth.Order, OrderBook.Count> orders,
+            List<World.Told> events,
+            Admissions.Result admissions,
+            List<Served.Figure> served,
+            Map<String, Long> busyMs,
+            int requests,
+            int mostWrites,
+            long leaderKb,
+            double tookS) {}
 
     private static final int FIRST = 100_000;
     private static final int LAST_POLL_S = 15;
     /** After the last trouble the world has so long to calm down before it is judged whether anybody waits beside free room. */
     private static final int CALM_S = 2;
+
     private static final int HAND_OVER_EVERY_MS = 4_500;
     private static final int UPGRADE_EVERY_MS = 10_000;
     private final Experiment plan;
@@ -47,6 +62,7 @@
     private final Map<Object, Map<String, Long>> busyOf = new LinkedHashMap<>();
     /** Of all jobs of the play, in the order of their making. */
     private final List<String> ids = new ArrayList<>();
+
     private int number;
     private int submitted;
     private int requestsBefore;
@@ -54,12 +70,21 @@
     private Play(Experiment plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
-        world = new World(new World.Setup(seed, plan.controllers(), plan.machines(), Math.round(plan.bootS() * 1000),
-                Math.round(plan.reportS() * 1000), Math.round(plan.leaseS() * 1000), Math.round(plan.cancelS() * 1000),
-                plan.teams(), plan.state()));
+        world = new World(new World.Setup(
+                seed,
+                plan.controllers(),
+                plan.machines(),
+                Math.round(plan.bootS() * 1000),
+                Math.round(plan.reportS() * 1000),
+                Math.round(plan.leaseS() * 1000),
+                Math.round(plan.cancelS() * 1000),
+                plan.teams(),
+                plan.state()));
         world.sim.measured = true;
-        orders = new OrderBook(() -> world.sim.now, id -> world.workers.stream().anyMatch(w -> w.box().id.equals(id)
-                && !w.hangs()), world.rules.cancelAsked::contains);
+        orders = new OrderBook(
+                () -> world.sim.now,
+                id -> world.workers.stream().anyMatch(w -> w.box().id.equals(id) && !w.hangs()),
+                world.rules.cancelAsked::contains);
         world.rules.orders = orders;
         number = FIRST + plan.ended();
     }
@@ -81,15 +106,19 @@
         for (int i = 0; i < m.count(); i++) {
             double at = m.fromS() + random.nextDouble() * (m.untilS() - m.fromS());
             for (int troubles = 2 + random.nextInt(2); troubles > 0; troubles--) {
-                // Within a second of each other, or some; over at once, after a while, or not before cancel_s has passed.
+                // Within a second of each other, or some; over at once, after a while, or not before cancel_s has
+                // passed.
                 double offset = random.nextDouble() * (random.nextBoolean() ? 1.5 : 6);
                 double forS = switch (random.nextInt(3)) {
                     case 0 -> 0.05 + random.nextDouble();
                     case 1 -> 2 + random.nextDouble() * plan.leaseS();
                     default -> plan.leaseS() + random.nextDouble() * 1.3 * plan.cancelS();
                 };
-                drawn.add(new Experiment.Fault(at + offset, m.kinds().get(random.nextInt(m.kinds().size())),
-                        Math.min(forS, m.untilS() + plan.cancelS() - at - offset), 1 + random.nextInt(4),
+                drawn.add(new Experiment.Fault(
+                        at + offset,
+                        m.kinds().get(random.nextInt(m.kinds().size())),
+                        Math.min(forS, m.untilS() + plan.cancelS() - at - offset),
+                        1 + random.nextInt(4),
                         0.1 + 0.4 * random.nextDouble()));
             }
         }
@@ -138,11 +167,25 @@
         }
         world.rules.unanswered((plan.durationS() - LAST_POLL_S) * 1_000L, ids);
         long leaderKb = weigh ? leaderKb() : 0;
-        return new Outcome(seed, List.copyOf(world.rules.broken), submitted, (int) world.over("done"),
-                (int) world.over("cancelled"), world.rules.repeats, world.state.tooMany, samples, recoveries.stream().map(Recovery::result).toList(), orders.counts(),
-                List.copyOf(world.events), world.admissions.result(), served.figures(world.rules, plan.durationS(),
-                        4.0 * plan.machines() * 2), busy,
-                world.state.requests(), world.state.mostWrites, leaderKb, (System.nanoTime() - began) / 1e9);
+        return new Outcome(
+                seed,
+                List.copyOf(world.rules.broken),
+                submitted,
+                (int) world.over("done"),
+                (int) world.over("cancelled"),
+                world.rules.repeats,
+                world.state.tooMany,
+                samples,
+                recoveries.stream().map(Recovery::result).toList(),
+                orders.counts(),
+                List.copyOf(world.events),
+                world.admissions.result(),
+                served.figures(world.rules, plan.durationS(), 4.0 * plan.machines() * 2),
+                busy,
+                world.state.requests(),
+                world.state.mostWrites,
+                leaderKb,
+                (System.nanoTime() - began) / 1e9);
     }
 
     private void arrive(Experiment.Arrivals a) {
@@ -151,7 +194,7 @@
         }
         if (a.perMinute() > 0) {
             double meanMs = 60_000 / a.perMinute();
-            for (double t = a.fromS() * 1_000; t < Math.min(a.untilS(), plan.durationS()) * 1000;) {
+            for (double t = a.fromS() * 1_000; t < Math.min(a.untilS(), plan.durationS()) * 1000; ) {
                 t += -Math.log(1 - random.nextDouble()) * meanMs;
                 submit(a, Math.round(t));
             }
@@ -160,7 +203,7 @@
 
     private void arrive(Experiment.Pipelines p) {
         double until = Math.min(p.untilS(), plan.durationS()) * 1_000;
-        for (double t = p.fromS() * 1_000; t < until;) {
+        for (double t = p.fromS() * 1_000; t < until; ) {
             pipeline(p, Math.round(t));
             t += -Math.log(1 - random.nextDouble()) * 60_000 / p.perMinute();
         }
@@ -171,14 +214,33 @@
         List<List<String>> stages = new ArrayList<>();
         List<String> all = new ArrayList<>();
         for (Experiment.Stage s : p.stages()) {
-            List<String> awaited = s.needs().stream().flatMap(n -> stages.get(n).stream()).toList();
+            List<String> awaited =
+                    s.needs().stream().flatMap(n -> stages.get(n).stream()).toList();
             List<String> made = new ArrayList<>();
             int jobs = s.jobsMin() + random.nextInt(s.jobsMax() - s.jobsMin() + 1);
             for (int i = 0; i < jobs; i++) {
-                JobSpec spec = new JobSpec(World.id(number++), s.jobClass(), p.team(), false, s.priority(),
-                        s.tasksMin() + random.nextInt(s.tasksMax() - s.tasksMin() + 1), s.cpus(), 0, s.cpus(),
-                        "img-" + random.nextInt(4), 0.3, null, null, false, false, true, s.runS() * (0.5 + random.nextDouble()),
-                        0, 0, null).awaiting(awaited);
+                JobSpec spec = new JobSpec(
+                                World.id(number++),
+                                s.jobClass(),
+                                p.team(),
+                                false,
+                                s.priority(),
+                                s.tasksMin() + random.nextInt(s.tasksMax() - s.tasksMin() + 1),
+                                s.cpus(),
+                                0,
+                                s.cpus(),
+                                "img-" + random.nextInt(4),
+                                0.3,
+                                null,
+                                null,
+                                false,
+                                false,
+                                true,
+                                s.runS() * (0.5 + random.nextDouble()),
+                                0,
+                                0,
+                                null)
+                        .awaiting(awaited);
                 made.add(spec.id());
                 ids.add(spec.id());
                 submitted++;
@@ -198,11 +260,27 @@
     }
 
     private void submit(Experiment.Arrivals a, long atMs) {
-        JobSpec spec = new JobSpec(World.id(number++), a.jobClass(), a.team(), a.service(), a.priority(),
-                a.tasksMin() + random.nextInt(a.tasksMax() - a.tasksMin() + 1), a.cpus(), 0, a.cpus(),
-                "img-" + random.nextInt(4), 0.3, null, a.placing() == Experiment.Placing.ZONE_A ? "a" : null,
-                a.placing() == Experiment.Placing.ONE_ZONE, a.placing() == Experiment.Placing.SCATTER, !a.service(),
-                a.service() ? 0 : a.runS() * (0.5 + random.nextDouble()), a.checkpointS(), 0, null);
+        JobSpec spec = new JobSpec(
+                World.id(number++),
+                a.jobClass(),
+                a.team(),
+                a.service(),
+                a.priority(),
+                a.tasksMin() + random.nextInt(a.tasksMax() - a.tasksMin() + 1),
+                a.cpus(),
+                0,
+                a.cpus(),
+                "img-" + random.nextInt(4),
+                0.3,
+                null,
+                a.placing() == Experiment.Placing.ZONE_A ? "a" : null,
+                a.placing() == Experiment.Placing.ONE_ZONE,
+                a.placing() == Experiment.Placing.SCATTER,
+                !a.service(),
+                a.service() ? 0 : a.runS() * (0.5 + random.nextDouble()),
+                a.checkpointS(),
+                0,
+                null);
         if (a.mistaken() > 0 && random.nextDouble() < a.mistaken()) {
             world.rules.mistaken.add(spec.id());
         }
@@ -245,10 +323,11 @@
             }
             case LOSE_ZONE -> zone().forEach(w -> world.cloud.delete(w.box().id));
             case CUT_ZONE -> cut(hosts(null), names(zone()), forMs);
-            case HANG_MACHINES -> some(f.count()).forEach(w -> {
-                w.hang(true);
-                world.at(world.sim.now + forMs, () -> w.hang(false));
-            });
+            case HANG_MACHINES ->
+                some(f.count()).forEach(w -> {
+                    w.hang(true);
+                    world.at(world.sim.now + forMs, () -> w.hang(false));
+                });
             case LOSE_MACHINES -> some(f.count()).forEach(w -> world.cloud.delete(w.box().id));
             case FREEZE_LEADER -> {
                 if (leader != null) {
@@ -354,8 +433,11 @@
             return;
         }
         for (int i = 0; i < perS / 10.0; i++) {
-            world.askOnce(random.nextInt(10) == 0 ? World.id(FIRST / 2 + random.nextInt(FIRST / 4))
-                    : ids.get(random.nextInt(ids.size())), "poll");
+            world.askOnce(
+                    random.nextInt(10) == 0
+                            ? World.id(FIRST / 2 + random.nextInt(FIRST / 4))
+                            : ids.get(random.nextInt(ids.size())),
+                    "poll");
         }
         world.at(world.sim.now + 100, () -> storm(perS, until));
     }
@@ -367,7 +449,10 @@
 
     /** The controllers' hosts, one left out. */
     private List<String> hosts(World.Node without) {
-        return world.nodes.stream().filter(n -> n != without).map(n -> n.host.name).toList();
+        return world.nodes.stream()
+                .filter(n -> n != without)
+                .map(n -> n.host.name)
+                .toList();
     }
 
     private static List<String> names(List<Worker> workers) {
@@ -376,7 +461,8 @@
 
     /** Something befalls one of the controllers that do not lead. */
     private void other(World.Node leader, Consumer<World.Node> what) {
-        List<World.Node> up = world.nodes.stream().filter(n -> n != leader && n.host.up).toList();
+        List<World.Node> up =
+                world.nodes.stream().filter(n -> n != leader && n.host.up).toList();
         if (!up.isEmpty()) {
             what.accept(up.get(random.nextInt(up.size())));
         }
@@ -406,14 +492,20 @@
         }
         World.Node leader = world.leader();
         JsonNode status = leader == null || !leader.host.up ? null : world.status(leader);
-        int unknown = status == null || !status.has("machines") ? -1 : status.path("unaccounted").asInt();
+        int unknown = status == null || !status.has("machines")
+                ? -1
+                : status.path("unaccounted").asInt();
         recoveries.get(recoveries.size() - 1).look(now / 1000.0, unknown, world.workers.size(), world.rules);
     }
 
     private void sample(int second) {
         int requests = world.state.requests();
-        samples.add(new Sample(second, world.workers.size(), world.rules.places.size(),
-                world.state.keys(Keys.JOBS).size(), requests - requestsBefore,
+        samples.add(new Sample(
+                second,
+                world.workers.size(),
+                world.rules.places.size(),
+                world.state.keys(Keys.JOBS).size(),
+                requests - requestsBefore,
                 world.state.lastWrites()));
         requestsBefore = requests;
         World.Node leader = world.leader();
--- a/experiment/src/main/java/org/landingridge/experiment/Recovery.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Recovery.java
@@ -21,7 +21,8 @@
         private double allS = -1;
 
         void look(Rules rules, double sinceS) {
-            open.removeIf(t -> rules.places.containsKey(t) || rules.completed.contains(t)
+            open.removeIf(t -> rules.places.containsKey(t)
+                    || rules.completed.contains(t)
                     || rules.cancelAsked.contains(t.substring(0, t.lastIndexOf('/'))));
             if (mostS < 0 && open.size() * 20 <= all) {
                 mostS = sinceS;
@@ -33,8 +34,17 @@
     }
 
     /** What came of it; {@code services} and {@code others}: how many tasks were lost. */
-    record Result(double atS, double ledS, double mostS, double allS, int services, double servicesMostS,
-            double servicesAllS, int others, double othersMostS, double othersAllS) {}
+    record Result(
+            double atS,
+            double ledS,
+            double mostS,
+            double allS,
+            int services,
+            double servicesMostS,
+            double servicesAllS,
+            int others,
+            double othersMostS,
+            double othersAllS) {}
 
     private final double atS;
     private final List<String> ran;
@@ -86,7 +96,16 @@
     }
 
     Result result() {
-        return new Result(atS, ledS, mostS, allS, services.all, services.mostS, services.allS, others.all, others.mostS,
+        return new Result(
+                atS,
+                ledS,
+                mostS,
+                allS,
+                services.all,
+                services.mostS,
+                services.allS,
+                others.all,
+                others.mostS,
                 others.allS);
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/Report.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Report.java
@@ -33,14 +33,55 @@
         Map<String, Object> context = new LinkedHashMap<>();
         context.put("plan", plan);
         context.put("outcomes", outcomes.stream().map(Report::row).toList());
-        context.put("recoveries", outcomes.stream().flatMap(o -> o.recoveries().stream().map(r -> row(o.seed(), r))).toList());
-        context.put("events", outcomes.stream().flatMap(o -> timeline(o).stream()).toList());
-        context.put("orders", outcomes.stream().flatMap(o -> o.orders().values().stream().map(c -> Map.of("seed", o.seed(),
-                "order", c.order().name().toLowerCase(Locale.ROOT).replace('_', ' '), "sum", c.sum(), "busiest", c.busiest(), "at", c.busiestAtS(),
-                "needless", c.needless()))).toList());
-        context.put("served", outcomes.stream().flatMap(o -> o.served().stream().map(s -> Map.of("seed", o.seed(), "name", s.name(),
-                "asked", s.asked(), "served", String.format(Locale.ROOT, "%.3f", s.served()), "unserved", s.unserved()))).toList());
-        context.put("broken", outcomes.stream().flatMap(o -> o.broken().stream().map(b -> o.seed() + ": " + b)).toList());
+        context.put(
+                "recoveries",
+                outcomes.stream()
+                        .flatMap(o -> o.recoveries().stream().map(r -> row(o.seed(), r)))
+                        .toList());
+        context.put(
+                "events", outcomes.stream().flatMap(o -> timeline(o).stream()).toList());
+        context.put(
+                "orders",
+                outcomes.stream()
+                        .flatMap(o -> o.orders().values().stream()
+                                .map(c -> Map.of(
+                                        "seed",
+                                        o.seed(),
+                                        "order",
+                                        c.order()
+                                                .name()
+                                                .toLowerCase(Locale.ROOT)
+                                                .replace('_', ' '),
+                                        "sum",
+                                        c.sum(),
+                                        "busiest",
+                                        c.busiest(),
+                                        "at",
+                                        c.busiestAtS(),
+                                        "needless",
+                                        c.needless())))
+                        .toList());
+        context.put(
+                "served",
+                outcomes.stream()
+                        .flatMap(o -> o.served().stream()
+                                .map(s -> Map.of(
+                                        "seed",
+                                        o.seed(),
+                                        "name",
+                                        s.name(),
+                                        "asked",
+                                        s.asked(),
+                                        "served",
+                                        String.format(Locale.ROOT, "%.3f", s.served()),
+                                        "unserved",
+                                        s.unserved())))
+                        .toList());
+        context.put(
+                "broken",
+                outcomes.stream()
+                        .flatMap(o -> o.broken().stream().map(b -> o.seed() + ": " + b))
+                        .toList());
         context.put("busy", busy(plan, outcomes));
         List<Map<String, String>> charts = new ArrayList<>();
         charts.add(chart("Machines up", outcomes, s -> s.machines()));
@@ -50,8 +91,12 @@
         charts.add(chart("Changes in the state service, a second", outcomes, s -> s.changes()));
         context.put("charts", charts);
         ClasspathLoader loader = new ClasspathLoader(Report.class.getClassLoader());
-        PebbleEngine engine = new PebbleEngine.Builder().loader(loader).autoEscaping(true).strictVariables(true)
-                .defaultLocale(Locale.ROOT).build();
+        PebbleEngine engine = new PebbleEngine.Builder()
+                .loader(loader)
+                .autoEscaping(true)
+                .strictVariables(true)
+                .defaultLocale(Locale.ROOT)
+                .build();
         StringWriter page = new StringWriter();
         engine.getTemplate(TEMPLATE).evaluate(page, context);
         Files.writeString(file, page.toString(), StandardCharsets.UTF_8);
@@ -75,8 +120,11 @@
             line.put("host", t.host());
             line.put("event", t.event().name());
             line.put("times", 1);
-            line.put("fields", t.event().fields().entrySet().stream().map(e -> e.getKey() + " " + e.getValue())
-                    .collect(Collectors.joining(", ")));
+            line.put(
+                    "fields",
+                    t.event().fields().entrySet().stream()
+                            .map(e -> e.getKey() + " " + e.getValue())
+                            .collect(Collectors.joining(", ")));
             lines.add(line);
             if (key != null) {
                 bySecond.put(key, line);
@@ -130,8 +178,13 @@
         Map<String, Long> sums = new LinkedHashMap<>();
         outcomes.forEach(o -> o.busyMs().forEach((part, ms) -> sums.merge(part, ms, Long::sum)));
         List<Map<String, Object>> rows = new ArrayList<>();
-        sums.forEach((part, ms) -> rows.add(Map.of("part", part, "ms", ms / outcomes.size(),
-                "perSecond", decimal((double) ms / outcomes.size() / plan.durationS()))));
+        sums.forEach((part, ms) -> rows.add(Map.of(
+                "part",
+                part,
+                "ms",
+                ms / outcomes.size(),
+                "perSecond",
+                decimal((double) ms / outcomes.size() / plan.durationS()))));
         return rows;
     }
 
@@ -139,17 +192,27 @@
         return String.format(Locale.ROOT, "%.1f", value);
     }
 
-    private static Map<String, String> chart(String title, List<Play.Outcome> outcomes,
-            ToDoubleFunction<Play.Sample> value) throws IOException {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("seconds").build();
+    private static Map<String, String> chart(
+            String title, List<Play.Outcome> outcomes, ToDoubleFunction<Play.Sample> value) throws IOException {
+        XYChart chart = new XYChartBuilder()
+                .width(WIDTH)
+                .height(HEIGHT)
+                .title(title)
+                .xAxisTitle("seconds")
+                .build();
         chart.getStyler().setChartBackgroundColor(Color.WHITE);
         chart.getStyler().setMarkerSize(0);
         chart.getStyler().setLegendVisible(outcomes.size() > 1);
         chart.getStyler().setYAxisMin(0.0);
         for (Play.Outcome o : outcomes) {
             if (!o.samples().isEmpty()) {
-                chart.addSeries("seed " + o.seed(), o.samples().stream().mapToDouble(Play.Sample::second).toArray(),
-                        o.samples().stream().mapToDouble(value).toArray()).setMarker(SeriesMarkers.NONE);
+                chart.addSeries(
+                                "seed " + o.seed(),
+                                o.samples().stream()
+                                        .mapToDouble(Play.Sample::second)
+                                        .toArray(),
+                                o.samples().stream().mapToDouble(value).toArray())
+                        .setMarker(SeriesMarkers.NONE);
             }
         }
         byte[] png = BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
--- a/experiment/src/main/java/org/landingridge/experiment/Served.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Served.java
@@ -31,6 +31,7 @@
         private double served;
         /** Processor seconds that its jobs ask for. */
         private double work;
+
         private Priority priority = Priority.LOW;
         private double ideal = 1;
     }
@@ -59,7 +60,8 @@
         for (Asked a : jobs) {
             JobSpec s = a.spec;
             double runs = s.service() ? endS - a.atS : s.estimateS();
-            if (rules.cancelAsked.contains(s.id()) || rules.mistaken.contains(s.id())
+            if (rules.cancelAsked.contains(s.id())
+                    || rules.mistaken.contains(s.id())
                     || a.atS > endS - LATE_S - (s.service() ? 0 : 2 * s.estimateS())) {
                 continue;
             }
@@ -69,9 +71,11 @@
                 there += (s.service() ? rules.places.containsKey(task) : rules.completed.contains(task)) ? 1 : 0;
             }
             if (!s.service()) {
-                arrays.computeIfAbsent(s.jobClass(), c -> new ArrayList<>()).add(new Judged(a, (double) there / s.tasks()));
+                arrays.computeIfAbsent(s.jobClass(), c -> new ArrayList<>())
+                        .add(new Judged(a, (double) there / s.tasks()));
             }
-            for (Sum sum : List.of(classes.computeIfAbsent(s.jobClass(), c -> new Sum()),
+            for (Sum sum : List.of(
+                    classes.computeIfAbsent(s.jobClass(), c -> new Sum()),
                     teams.computeIfAbsent("team " + s.team(), c -> new Sum()))) {
                 sum.asked++;
                 sum.served += (double) there / s.tasks();
@@ -80,7 +84,9 @@
             }
         }
         double left = processors * endS;
-        for (Sum sum : classes.values().stream().sorted(Comparator.comparing((Sum c) -> c.priority).reversed()).toList()) {
+        for (Sum sum : classes.values().stream()
+                .sorted(Comparator.comparing((Sum c) -> c.priority).reversed())
+                .toList()) {
             sum.ideal = sum.work <= 0 ? 1 : Math.min(1, Math.max(0, left) / sum.work);
             left -= sum.work;
         }
@@ -88,19 +94,36 @@
         classes.forEach((name, c) -> figures.add(new Figure(name, c.asked, c.served / c.asked, c.ideal)));
         arrays.forEach((name, jobs) -> figures.addAll(largest(name, jobs, rules, classes.get(name).ideal)));
         // A team's ideal is at least that of the work which its classes could be given.
-        teams.forEach((name, t) -> figures.add(new Figure(name, t.asked, t.served / t.asked,
-                figures.stream().filter(f -> classes.containsKey(f.name)).mapToDouble(Figure::ideal).min().orElse(1))));
+        teams.forEach((name, t) -> figures.add(new Figure(
+                name,
+                t.asked,
+                t.served / t.asked,
+                figures.stream()
+                        .filter(f -> classes.containsKey(f.name))
+                        .mapToDouble(Figure::ideal)
+                        .min()
+                        .orElse(1))));
         return figures;
     }
 
     /** How a class's largest jobs were served, and how many of them began in time: streams of small ones may not starve them. */
     private static List<Figure> largest(String jobClass, List<Judged> jobs, Rules rules, double ideal) {
-        List<Judged> largest = jobs.stream().sorted(Comparator.comparingInt((Judged j) -> j.asked.spec.tasks()).reversed())
-                .limit(Math.max(1, jobs.size() / LARGEST)).toList();
+        List<Judged> largest = jobs.stream()
+                .sorted(Comparator.comparingInt((Judged j) -> j.asked.spec.tasks())
+                        .reversed())
+                .limit(Math.max(1, jobs.size() / LARGEST))
+                .toList();
         double served = largest.stream().mapToDouble(Judged::served).average().orElse(1);
-        double begun = largest.stream().mapToDouble(j -> rules.firstStart(j.asked.spec.id())
-                <= (j.asked.atS + BEGIN_S) * 1_000 ? 1 : 0).average().orElse(1);
-        return List.of(new Figure("largest " + jobClass, largest.size(), served, ideal),
-                new Figure("largest " + jobClass + " begun in " + Math.round(BEGIN_S) + " s", largest.size(), begun, ideal));
+        double begun = largest.stream()
+                .mapToDouble(j -> rules.firstStart(j.asked.spec.id()) <= (j.asked.atS + BEGIN_S) * 1_000 ? 1 : 0)
+                .average()
+                .orElse(1);
+        return List.of(
+                new Figure("largest " + jobClass, largest.size(), served, ideal),
+                new Figure(
+                        "largest " + jobClass + " begun in " + Math.round(BEGIN_S) + " s",
+                        largest.size(),
+                        begun,
+                        ideal));
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/Waiting.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Waiting.java
@@ -24,8 +24,11 @@
         Rules rules = world.rules;
         rules.told.forEach((id, told) -> {
             JobSpec spec = rules.specs.get(id);
-            boolean waits = told.equals("accepted") && !rules.cancelAsked.contains(id) && !rules.mistaken.contains(id)
-                    && waits(rules, spec) && rules.allows(spec.team(), spec.cpus())
+            boolean waits = told.equals("accepted")
+                    && !rules.cancelAsked.contains(id)
+                    && !rules.mistaken.contains(id)
+                    && waits(rules, spec)
+                    && rules.allows(spec.team(), spec.cpus())
                     && world.workers.stream().anyMatch(w -> fits(rules, spec, w));
             if (seconds.merge(id, waits ? 1 : -MOST_S, (before, now) -> Math.max(0, before + now)) == MOST_S) {
                 rules.broke("waits", id + " has waited for " + MOST_S + " s beside room for it");
@@ -47,8 +50,12 @@
         String zone = w.box().zone;
         Map<String, String> there = rules.placesOf(spec.id());
         long here = there.values().stream().filter(p -> p.endsWith("@" + zone)).count();
-        return !w.hangs() && w.free() >= spec.cpus() && (spec.spot() || !w.box().spot)
-                && (spec.types() == null || spec.types().contains(World.TYPE)) && (spec.zone() == null || spec.zone().equals(zone))
-                && (!spec.oneZone() || there.isEmpty() || here > 0) && (!spec.spread() || here < (spec.tasks() + 1) / 2);
+        return !w.hangs()
+                && w.free() >= spec.cpus()
+                && (spec.spot() || !w.box().spot)
+                && (spec.types() == null || spec.types().contains(World.TYPE))
+                && (spec.zone() == null || spec.zone().equals(zone))
+                && (!spec.oneZone() || there.isEmpty() || here > 0)
+                && (!spec.spread() || here < (spec.tasks() + 1) / 2);
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/World.java
+++ b/experiment/src/main/java/org/landingridge/experiment/World.java
@@ -17,10 +17,10 @@
 import org.landingridge.controller.config.Policy;
 import org.landingridge.controller.config.Settings;
 import org.landingridge.controller.history.Place;
-import org.landingridge.controller.obs.Chronicle;
 import org.landingridge.controller.history.Segment;
 import org.landingridge.controller.jobs.Ended;
 import org.landingridge.controller.jobs.Job;
+import org.landingridge.controller.obs.Chronicle;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.emulator.Cloud;
 import org.landingridge.emulator.Rules;
@@ -54,10 +54,25 @@
      * @param cancelMs within which the tasks of a job are gone whose user was told that it is cancelled
      * @param state    the state service's limits, as the controllers are told; see {@link #enforceLimits}
      */
-    record Setup(long seed, int controllers, int machines, long bootMs, long reportMs, long leaseMs, long cancelMs,
-            Map<String, Settings.Team> teams, Settings.State state) {
-        Setup(long seed, int controllers, int machines, long bootMs, long reportMs, long leaseMs,
-                Map<String, Settings.Team> teams, Settings.State state) {
+    record Setup(
+            long seed,
+            int controllers,
+            int machines,
+            long bootMs,
+            long reportMs,
+            long leaseMs,
+            long cancelMs,
+            Map<String, Settings.Team> teams,
+            Settings.State state) {
+        Setup(
+                long seed,
+                int controllers,
+                int machines,
+                long bootMs,
+                long reportMs,
+                long leaseMs,
+                Map<String, Settings.Team> teams,
+                Settings.State state) {
             this(seed, controllers, machines, bootMs, reportMs, leaseMs, CANCEL_MS, teams, state);
         }
 
@@ -66,13 +81,15 @@
             Map<String, Settings.Team> teams = new LinkedHashMap<>();
             teams.put("red", new Settings.Team("red", 8, teamLimit, 0, 0));
             teams.put("blue", new Settings.Team("blue", 8, 0, 0, 0));
-            return new Setup(seed, controllers, 20, 3_000, REPORT_MS, LEASE_MS, teams, new Settings.State(200, 20, 4, 8));
+            return new Setup(
+                    seed, controllers, 20, 3_000, REPORT_MS, LEASE_MS, teams, new Settings.State(200, 20, 4, 8));
         }
     }
 
     private final Setup setup;
     /** The state service's limits that controllers are told of which begin from now on. */
     Settings.State announced;
+
     final Sim sim;
     final StateService state;
     final Cloud cloud;
@@ -80,6 +97,7 @@
     final Admissions admissions = new Admissions();
     /** Of machines that are up. */
     final List<Worker> workers = new ArrayList<>();
+
     private final Map<String, Sim.Host> workerHosts = new HashMap<>();
     final List<Node> nodes = new ArrayList<>();
     private final Sim.Host users;
@@ -99,7 +117,9 @@
             this.index = index;
             this.host = sim.host("rig-" + index);
             sim.listen(nodeAddr(index), host, x -> {
-                if (x.path().equals("/hello") && !unheard.isEmpty() && unheard.contains(Json.text(Json.parse(x.body()), "box"))) {
+                if (x.path().equals("/hello")
+                        && !unheard.isEmpty()
+                        && unheard.contains(Json.text(Json.parse(x.body()), "box"))) {
                     lost.add(new Copy(x));
                     return;
                 }
@@ -132,31 +152,48 @@
                     peers.add(new Settings.Peer("rig-" + i, "a", "10.0.0." + i + ":1"));
                 }
             }
-            Settings settings = new Settings("rig-" + index, "a", new InetSocketAddress("127.0.0.1", 1),
-                    new InetSocketAddress("127.0.0.1", 2), peers, "cloud", "state-" + index, List.of("a", "b"), 25,
-                    setup.teams, List.of(), new Settings.Workers(setup.reportMs / 1000.0, setup.leaseMs / 1000.0,
-                    setup.cancelMs / 1000.0), announced, new Settings.Cloud(5, LAG_MS / 1000.0),
+            Settings settings = new Settings(
+                    "rig-" + index,
+                    "a",
+                    new InetSocketAddress("127.0.0.1", 1),
+                    new InetSocketAddress("127.0.0.1", 2),
+                    peers,
+                    "cloud",
+                    "state-" + index,
+                    List.of("a", "b"),
+                    25,
+                    setup.teams,
+                    List.of(),
+                    new Settings.Workers(setup.reportMs / 1000.0, setup.leaseMs / 1000.0, setup.cancelMs / 1000.0),
+                    announced,
+                    new Settings.Cloud(5, LAG_MS / 1000.0),
                     new Settings.Machine(1, 200, 1000));
-            controller = new Controller(host, sim.client(host), (to, message) -> {
-                Node peer = nodes.get(indexOf(to));
-                int life = peer.host.life;
-                byte[] bytes = message.encode();
-                if (sim.observer != null) {
-                    sim.observer.record(bytes);
-                }
-                sim.deliver(host, peer.host, () -> {
-                    if (peer.host.life == life) {
-                        try {
-                            peer.controller.received(org.landingridge.controller.peer.Message.decode(
-                                    new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes))));
-                        } catch (java.io.IOException e) {
-                            throw new java.io.UncheckedIOException(e);
+            controller = new Controller(
+                    host,
+                    sim.client(host),
+                    (to, message) -> {
+                        Node peer = nodes.get(indexOf(to));
+                        int life = peer.host.life;
+                        byte[] bytes = message.encode();
+                        if (sim.observer != null) {
+                            sim.observer.record(bytes);
                         }
-                    }
-                });
-            }, new SplittableRandom(sim.random.nextLong()), settings, Policy.DEFAULT);
+                        sim.deliver(host, peer.host, () -> {
+                            if (peer.host.life == life) {
+                                try {
+                                    peer.controller.received(org.landingridge.controller.peer.Message.decode(
+                                            new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes))));
+                                } catch (java.io.IOException e) {
+                                    throw new java.io.UncheckedIOException(e);
+                                }
+                            }
+                        });
+                    },
+                    new SplittableRandom(sim.random.nextLong()),
+                    settings,
+                    Policy.DEFAULT);
             controller.chronicle().listener(event -> events.add(new Told(sim.now, host.name, event)));
-            host.after(200, () -> controller.start(() -> { }));
+            host.after(200, () -> controller.start(() -> {}));
         }
 
         void crash(long backAfterMs) {
@@ -196,12 +233,14 @@
     double lateReports;
     /** Share of the workers' reports of which a copy is kept, until another leader begins: then it reaches every controller. */
     double keptReports;
+
     private final List<Http.Exchange> kept = new ArrayList<>();
     private JsonNode leaderBefore;
     /** Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled. */
     boolean closeLooks;
     /** Share of the jobs that end which their users call off at the moment of the end. */
     double cancelAtEnd;
+
     private int odd = ODD;
 
     World(long seed, double teamLimit) {
@@ -223,7 +262,10 @@
         stateHost = sim.host("state");
         state = new StateService(stateHost);
         Sim.Host cloudHost = sim.host("cloud");
-        cloud = new Cloud(cloudHost, sim.random, new Cloud.Offer(TYPE, 4, 8, List.of("a", "b"), setup.bootMs, LAG_MS),
+        cloud = new Cloud(
+                cloudHost,
+                sim.random,
+                new Cloud.Offer(TYPE, 4, 8, List.of("a", "b"), setup.bootMs, LAG_MS),
                 new Cloud.Machines() {
                     @Override
                     public String boot(Cloud.Box box) {
@@ -234,7 +276,8 @@
                     public void kill(Cloud.Box box) {
                         killWorker(box.id);
                     }
-                }, rules);
+                },
+                rules);
         cloud.capacity = setup.machines;
         sim.listen("cloud", cloudHost, cloud);
         for (int i = 0; i < controllers; i++) {
@@ -277,8 +320,13 @@
         for (int i = 0; i < controllers; i++) {
             known.add(new Worker.Node("rig-" + i, nodeAddr(i)));
         }
-        Worker worker = new Worker(new Worker.Config(addr, TYPE, 4, setup.reportMs, setup.leaseMs, known), host,
-                sim.client(host), sim.random, rules, box);
+        Worker worker = new Worker(
+                new Worker.Config(addr, TYPE, 4, setup.reportMs, setup.leaseMs, known),
+                host,
+                sim.client(host),
+                sim.random,
+                rules,
+                box);
         sim.listen(addr, host, worker);
         workers.add(worker);
         workerHosts.put(box.id, host);
@@ -364,12 +412,22 @@
      * @param hangMs so long up to eight of their machines hang from then on; 0: none does
      */
     void cancelNow(int count, long hangMs) {
-        List<String> ids = rules.places.keySet().stream().map(t -> t.substring(0, t.lastIndexOf('/'))).distinct().sorted()
-                .filter(id -> !rules.cancelAsked.contains(id)).limit(count).toList();
+        List<String> ids = rules.places.keySet().stream()
+                .map(t -> t.substring(0, t.lastIndexOf('/')))
+                .distinct()
+                .sorted()
+                .filter(id -> !rules.cancelAsked.contains(id))
+                .limit(count)
+                .toList();
         ids.forEach(id -> users.after(sim.random.nextInt(200), () -> cancel(id)));
         if (hangMs > 0) {
-            workers.stream().filter(w -> ids.stream().anyMatch(id -> rules.placesOf(id).values().stream()
-                    .anyMatch(p -> p.startsWith(w.box().id + "@")))).limit(8).toList().forEach(w -> {
+            workers.stream()
+                    .filter(w -> ids.stream()
+                            .anyMatch(id ->
+                                    rules.placesOf(id).values().stream().anyMatch(p -> p.startsWith(w.box().id + "@"))))
+                    .limit(8)
+                    .toList()
+                    .forEach(w -> {
                         w.hang(true);
                         users.after(hangMs, () -> w.hang(false));
                     });
@@ -420,9 +478,27 @@
     }
 
     static JobSpec job(int number, String team, boolean service, int tasks, double cpus, double seconds) {
-        return new JobSpec(id(number), service ? "live" : "batch", team, service,
-                service ? Priority.HIGH : Priority.NORMAL, tasks, cpus, 0, cpus, "img-" + number % 3, 0.3, null, null,
-                false, false, !service, seconds, 0, 0, null);
+        return new JobSpec(
+                id(number),
+                service ? "live" : "batch",
+                team,
+                service,
+                service ? Priority.HIGH : Priority.NORMAL,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "img-" + number % 3,
+                0.3,
+                null,
+                null,
+                false,
+                false,
+                !service,
+                seconds,
+                0,
+                0,
+                null);
     }
 
     /** A user submits, retries until accepted, then polls until the job is over. */
@@ -453,7 +529,8 @@
 
     /** The last changes of the configuration, the newest first. */
     JsonNode configurationLog(Node node) {
-        return Json.parse(get(node, "/api/config/history").getBytes(StandardCharsets.UTF_8)).get("changes");
+        return Json.parse(get(node, "/api/config/history").getBytes(StandardCharsets.UTF_8))
+                .get("changes");
     }
 
     void cancel(String id) {
@@ -475,7 +552,8 @@
             boolean settled = false;
             if (reply.outcome() == Http.Outcome.ANSWERED) {
                 JsonNode n = Json.parse(reply.body());
-                String state = n == null || !n.has("status") ? "" : n.get("status").textValue();
+                String state =
+                        n == null || !n.has("status") ? "" : n.get("status").textValue();
                 rules.answered(id, what, askedAt, reply.status(), state);
                 if (what.equals("submit") && reply.status() / 100 == 2) {
                     admissions.accepted(id, sim.now);
@@ -508,7 +586,8 @@
         for (int i = 0; i < count; i++) {
             JobSpec spec = job(first + i * step, "blue", false, 1 + i % 3, 1, 1);
             boolean cancelled = i % 7 == 0;
-            ObjectNode value = Json.object().put("ended", cancelled ? "CANCELLED" : "DONE").put("takes", spec.tasks());
+            ObjectNode value =
+                    Json.object().put("ended", cancelled ? "CANCELLED" : "DONE").put("takes", spec.tasks());
             if (cancelled) {
                 value.set("spec", spec.json());
                 rules.cancelAsked.add(spec.id());
@@ -529,8 +608,9 @@
         for (int i = 0; i < count; i++) {
             String id = id(first + i);
             Place place = Place.of(id);
-            jobs.put(place.offset(), i % 7 == 0 ? new Ended(Job.Status.CANCELLED, 0)
-                    : new Ended(Job.Status.DONE, 1 + i % 100));
+            jobs.put(
+                    place.offset(),
+                    i % 7 == 0 ? new Ended(Job.Status.CANCELLED, 0) : new Ended(Job.Status.DONE, 1 + i % 100));
             if (i == count - 1 || place.offset() == Segment.JOBS - 1) {
                 state.seed(place.key(), Segment.EMPTY.with(jobs).json());
                 jobs.clear();
@@ -550,7 +630,15 @@
     void askOnce(String id, String what, int node) {
         switch (what) {
             case "poll" -> ask(node, id, "poll", "GET", "/api/jobs/" + id, null, 0);
-            case "submit" -> ask(node, id, "submit", "POST", "/api/jobs", Json.bytes(rules.specs.get(id).json()), 0);
+            case "submit" ->
+                ask(
+                        node,
+                        id,
+                        "submit",
+                        "POST",
+                        "/api/jobs",
+                        Json.bytes(rules.specs.get(id).json()),
+                        0);
             default -> {
                 if (!"done".equals(rules.told.get(id))) {
                     rules.cancelAsked.add(id);
@@ -562,8 +650,12 @@
 
     /** A counter of a controller, as it serves it. */
     int metric(Node node, String name) {
-        return get(node, "/metrics").lines().filter(l -> l.startsWith(name + " ")).mapToInt(l ->
-                Integer.parseInt(l.substring(name.length() + 1))).findFirst().orElseThrow();
+        return get(node, "/metrics")
+                .lines()
+                .filter(l -> l.startsWith(name + " "))
+                .mapToInt(l -> Integer.parseInt(l.substring(name.length() + 1)))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** Milliseconds that a controller's thread has spent so far, by part of its work. */
@@ -585,8 +677,9 @@
     /** Submits this body to a controller; the status of its answer. */
     int post(Node node, byte[] body) {
         int[] status = new int[1];
-        sim.client(users).call(nodeAddr(node.index), "POST", "/api/jobs", body, 5_000, reply -> status[0] = reply.status());
-        for (long until = sim.now + 5_000; status[0] == 0 && sim.now < until;) {
+        sim.client(users)
+                .call(nodeAddr(node.index), "POST", "/api/jobs", body, 5_000, reply -> status[0] = reply.status());
+        for (long until = sim.now + 5_000; status[0] == 0 && sim.now < until; ) {
             sim.run(sim.now + 10);
         }
         return status[0];
@@ -627,6 +720,9 @@
     }
 
     boolean running(String id, int tasks) {
-        return rules.places.keySet().stream().filter(t -> t.startsWith(id + "/")).count() == tasks;
+        return rules.places.keySet().stream()
+                        .filter(t -> t.startsWith(id + "/"))
+                        .count()
+                == tasks;
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/AllDownTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/AllDownTest.java
@@ -27,10 +27,19 @@
     private OrderBook orders;
 
     private void world(long seed) {
-        w = new World(new World.Setup(seed, 3, 60, 3_000, 2_000, LEASE_MS, Map.of("blue",
-                new Settings.Team("blue", 400, 0, 0, 0)), new Settings.State(200, 20, 4, 8)));
-        orders = new OrderBook(() -> w.sim.now, id -> w.workers.stream().anyMatch(x -> x.box().id.equals(id)
-                && !x.hangs()), w.rules.cancelAsked::contains);
+        w = new World(new World.Setup(
+                seed,
+                3,
+                60,
+                3_000,
+                2_000,
+                LEASE_MS,
+                Map.of("blue", new Settings.Team("blue", 400, 0, 0, 0)),
+                new Settings.State(200, 20, 4, 8)));
+        orders = new OrderBook(
+                () -> w.sim.now,
+                id -> w.workers.stream().anyMatch(x -> x.box().id.equals(id) && !x.hangs()),
+                w.rules.cancelAsked::contains);
         for (int i = 0; i < SERVICES; i++) {
             int n = i;
             w.at(100 + i * 50L, () -> w.submit(World.job(n, "blue", true, 1, 3, 0)));
@@ -44,15 +53,19 @@
     }
 
     private long services() {
-        return w.rules.places.keySet().stream().filter(t -> w.rules.specs.get(t.substring(0, t.indexOf('/'))).service())
+        return w.rules.places.keySet().stream()
+                .filter(t -> w.rules.specs.get(t.substring(0, t.indexOf('/'))).service())
                 .count();
     }
 
     /** Two machines die, each in another zone, one of them with a service. */
     private void lose() {
         for (String zone : List.of("a", "b")) {
-            w.workers.stream().filter(x -> x.box().zone.equals(zone) && x.running() != null).findFirst()
-                    .map(Worker::box).ifPresent(b -> w.cloud.delete(b.id));
+            w.workers.stream()
+                    .filter(x -> x.box().zone.equals(zone) && x.running() != null)
+                    .findFirst()
+                    .map(Worker::box)
+                    .ifPresent(b -> w.cloud.delete(b.id));
         }
     }
 
@@ -127,27 +140,48 @@
     @DisplayName("a page of the roster that cannot be read is never taken for empty, and the rest goes on")
     void unreadableRoster(long seed, String form) {
         world(seed);
-        Worker silent = w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
+        Worker silent =
+                w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
         down(4_000);
         w.at(DOWN_AT + 500, () -> w.nodes.forEach(n -> w.sim.cut(n.host.name, silent.box().id)));
-        w.at(DOWN_AT + 1_000, () -> w.state.keys("lr/fleet/").forEach(key -> w.state.seed(key, switch (form) {
-            case "x" -> Json.object().textNode("x");
-            case "[]" -> Json.array();
-            default -> w.state.value(key).<ObjectNode>deepCopy().put(silent.box().id, "half a row");
-        })));
+        w.at(
+                DOWN_AT + 1_000,
+                () -> w.state
+                        .keys("lr/fleet/")
+                        .forEach(key -> w.state.seed(
+                                key,
+                                switch (form) {
+                                    case "x" -> Json.object().textNode("x");
+                                    case "[]" -> Json.array();
+                                    default ->
+                                        w.state
+                                                .value(key)
+                                                .<ObjectNode>deepCopy()
+                                                .put(silent.box().id, "half a row");
+                                })));
         w.at(DOWN_AT + 12_000, () -> w.submit(World.job(200, "blue", false, 3, 1, 2)));
         w.sim.run(DOWN_AT + 20_000);
         assertEquals("done", w.rules.told.get("job-000200"), "what is new goes on");
         w.sim.run(120_000);
         settled(7);
-        assertTrue(w.state.keys("lr/fleet/").stream().allMatch(k -> w.state.value(k).isObject()), "the page is gone");
+        assertTrue(
+                w.state.keys("lr/fleet/").stream()
+                        .allMatch(k -> w.state.value(k).isObject()),
+                "the page is gone");
     }
 
     @Test
     @DisplayName("a first start rents nothing for work that machines up but in no list can take")
     void firstStart() {
-        w = new World(new World.Setup(31, 3, 60, 3_000, 5_000, LEASE_MS, Map.of("blue",
-                new Settings.Team("blue", 400, 0, 0, 0)), new Settings.State(200, 20, 4, 8)));
+        w = new World(new World.Setup(
+                31,
+                3,
+                60,
+                3_000,
+                5_000,
+                LEASE_MS,
+                Map.of("blue", new Settings.Team("blue", 400, 0, 0, 0)),
+                new Settings.State(200, 20, 4, 8)));
         w.cloud.bootMs = 0;
         for (int i = 0; i < 40; i++) {
             w.cloud.rent(i % 2 == 0 ? "a" : "b", false);
--- a/experiment/src/test/java/org/landingridge/experiment/AnswersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/AnswersTest.java
@@ -25,7 +25,17 @@
     private static final int JOBS = 40;
 
     /** What befalls the service while users look. */
-    enum Trouble { NONE, LEADER_ENDS, ALL_END, LEADER_REFUSED, OTHER_REFUSED, ANSWERS_LOST, WRITES_LATE, READ_AGAIN, SLOW }
+    enum Trouble {
+        NONE,
+        LEADER_ENDS,
+        ALL_END,
+        LEADER_REFUSED,
+        OTHER_REFUSED,
+        ANSWERS_LOST,
+        WRITES_LATE,
+        READ_AGAIN,
+        SLOW
+    }
 
     /** Short jobs of one to three tasks, one each half second; a quarter is called off after a while. */
     private static List<String> jobs(World w, long fromMs) {
@@ -43,7 +53,7 @@
 
     private static void befalls(World w, Trouble trouble) {
         switch (trouble) {
-            case NONE -> { }
+            case NONE -> {}
             case LEADER_ENDS -> {
                 w.at(12_000, () -> crash(w.leader(), 150));
                 w.at(18_000, () -> crash(w.leader(), 6_000));
@@ -77,7 +87,8 @@
 
     @ParameterizedTest
     @EnumSource(Trouble.class)
-    @DisplayName("asked at all controllers within milliseconds of an acceptance, an end, a cancellation: nobody tells anything older")
+    @DisplayName(
+            "asked at all controllers within milliseconds of an acceptance, an end, a cancellation: nobody tells anything older")
     void closeLooks(Trouble trouble) {
         for (int seed = 0; seed < 3; seed++) {
             World w = new World(700 + 10 * trouble.ordinal() + seed, 0);
@@ -91,7 +102,8 @@
 
     @ParameterizedTest
     @EnumSource(Trouble.class)
-    @DisplayName("called off, asked for and submitted again at the moment at which the last task ends: one of done and cancelled, for good")
+    @DisplayName(
+            "called off, asked for and submitted again at the moment at which the last task ends: one of done and cancelled, for good")
     void theLastTaskEnds(Trouble trouble) {
         for (int seed = 0; seed < 3; seed++) {
             World w = new World(800 + 10 * trouble.ordinal() + seed, 0);
@@ -105,18 +117,21 @@
     }
 
     @Test
-    @DisplayName("with no trouble a job is called done at every controller three seconds after its last task, and who cancels then hears done")
+    @DisplayName(
+            "with no trouble a job is called done at every controller three seconds after its last task, and who cancels then hears done")
     void doneInTime() {
         World w = new World(790, 0);
         List<String> late = new ArrayList<>();
-        w.rules.allCompleted = id -> w.at(w.sim.now + 3_000, () -> w.nodes.forEach(n -> {
-            w.askOnce(id, "cancel", n.index);
-            w.at(w.sim.now + 500, () -> {
-                if (!"done".equals(w.rules.told.get(id)) && !w.rules.cancelAsked.contains(id)) {
-                    late.add(id);
-                }
-            });
-        }));
+        w.rules.allCompleted = id -> w.at(
+                w.sim.now + 3_000,
+                () -> w.nodes.forEach(n -> {
+                    w.askOnce(id, "cancel", n.index);
+                    w.at(w.sim.now + 500, () -> {
+                        if (!"done".equals(w.rules.told.get(id)) && !w.rules.cancelAsked.contains(id)) {
+                            late.add(id);
+                        }
+                    });
+                }));
         List<String> ids = jobs(w, 6_000);
         w.sim.run(60_000);
         assertEquals(List.of(), late);
@@ -126,7 +141,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    @DisplayName("looked at while ended jobs move into the history, at controllers that keep few of them and one that was just started")
+    @DisplayName(
+            "looked at while ended jobs move into the history, at controllers that keep few of them and one that was just started")
     void whileJobsMove(long seed) {
         World w = new World(880 + seed, 0);
         w.ended(3_000, 600, 1);
@@ -145,24 +161,30 @@
         w.sim.run(110_000);
         assertTrue(w.state.keys("lr/job/").size() < 560, "some have moved");
         everybodySaysTheSame(w, ids);
-        everybodySaysTheSame(w, IntStream.range(0, 600).mapToObj(i -> World.id(3_000 + i)).toList());
+        everybodySaysTheSame(
+                w, IntStream.range(0, 600).mapToObj(i -> World.id(3_000 + i)).toList());
     }
 
     @Test
-    @DisplayName("what is malformed gets 400 and what can never run 422, at every controller; a known job its state, whatever comes under its id")
+    @DisplayName(
+            "what is malformed gets 400 and what can never run 422, at every controller; a known job its state, whatever comes under its id")
     void oddRequests() {
         World w = new World(890, 0);
         w.sim.run(5_000);
         w.rules.specs.put(World.id(1), World.job(1, "blue", false, 1, 1, 5));
         for (World.Node n : w.nodes) {
-            assertEquals(n.index == 0 ? 201 : 200, answer(w, n, OddJobs.lawful(World.id(1))), "a lawful one is accepted");
+            assertEquals(
+                    n.index == 0 ? 201 : 200, answer(w, n, OddJobs.lawful(World.id(1))), "a lawful one is accepted");
         }
         int number = 2;
         for (OddJobs.Odd odd : OddJobs.all("")) {
             String id = World.id(number++);
             for (World.Node n : w.nodes) {
                 assertEquals(odd.status(), answer(w, n, odd.body().deepCopy().put("id", id)), odd.what());
-                assertEquals(200, answer(w, n, odd.body().deepCopy().put("id", World.id(1))), odd.what() + " of a known job");
+                assertEquals(
+                        200,
+                        answer(w, n, odd.body().deepCopy().put("id", World.id(1))),
+                        odd.what() + " of a known job");
             }
         }
         assertEquals(1, w.state.keys("lr/job/").size());
@@ -177,10 +199,18 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0", "2, 300", "3, 1500"})
-    @DisplayName("one-task jobs, four a second for two minutes, a quarter cancelled, on fifteen changes a second; leader and state service go meanwhile")
+    @DisplayName(
+            "one-task jobs, four a second for two minutes, a quarter cancelled, on fifteen changes a second; leader and state service go meanwhile")
     void manySmallJobs(long seed, long back) {
-        World w = new World(new World.Setup(900 + seed, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS,
-                World.Setup.small(0, 0, 3).teams(), new Settings.State(200, 15, 8, 8)));
+        World w = new World(new World.Setup(
+                900 + seed,
+                3,
+                20,
+                3_000,
+                World.REPORT_MS,
+                World.LEASE_MS,
+                World.Setup.small(0, 0, 3).teams(),
+                new Settings.State(200, 15, 8, 8)));
         w.enforceLimits();
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 480; i++) {
@@ -217,7 +247,11 @@
     @DisplayName("stored values that cannot be read are named, never taken for empty, and the rest goes on")
     void whatCannotBeRead() {
         World w = new World(920, 0);
-        List<String> stored = List.of("{\"at\":1,\"spec\":{\"id\":\"job-000001\"}}", "{\"ended\":\"LOST\",\"takes\":1}", "\"x\"", "[]",
+        List<String> stored = List.of(
+                "{\"at\":1,\"spec\":{\"id\":\"job-000001\"}}",
+                "{\"ended\":\"LOST\",\"takes\":1}",
+                "\"x\"",
+                "[]",
                 "{\"ended\":\"ACCEPTED\"}");
         for (int i = 0; i < stored.size(); i++) {
             w.state.seed("lr/job/" + World.id(1 + i), Json.parse(stored.get(i).getBytes()));
@@ -234,6 +268,11 @@
                 assertEquals(503, answer(w, n, OddJobs.lawful(World.id(1 + i))), stored.get(i));
             }
         }
-        assertEquals(3, w.state.keys("lr/op/").stream().filter(k -> k.endsWith("-1-1") || k.endsWith("-1-2") || k.endsWith("-1-3")).count(), "they stay");
+        assertEquals(
+                3,
+                w.state.keys("lr/op/").stream()
+                        .filter(k -> k.endsWith("-1-1") || k.endsWith("-1-2") || k.endsWith("-1-3"))
+                        .count(),
+                "they stay");
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/AtSizeTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/AtSizeTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.DisplayName;
-import org.landingridge.controller.config.Settings;
 import org.junit.jupiter.api.Test;
+import org.landingridge.controller.config.Settings;
 import org.landingridge.controller.store.Keys;
 
 /** What a history of a million jobs costs: nothing that grows with it. */
@@ -63,24 +63,38 @@
             }
         }
         // The leader dies, and the next one leads as soon.
-        int before = w.state.requestsOf.values().stream().mapToInt(Integer::intValue).sum();
+        int before =
+                w.state.requestsOf.values().stream().mapToInt(Integer::intValue).sum();
         w.leader().crash(1_000);
         w.sim.run(50_000);
         if (w.leader() == null || w.state.value(Keys.LEADER) == null) {
             throw new AssertionError("nobody leads after the leader's death");
         }
-        System.out.println("answered by " + (w.state.requestsOf.values().stream().mapToInt(Integer::intValue).sum()
-                - before) + " requests more");
+        System.out.println("answered by "
+                + (w.state.requestsOf.values().stream()
+                                .mapToInt(Integer::intValue)
+                                .sum()
+                        - before) + " requests more");
     }
 
     private static int requests(int ended) throws IOException, InterruptedException {
-        Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx64m", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), AtSizeTest.class.getName(),
-                "" + ended).redirectErrorStream(true).start();
+        Process process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx64m",
+                        "-XX:+UseSerialGC",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        AtSizeTest.class.getName(),
+                        "" + ended)
+                .redirectErrorStream(true)
+                .start();
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(0, process.waitFor(), out);
-        return out.lines().filter(l -> l.startsWith("requests ")).mapToInt(l ->
-                Integer.parseInt(l.substring("requests ".length()))).findFirst().orElseThrow();
+        return out.lines()
+                .filter(l -> l.startsWith("requests "))
+                .mapToInt(l -> Integer.parseInt(l.substring("requests ".length())))
+                .findFirst()
+                .orElseThrow();
     }
 
     @Test
@@ -89,10 +103,18 @@
     }
 
     @Test
-    @DisplayName("10,000 machines that report for the first time stand on the roster within 15 s, at 40 changes a second")
+    @DisplayName(
+            "10,000 machines that report for the first time stand on the roster within 15 s, at 40 changes a second")
     void theRosterKeepsUp() {
-        World w = new World(new World.Setup(5, 3, 10_000, 3_000, 5_000, 26_500, Map.of("all",
-                new Settings.Team("all", 40_000, 0, 0, 0)), new Settings.State(500, 40, 4, 8)));
+        World w = new World(new World.Setup(
+                5,
+                3,
+                10_000,
+                3_000,
+                5_000,
+                26_500,
+                Map.of("all", new Settings.Team("all", 40_000, 0, 0, 0)),
+                new Settings.State(500, 40, 4, 8)));
         w.enforceLimits();
         w.cloud.bootMs = 0;
         for (int i = 0; i < 10_000; i++) {
--- a/experiment/src/test/java/org/landingridge/experiment/BadNightsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/BadNightsTest.java
@@ -21,8 +21,14 @@
     private int givenBack;
 
     private World world(long seed) {
-        World w = new World(new World.Setup(seed, 3, 40, 5_000, 2_000, 20_000, Map.of("blue",
-                new Settings.Team("blue", 16, 0, 0, 0), "red", new Settings.Team("red", 8, 0, 0, 0)),
+        World w = new World(new World.Setup(
+                seed,
+                3,
+                40,
+                5_000,
+                2_000,
+                20_000,
+                Map.of("blue", new Settings.Team("blue", 16, 0, 0, 0), "red", new Settings.Team("red", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
         w.rules.orders = (order, machine, attempt, pool, repeated) -> {
             if (order == Truth.Order.START && !repeated) {
@@ -57,16 +63,24 @@
             w.at(22_000 + i * 3_000L, () -> w.submit(World.job(n, "blue", false, 4, 1, 4)));
         }
         w.sim.run(110_000);
-        assertEquals(0, w.rules.told.entrySet().stream().filter(e -> w.rules.mistaken.contains(e.getKey())
-                && !e.getValue().equals("accepted")).count(), "nothing is called over that its user has not cancelled");
+        assertEquals(
+                0,
+                w.rules.told.entrySet().stream()
+                        .filter(e -> w.rules.mistaken.contains(e.getKey())
+                                && !e.getValue().equals("accepted"))
+                        .count(),
+                "nothing is called over that its user has not cancelled");
         assertEquals(20, w.over("done"));
         for (String id : w.rules.mistaken) {
-            // Each of its 30 tasks may be under way before the first two have failed; then one at a time, ever less often.
+            // Each of its 30 tasks may be under way before the first two have failed; then one at a time, ever less
+            // often.
             assertTrue(starts.get(id) <= 30 + 12, id + " was started " + starts.get(id) + " times");
             w.cancel(id);
         }
         assertTrue(w.status(w.leader()).path("incidents").toString().contains("looks like a mistake"));
-        assertTrue(!w.status(w.leader()).path("incidents").toString().contains("fails its tasks"), "no sound machine goes back");
+        assertTrue(
+                !w.status(w.leader()).path("incidents").toString().contains("fails its tasks"),
+                "no sound machine goes back");
         starts.clear();
         w.sim.run(140_000);
         assertEquals(4, w.over("cancelled"));
--- a/experiment/src/test/java/org/landingridge/experiment/CapacityTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/CapacityTest.java
@@ -22,7 +22,8 @@
 
     @Test
     void aLineIsFittedThroughItsPoints() {
-        CapacityCommand.Line line = CapacityCommand.Line.through(new int[] {1, 2, 3, 100}, new double[] {5, 7, 9, 0}, 3);
+        CapacityCommand.Line line =
+                CapacityCommand.Line.through(new int[] {1, 2, 3, 100}, new double[] {5, 7, 9, 0}, 3);
         assertEquals(3, line.intercept(), 1e-9);
         assertEquals(2, line.slope(), 1e-9);
         assertEquals(0, line.largestResidual(new int[] {1, 2, 3, 100}, new double[] {5, 7, 9, 0}, 3), 1e-9);
--- a/experiment/src/test/java/org/landingridge/experiment/ConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConfigurationTest.java
@@ -22,6 +22,7 @@
 class ConfigurationTest {
     /** Within so long a change is in force everywhere. */
     private static final long IN_FORCE_MS = 7_000;
+
     private static final double NONE = -1;
 
     private final Map<String, Integer> acknowledged = new HashMap<>();
@@ -62,9 +63,14 @@
         for (int i = log.size() - 1; i >= 0; i--) {
             JsonNode entry = log.get(i);
             assertTrue(keys.add(entry.get("key").textValue()), entry + " stands twice");
-            assertEquals(null, numbers.put(entry.get("number").intValue(), entry.get("key").textValue()));
-            entry.get("after").properties().forEach(e -> model.put(e.getKey(),
-                    new double[] {e.getValue().get(0).doubleValue(), e.getValue().get(1).doubleValue()}));
+            assertEquals(
+                    null,
+                    numbers.put(entry.get("number").intValue(), entry.get("key").textValue()));
+            entry.get("after")
+                    .properties()
+                    .forEach(e -> model.put(e.getKey(), new double[] {
+                        e.getValue().get(0).doubleValue(), e.getValue().get(1).doubleValue()
+                    }));
         }
         acknowledged.forEach((key, number) -> assertEquals(key, numbers.get(number)));
         assertEquals(numbers.size(), first.get("number").intValue());
@@ -73,8 +79,12 @@
             assertEquals(first.get("number"), shown.get("number"));
             model.forEach((team, limits) -> {
                 if (limits[0] != NONE) {
-                    assertEquals(limits[0], shown.get("teams").get(team).get("cpus").doubleValue(), team);
-                    assertEquals(limits[1], shown.get("teams").get(team).get("cpusMax").doubleValue(), team);
+                    assertEquals(
+                            limits[0], shown.get("teams").get(team).get("cpus").doubleValue(), team);
+                    assertEquals(
+                            limits[1],
+                            shown.get("teams").get(team).get("cpusMax").doubleValue(),
+                            team);
                 }
             });
         }
@@ -87,7 +97,8 @@
         World w = new World(seed, 0);
         w.submit(World.job(1, "blue", false, 40, 1, 20));
         for (int i = 0; i < 40; i++) {
-            ObjectNode change = limit("k-" + i, i % 2 == 0 ? "red" : "blue", w.sim.random.nextInt(8), 8 + w.sim.random.nextInt(20));
+            ObjectNode change =
+                    limit("k-" + i, i % 2 == 0 ? "red" : "blue", w.sim.random.nextInt(8), 8 + w.sim.random.nextInt(20));
             w.at(5_000 + w.sim.random.nextInt(80_000), () -> ask(w, change, 40));
         }
         w.at(15_000, () -> w.sim.lostAnswers.put("state", 0.3));
@@ -124,7 +135,10 @@
     }
 
     private static double used(World w) {
-        return w.rules.places.keySet().stream().mapToDouble(t -> w.rules.specs.get(t.substring(0, t.lastIndexOf('/'))).cpus()).sum();
+        return w.rules.places.keySet().stream()
+                .mapToDouble(t ->
+                        w.rules.specs.get(t.substring(0, t.lastIndexOf('/'))).cpus())
+                .sum();
     }
 
     /** The leader is refused by the state service alone, or reads nothing of it, while another controller takes the change. */
@@ -132,8 +146,16 @@
     @ValueSource(booleans = {true, false})
     void aLeaderThatCannotReadStartsNothingForbidden(boolean refused) {
         // A cancellation may take so long here that it would let the leader go on for far longer without news.
-        World w = new World(new World.Setup(21, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, 60_000,
-                Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0)), new Settings.State(200, 20, 4, 8)));
+        World w = new World(new World.Setup(
+                21,
+                3,
+                20,
+                3_000,
+                World.REPORT_MS,
+                World.LEASE_MS,
+                60_000,
+                Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0)),
+                new Settings.State(200, 20, 4, 8)));
         ask(w, limit("first", "blue", 4, 60), 5);
         for (int i = 0; i < 30; i++) {
             int n = i;
@@ -147,11 +169,13 @@
             w.state.unread.add(leader.host.name);
         }
         World.Node other = w.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        w.at(15_500, () -> w.configure(other.index, limit("none", "blue", 0, 1), reply -> { }));
+        w.at(15_500, () -> w.configure(other.index, limit("none", "blue", 0, 1), reply -> {}));
         long[] startsThen = new long[1];
         w.at(15_500 + IN_FORCE_MS, () -> startsThen[0] = w.rules.starts);
         w.sim.run(34_000);
-        assertTrue(w.rules.starts - startsThen[0] <= 4, (w.rules.starts - startsThen[0]) + " starts of two processors' limit 1");
+        assertTrue(
+                w.rules.starts - startsThen[0] <= 4,
+                (w.rules.starts - startsThen[0]) + " starts of two processors' limit 1");
         w.state.unread.clear();
         w.sim.run(40_000);
         assertEquals(2, w.configuration(w.nodes.get(0)).get("number").intValue());
@@ -171,12 +195,20 @@
         remove.putArray("remove").add("green");
         ask(w, remove, 5);
         w.sim.run(14_000);
-        assertEquals(422, w.post(w.nodes.get(1), Json.bytes(World.job(2, "green", false, 1, 1, 1).json())));
+        assertEquals(
+                422,
+                w.post(
+                        w.nodes.get(1),
+                        Json.bytes(World.job(2, "green", false, 1, 1, 1).json())));
         w.sim.run(60_000);
         assertEquals("done", w.rules.told.get(World.id(1)));
         ask(w, change("back").put("rollback", 0), 5);
         w.sim.run(65_000);
-        assertEquals(422, w.post(w.nodes.get(2), Json.bytes(World.job(2, "green", false, 1, 1, 1).json())));
+        assertEquals(
+                422,
+                w.post(
+                        w.nodes.get(2),
+                        Json.bytes(World.job(2, "green", false, 1, 1, 1).json())));
         Checks.kept(w);
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/DocumentsOnPagesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/DocumentsOnPagesTest.java
@@ -22,7 +22,8 @@
 class DocumentsOnPagesTest {
     private static JsonNode document(String page, String file) throws IOException {
         String text = Files.readString(Path.of("..", "docs", page), StandardCharsets.UTF_8);
-        Matcher found = Pattern.compile("cat > " + file + " <<'(\\w+)'\n(.*?)\n *\\1\n", Pattern.DOTALL).matcher(text);
+        Matcher found = Pattern.compile("cat > " + file + " <<'(\\w+)'\n(.*?)\n *\\1\n", Pattern.DOTALL)
+                .matcher(text);
         assertTrue(found.find(), page + " has no " + file);
         JsonNode document = Json.parse(found.group(2).getBytes(StandardCharsets.UTF_8));
         assertTrue(document != null, file + " on " + page + " is JSON");
@@ -34,7 +35,8 @@
         for (String team : teams) {
             all.put(team, new Settings.Team(team, 8, 0, 0, 0));
         }
-        return new World(new World.Setup(1, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, all, new Settings.State(200, 20, 4, 8)));
+        return new World(new World.Setup(
+                1, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, all, new Settings.State(200, 20, 4, 8)));
     }
 
     @Test
--- a/experiment/src/test/java/org/landingridge/experiment/EndedJobsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/EndedJobsTest.java
@@ -29,7 +29,8 @@
         Checks.kept(w);
         // No job is in two places, and none is lost.
         for (String id : w.rules.told.keySet()) {
-            boolean over = w.rules.told.get(id).equals("done") || w.rules.told.get(id).equals("cancelled");
+            boolean over =
+                    w.rules.told.get(id).equals("done") || w.rules.told.get(id).equals("cancelled");
             assertTrue(!over || ended(w, id), id + " has ended and stands nowhere");
         }
     }
@@ -52,7 +53,10 @@
     }
 
     private static int moved(World w) {
-        return MANY - (int) w.state.keys(Keys.JOBS).stream().filter(k -> w.state.value(k).has("ended")).count();
+        return MANY
+                - (int) w.state.keys(Keys.JOBS).stream()
+                        .filter(k -> w.state.value(k).has("ended"))
+                        .count();
     }
 
     /** A few hundred questions about jobs of the past, in between some about jobs that nobody submitted. */
@@ -223,7 +227,8 @@
         World w = new World(81, 10);
         String id = "job-100001";
         w.sim.run(20_000);
-        World.Node behind = w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
+        World.Node behind =
+                w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
         // It knows that the history is empty, and then hears of nothing any more.
         w.askOnce("job-900000", "poll", behind.index);
         w.sim.run(25_000);
--- a/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
@@ -54,10 +54,16 @@
 
     @ParameterizedTest
     @CsvSource({
-        "seeds = [4],seeds = [],seeds", "duration_s = 60,duration_s = 0,duration_s", "machines = 10,machins = 10,machins",
-        "team = \"red\",team = \"blue\",arrivals[0].team", "tasks_max = 5,tasks_max = 1,arrivals[0].tasks_max",
-        "crash_leader,crash,kind", "machines = 10,up = 30,cluster.up", "ended = 1000,ended = -1,ended",
-        "seeds = [4],seeds = [,e.toml"})
+        "seeds = [4],seeds = [],seeds",
+        "duration_s = 60,duration_s = 0,duration_s",
+        "machines = 10,machins = 10,machins",
+        "team = \"red\",team = \"blue\",arrivals[0].team",
+        "tasks_max = 5,tasks_max = 1,arrivals[0].tasks_max",
+        "crash_leader,crash,kind",
+        "machines = 10,up = 30,cluster.up",
+        "ended = 1000,ended = -1,ended",
+        "seeds = [4],seeds = [,e.toml"
+    })
     void whatIsOutOfRangeIsNamed(String good, String bad, String named) {
         BadSettings e = assertThrows(BadSettings.class, () -> read(GOOD.replace(good, bad)));
         assertTrue(e.getMessage().contains(named) && e.getMessage().contains("e.toml"), e.getMessage());
@@ -103,8 +109,12 @@
 
     @Test
     void anOutageMakesSubmissionsLate() throws BadSettings, IOException {
-        Play.Outcome o = Play.once(read(GOOD.replace("per_minute = 6", "per_minute = 60")
-                .replace("crash_leader", "state_outage").replace("for_s = 2.0", "for_s = 5.0").replace("initial = 4", "initial = 0")), 4);
+        Play.Outcome o = Play.once(
+                read(GOOD.replace("per_minute = 6", "per_minute = 60")
+                        .replace("crash_leader", "state_outage")
+                        .replace("for_s = 2.0", "for_s = 5.0")
+                        .replace("initial = 4", "initial = 0")),
+                4);
         assertEquals(5.0, o.admissions().closedS());
         assertEquals(o.submitted(), o.admissions().accepted());
         assertTrue(o.admissions().late() > 0, o.admissions().toString());
@@ -137,15 +147,31 @@
             rules.ends(task, true);
         }
         List<Served.Figure> figures = served.figures(rules, 200, 100);
-        assertEquals(List.of(new Served.Figure("batch", 2, 0.5, 1), new Served.Figure("live", 4, 0.125, 1),
-                new Served.Figure("largest batch", 1, 1, 1), new Served.Figure("largest batch begun in 240 s", 1, 1, 1),
-                new Served.Figure("team blue", 2, 0.5, 1), new Served.Figure("team red", 4, 0.125, 1)), figures);
-        assertEquals(List.of(false, true, false, false, false, true), figures.stream().map(Served.Figure::unserved).toList());
-        assertEquals(6, served.figures(rules, 200, 3).stream().filter(f -> !f.unserved()).count(),
+        assertEquals(
+                List.of(
+                        new Served.Figure("batch", 2, 0.5, 1),
+                        new Served.Figure("live", 4, 0.125, 1),
+                        new Served.Figure("largest batch", 1, 1, 1),
+                        new Served.Figure("largest batch begun in 240 s", 1, 1, 1),
+                        new Served.Figure("team blue", 2, 0.5, 1),
+                        new Served.Figure("team red", 4, 0.125, 1)),
+                figures);
+        assertEquals(
+                List.of(false, true, false, false, false, true),
+                figures.stream().map(Served.Figure::unserved).toList());
+        assertEquals(
+                6,
+                served.figures(rules, 200, 3).stream()
+                        .filter(f -> !f.unserved())
+                        .count(),
                 "with three processors nobody could serve half of it");
         served.asked(World.job(20, "blue", false, 9, 1, 20), 10);
-        assertEquals(List.of("largest batch", "largest batch begun in 240 s"), served.figures(rules, 200, 100).stream()
-                .filter(f -> f.name().startsWith("largest") && f.unserved()).map(Served.Figure::name).toList(),
+        assertEquals(
+                List.of("largest batch", "largest batch begun in 240 s"),
+                served.figures(rules, 200, 100).stream()
+                        .filter(f -> f.name().startsWith("largest") && f.unserved())
+                        .map(Served.Figure::name)
+                        .toList(),
                 "the largest of the class has not begun");
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FormatRecorder.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FormatRecorder.java
@@ -20,27 +20,31 @@
 
     /** By kind and path of the field: the types that were seen there. */
     private final TreeMap<String, TreeSet<String>> fields = new TreeMap<>();
+
     private final TreeMap<String, List<String>> samples = new TreeMap<>();
     private final TreeMap<String, JsonNode> stored = new TreeMap<>();
 
     /** One line a field: kind, path, types. */
     String fields() {
         StringBuilder text = new StringBuilder();
-        fields.forEach((field, types) -> text.append(field).append('\t').append(String.join("|", types)).append('\n'));
+        fields.forEach((field, types) ->
+                text.append(field).append('\t').append(String.join("|", types)).append('\n'));
         return text.toString();
     }
 
     /** One line a value: kind, and its bytes as text or, of records between controllers, in hexadecimal digits. */
     String samples() {
         StringBuilder text = new StringBuilder();
-        samples.forEach((kind, all) -> all.forEach(s -> text.append(kind).append('\t').append(s).append('\n')));
+        samples.forEach((kind, all) ->
+                all.forEach(s -> text.append(kind).append('\t').append(s).append('\n')));
         return text.toString();
     }
 
     /** What the state service holds now, one line a key. */
     String stored() {
         StringBuilder text = new StringBuilder();
-        stored.forEach((key, value) -> text.append(key).append('\t').append(Json.text(value)).append('\n'));
+        stored.forEach((key, value) ->
+                text.append(key).append('\t').append(Json.text(value)).append('\n'));
         return text.toString();
     }
 
@@ -71,7 +75,9 @@
         if (json != null || body.length == 0) {
             note("answer " + general(to) + " " + method + " " + route(path) + " " + status, json, body);
         } else {
-            new String(body, StandardCharsets.UTF_8).lines().filter(l -> !l.startsWith("#"))
+            new String(body, StandardCharsets.UTF_8)
+                    .lines()
+                    .filter(l -> !l.startsWith("#"))
                     .forEach(l -> field("answer " + route(path) + "\t" + l.substring(0, l.indexOf(' ')), "metric"));
         }
     }
@@ -145,8 +151,11 @@
 
     /** A name without what tells one thing of a kind from the next. */
     private static String general(String name) {
-        return name.replaceAll("job-\\d+(#\\d+)?", "<job>").replaceAll("\\b[a-z]-[0-9]+-[0-9]+\\b", "<operation>")
-                .replaceAll("\\bm-[0-9a-z]+\\b", "<machine>").replaceAll("\\brig-\\d+", "<host>")
-                .replaceAll("^(red|blue)$", "<team>").replaceAll("\\d+", "<n>");
+        return name.replaceAll("job-\\d+(#\\d+)?", "<job>")
+                .replaceAll("\\b[a-z]-[0-9]+-[0-9]+\\b", "<operation>")
+                .replaceAll("\\bm-[0-9a-z]+\\b", "<machine>")
+                .replaceAll("\\brig-\\d+", "<host>")
+                .replaceAll("^(red|blue)$", "<team>")
+                .replaceAll("\\d+", "<n>");
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/GrownTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/GrownTest.java
@@ -30,7 +30,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {201, 202})
-    @DisplayName("a takeover of a large fleet loses no replica, although one machine hangs and two controllers are dead")
+    @DisplayName(
+            "a takeover of a large fleet loses no replica, although one machine hangs and two controllers are dead")
     void takeoverOfALargeFleet(long seed) {
         World w = grown(seed);
         int starts = w.rules.starts;
@@ -65,11 +66,16 @@
         w.cloud.capacity = 500;
         long until = 45_000 + 3 * World.LEASE_MS + 12_000;
         for (long t = 45_000; t < until; t += 500) {
-            w.at(t, () -> w.workers.stream().filter(x -> x.box().zone.equals("a")).forEach(x ->
-                    w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
+            w.at(
+                    t,
+                    () -> w.workers.stream()
+                            .filter(x -> x.box().zone.equals("a"))
+                            .forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
         }
         w.sim.run(until);
-        assertEquals(2 * SERVICES, w.rules.places.values().stream().filter(p -> p.endsWith("@b")).count(),
+        assertEquals(
+                2 * SERVICES,
+                w.rules.places.values().stream().filter(p -> p.endsWith("@b")).count(),
                 "every replica runs in the zone that is left");
         w.sim.heal();
         w.sim.run(120_000);
@@ -112,7 +118,9 @@
         }
         w.sim.run(32_000);
         assertTrue(w.rules.told.size() < 240, "not all can be accepted at once");
-        int refused = w.nodes.stream().mapToInt(n -> w.metric(n, "landingridge_refused")).sum();
+        int refused = w.nodes.stream()
+                .mapToInt(n -> w.metric(n, "landingridge_refused"))
+                .sum();
         assertTrue(refused > 100, refused + " refused, with the time to come back, and none held back");
         w.sim.run(150_000);
         assertTrue(w.state.tooMany > 0);
--- a/experiment/src/test/java/org/landingridge/experiment/HistoriesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/HistoriesTest.java
@@ -22,8 +22,9 @@
         }
         for (int i = 10; i < 26; i++) {
             int n = i;
-            w.at(500L + (i - 10) * 1_500, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5,
-                    2, 2 + n % 4)));
+            w.at(
+                    500L + (i - 10) * 1_500,
+                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
             if (i % 5 == 0) {
                 w.at(3_000L + (i - 10) * 1_500, () -> w.cancel(String.format("job-%06d", n)));
             }
@@ -207,8 +208,9 @@
             w.submit(World.job(i, "blue", true, 1, 2, 0));
         }
         w.at(20_000, () -> {
-            w.workers.stream().filter(x -> w.rules.places.values().stream().anyMatch(p ->
-                    p.startsWith(x.box().id + "@"))).forEach(x -> x.hang(true));
+            w.workers.stream()
+                    .filter(x -> w.rules.places.values().stream().anyMatch(p -> p.startsWith(x.box().id + "@")))
+                    .forEach(x -> x.hang(true));
             w.leader().crash(20_000);
         });
         w.at(26_500, () -> w.workers.forEach(x -> x.hang(false)));
@@ -227,7 +229,10 @@
         }
         w.sim.run(20_000);
         Worker silent = w.workers.get(0);
-        Worker failing = w.workers.stream().filter(x -> x != silent && x.running() != null).findFirst().orElseThrow();
+        Worker failing = w.workers.stream()
+                .filter(x -> x != silent && x.running() != null)
+                .findFirst()
+                .orElseThrow();
         silent.hang(true);
         w.leader().crash(2_000);
         w.sim.run(24_500);
