--- a/experiment/src/test/java/org/landingridge/experiment/MeetingsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/MeetingsTest.java
@@ -41,7 +41,9 @@
     }
 
     private static long left(World w) {
-        return w.rules.places.keySet().stream().filter(t -> "cancelled".equals(w.rules.told.get(t.substring(0, 10)))).count();
+        return w.rules.places.keySet().stream()
+                .filter(t -> "cancelled".equals(w.rules.told.get(t.substring(0, 10))))
+                .count();
     }
 
     /** The leader is refused alone, another confirms cancellations, and after so many milliseconds all are refused for long. */
@@ -79,7 +81,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 100", "2, 600", "3, 50", "4, 1500"})
-    @DisplayName("who confirmed it dies right after and is back: its next life cannot vouch, so the lead ends by itself in time")
+    @DisplayName(
+            "who confirmed it dies right after and is back: its next life cannot vouch, so the lead ends by itself in time")
     void theCancellerBeginsAnew(long seed, long back) {
         World w = busy(510 + seed, 3);
         World.Node other = gap(w, 900);
@@ -122,7 +125,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("two of five are refused, a third confirms, and the answers of the state service get lost at the worst moment")
+    @DisplayName(
+            "two of five are refused, a third confirms, and the answers of the state service get lost at the worst moment")
     void aSecondIsRefused(long seed) {
         World w = busy(550 + seed, 5);
         World.Node other = gap(w, 900);
@@ -154,17 +158,20 @@
 
     @ParameterizedTest
     @CsvSource({"1, 100", "2, 3000", "3, 20000"})
-    @DisplayName("a leader ends while machines are deaf: they report, hear nothing, and what they held runs elsewhere a lease later")
+    @DisplayName(
+            "a leader ends while machines are deaf: they report, hear nothing, and what they held runs elsewhere a lease later")
     void machinesAreDeaf(long seed, long back) {
         World w = busy(570 + seed, 3);
-        List<Worker> deaf = w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
+        List<Worker> deaf =
+                w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
         w.at(46_000, () -> deaf.forEach(x -> w.sim.deaf.add(x.box().id)));
         w.at(46_300, () -> w.leader().crash(back));
         w.at(46_300 + 5 * World.LEASE_MS, w.sim.deaf::clear);
         // A hold, a lease, a report that takes 5 s since it waits for its answer, and a boot.
         w.sim.run(46_300 + 3_500 + World.LEASE_MS + 5_500 + 4_500);
         kept(w);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size(), "everything runs again although the deaf machines still report");
+        assertEquals(
+                4 + 2 * JOBS, w.rules.places.size(), "everything runs again although the deaf machines still report");
         w.sim.run(150_000);
         kept(w);
         assertEquals(4 + 2 * JOBS, w.rules.places.size());
@@ -172,7 +179,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("a leader whose hold ended takes the lead again: what it answered itself meanwhile counts as an answer")
+    @DisplayName(
+            "a leader whose hold ended takes the lead again: what it answered itself meanwhile counts as an answer")
     void theLeadComesBackToTheOneThatHadIt(long seed) {
         World w = busy(520 + seed, 3);
         World.Node leader = w.leader();
@@ -191,7 +199,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("machines whose reports are lost begin a session, and get starts by calls: its lease counts, not the last one's")
+    @DisplayName(
+            "machines whose reports are lost begin a session, and get starts by calls: its lease counts, not the last one's")
     void aSessionBeginsThatNobodyAnswered(long seed) {
         World w = busy(580 + seed, 3);
         w.at(46_000, () -> w.workers.stream().filter(x -> x.running() != null).forEach(x -> w.unheard.add(x.box().id)));
@@ -204,7 +213,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("a leader stands still while another controller is refused: it carries reports to the new one, which it only hears")
+    @DisplayName(
+            "a leader stands still while another controller is refused: it carries reports to the new one, which it only hears")
     void aRefusedOneSendsNobodyToTheOldLeader(long seed) {
         World w = busy(590 + seed, 3);
         int starts = w.rules.starts;
@@ -231,7 +241,8 @@
         World.Node carrier = w.nodes.get((leader.index + 2) % 3);
         List<Worker> lives = w.workers.stream().filter(x -> x.running() != null).toList();
         List<String> names = lives.stream().map(x -> x.box().id).toList();
-        // The carrier cannot lead, and is the only one whom the machines reach; not at first where their leases are to run out.
+        // The carrier cannot lead, and is the only one whom the machines reach; not at first where their leases are to
+        // run out.
         w.at(45_900, () -> w.state.refuse(carrier.host.name, true));
         w.at(46_000, () -> names.forEach(x -> w.sim.cut(next.host.name, x)));
         w.at(46_100, () -> leader.crash(60_000));
@@ -249,7 +260,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0, 200", "2, 20, 200", "3, 120, 3000", "4, 600, 60", "5, 2500, 12000", "6, 60, 12000"})
-    @DisplayName("one task of each pair ends, the leader goes just then, the other ends under its successor: done when both are")
+    @DisplayName(
+            "one task of each pair ends, the leader goes just then, the other ends under its successor: done when both are")
     void endsFarApart(long seed, long after, long back) {
         World w = busy(620 + seed, 3);
         for (int i = 0; i < 8; i++) {
@@ -258,11 +270,13 @@
         w.sim.run(55_000);
         // The first task of each fails again and again, so that it ends long after the others.
         for (long t = 55_000; t < 105_000; t += 5_000) {
-            w.at(t, () -> w.workers.forEach(x -> {
-                for (int i = 0; i < 8; i++) {
-                    x.fail(World.id(FIRST + 30 + i) + "/0");
-                }
-            }));
+            w.at(
+                    t,
+                    () -> w.workers.forEach(x -> {
+                        for (int i = 0; i < 8; i++) {
+                            x.fail(World.id(FIRST + 30 + i) + "/0");
+                        }
+                    }));
         }
         w.at(76_500 + after, () -> crash(w.leader(), back));
         w.at(79_000 + after, () -> w.nodes.forEach(n -> crash(n, back / 4)));
@@ -305,7 +319,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0.3", "2, 0.6", "3, 0.9", "4, 0.5", "5, 0.8"})
-    @DisplayName("transactions without an answer come true late, after newer ones: users cancel, tasks end, the leader changes")
+    @DisplayName(
+            "transactions without an answer come true late, after newer ones: users cancel, tasks end, the leader changes")
     void lateTransactions(long seed, double share) {
         World w = busy(640 + seed, 3);
         w.at(46_000, () -> w.state.lateWrites(share, w.sim.random));
@@ -332,7 +347,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    @DisplayName("reports come again up to two leases late, through restarts of leaders and machines: they end, revive, place nothing")
+    @DisplayName(
+            "reports come again up to two leases late, through restarts of leaders and machines: they end, revive, place nothing")
     void lateReports(long seed) {
         World w = busy(650 + seed, 3);
         w.lateReports = 0.5;
@@ -354,7 +370,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 12000", "2, 25000", "3, 60000"})
-    @DisplayName("a leader reaches workers and users, not the state service nor the others; jobs are cancelled through the new one")
+    @DisplayName(
+            "a leader reaches workers and users, not the state service nor the others; jobs are cancelled through the new one")
     void cutFromStateAndPeers(long seed, long forMs) {
         World w = busy(660 + seed, 3);
         World.Node leader = w.leader();
@@ -382,7 +399,9 @@
         w.at(46_000, () -> w.state.outage(true));
         w.at(50_000, () -> w.nodes.forEach(n -> crash(n, 100 + n.index * 4_000)));
         w.at(95_000, () -> w.state.outage(false));
-        List<String> ids = IntStream.range(0, 60).mapToObj(i -> World.id(i < JOBS ? FIRST + i : 2_000 + i * 7)).toList();
+        List<String> ids = IntStream.range(0, 60)
+                .mapToObj(i -> World.id(i < JOBS ? FIRST + i : 2_000 + i * 7))
+                .toList();
         for (World.Node n : w.nodes) {
             long from = 103_000 + n.index * 5_000;
             for (int i = 0; i < ids.size(); i++) {
@@ -402,10 +421,12 @@
     void theLastWordsUnderTheSameToken(long seed) {
         World w = busy(680 + seed, 3);
         List<Worker> lives = w.workers.stream().filter(x -> x.running() != null).toList();
-        w.at(46_000, () -> lives.forEach(x -> {
-            w.unheard.add(x.box().id);
-            w.sim.lostAnswers.put(x.box().id, 1.0);
-        }));
+        w.at(
+                46_000,
+                () -> lives.forEach(x -> {
+                    w.unheard.add(x.box().id);
+                    w.sim.lostAnswers.put(x.box().id, 1.0);
+                }));
         w.at(46_100, () -> w.leader().crash(60_000));
         w.at(60_000, () -> lives.forEach(x -> w.restart(x, 100)));
         w.at(60_150, () -> {
@@ -420,7 +441,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("a leader renews its hold and can read nothing: it hands over before it is blind for too long, and nothing is lost")
+    @DisplayName(
+            "a leader renews its hold and can read nothing: it hands over before it is blind for too long, and nothing is lost")
     void theLeaderCannotRead(long seed) {
         World w = busy(690 + seed, 3);
         World.Node leader = w.leader();
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -37,7 +37,7 @@
     PageTableTest() {
         sim.listen("state", sim.host("state"), state);
         client = new StateClient(sim.client(host), "state");
-        mirror = new Mirror(client, host, "lr/", "lr", 20, new Metrics(host::nanos).busy, (key, value, version) -> { });
+        mirror = new Mirror(client, host, "lr/", "lr", 20, new Metrics(host::nanos).busy, (key, value, version) -> {});
     }
 
     private static final class TextPage extends Page {
@@ -76,8 +76,15 @@
         state.seed("lr/page/0", filled(count));
         mirror.start();
         sim.run(500);
-        GroupWriter writer = new GroupWriter(client, mirror, host, new Settings.State(100, 10, 1, writesToATransaction), 1.0, LEADER,
-                () -> mirror.version(LEADER), new Metrics(host::nanos).busy);
+        GroupWriter writer = new GroupWriter(
+                client,
+                mirror,
+                host,
+                new Settings.State(100, 10, 1, writesToATransaction),
+                1.0,
+                LEADER,
+                () -> mirror.version(LEADER),
+                new Metrics(host::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
         TextPage page = table.open("lr/page/0");
         for (int i = 0; i < count; i++) {
@@ -105,8 +112,15 @@
         state.valueBytes = 600;
         mirror.start();
         sim.run(500);
-        GroupWriter writer = new GroupWriter(client, mirror, host, new Settings.State(100, 10, 1, 8), 1.0, LEADER,
-                () -> mirror.version(LEADER), new Metrics(host::nanos).busy);
+        GroupWriter writer = new GroupWriter(
+                client,
+                mirror,
+                host,
+                new Settings.State(100, 10, 1, 8),
+                1.0,
+                LEADER,
+                () -> mirror.version(LEADER),
+                new Metrics(host::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
         for (int p = 0; p < 4; p++) {
             TextPage page = table.open("lr/page/" + p);
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -90,7 +90,9 @@
     void leadersEndInBetween(long seed) {
         World w = world(seed, 20, 4_000);
         for (int i = 0; i < 9; i++) {
-            w.at(9_000 + i * 9_000L + seed * 131 + i * 17L, () -> Checks.crash(w.leader(), 500 + w.sim.random.nextInt(3_000)));
+            w.at(
+                    9_000 + i * 9_000L + seed * 131 + i * 17L,
+                    () -> Checks.crash(w.leader(), 500 + w.sim.random.nextInt(3_000)));
         }
         allOver(w, 300_000);
     }
@@ -131,7 +133,9 @@
             w.at(200 + i * 100L, () -> w.submit(service));
         }
         w.sim.run(39_000);
-        long larger = w.state.keys(Keys.ROOT).stream().filter(k -> Json.bytes(w.state.value(k)).length > AFTER.valueBytes()).count();
+        long larger = w.state.keys(Keys.ROOT).stream()
+                .filter(k -> Json.bytes(w.state.value(k)).length > AFTER.valueBytes())
+                .count();
         assertTrue(larger > 0, "the earlier version fills its pages");
         w.upgrade(40_000, 8_000, 1_000, AFTER);
         for (int i = 0; i < 10; i++) {
@@ -224,6 +228,8 @@
     private static int post(World w, int number, String awaited) {
         JobSpec spec = World.job(number, "blue", false, 1, 1, 1);
         w.rules.specs.putIfAbsent(spec.id(), spec);
-        return w.post(w.nodes.get(number % 3), Json.bytes(spec.awaiting(List.of(awaited)).json()));
+        return w.post(
+                w.nodes.get(number % 3),
+                Json.bytes(spec.awaiting(List.of(awaited)).json()));
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/PlacesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacesTest.java
@@ -29,30 +29,63 @@
         return IntStream.range(first, first + count).mapToObj(World::id).toList();
     }
 
-    private static JobSpec bound(int number, int tasks, double cpus, double seconds, String zone, boolean oneZone, boolean spread) {
-        return new JobSpec(World.id(number), "bound", "blue", false, Priority.NORMAL, tasks, cpus, 0, cpus, "img-0", 0.3, null,
-                zone, oneZone, spread, true, seconds, 0, 0, null);
+    private static JobSpec bound(
+            int number, int tasks, double cpus, double seconds, String zone, boolean oneZone, boolean spread) {
+        return new JobSpec(
+                World.id(number),
+                "bound",
+                "blue",
+                false,
+                Priority.NORMAL,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "img-0",
+                0.3,
+                null,
+                zone,
+                oneZone,
+                spread,
+                true,
+                seconds,
+                0,
+                0,
+                null);
     }
 
     private static Worker holder(World w, String task) {
         String place = w.rules.places.get(task);
-        return place == null ? null : w.workers.stream().filter(x -> place.startsWith(x.box().id + "@")).findFirst().orElse(null);
+        return place == null
+                ? null
+                : w.workers.stream()
+                        .filter(x -> place.startsWith(x.box().id + "@"))
+                        .findFirst()
+                        .orElse(null);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.3", "2, 0.6", "3, 1.0", "4, 1.0", "5, 0.5"})
-    @DisplayName("kept reports reach every controller as a leader begins, again and again: they move, end, stop nothing")
+    @DisplayName(
+            "kept reports reach every controller as a leader begins, again and again: they move, end, stop nothing")
     void keptReports(long seed, double share) {
         World w = new World(1_020 + seed, 8);
         services(w, 4);
         for (int i = 0; i < 10; i++) {
             int n = FIRST + i;
-            w.at(31_000 + i * 2_500L, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
+            w.at(
+                    31_000 + i * 2_500L,
+                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
         }
         w.keptReports = share;
         for (long t = 38_000; t < 75_000; t += 6_000) {
             w.at(t, () -> crash(w.leader(), 300));
-            w.at(t - 2_500, () -> w.workers.stream().filter(x -> x.running() != null).limit(2).forEach(x -> x.fail(x.running())));
+            w.at(
+                    t - 2_500,
+                    () -> w.workers.stream()
+                            .filter(x -> x.running() != null)
+                            .limit(2)
+                            .forEach(x -> x.fail(x.running())));
         }
         w.at(50_000, () -> w.restart(w.workers.get(0), 150));
         w.at(62_000, () -> w.workers.get(1).hang(true));
@@ -106,7 +139,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("machines that reach no controller while calls reach them hold nothing beyond their lease, and get no more")
+    @DisplayName(
+            "machines that reach no controller while calls reach them hold nothing beyond their lease, and get no more")
     void machinesAreMute(long seed) {
         World w = new World(1_060 + seed, 0);
         services(w, 4);
@@ -114,7 +148,8 @@
             w.submit(World.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
-        List<Worker> mute = w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
+        List<Worker> mute =
+                w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
         w.at(46_000, () -> mute.forEach(x -> w.unheard.add(x.box().id)));
         if (seed == 2) {
             w.at(47_000, () -> crash(w.leader(), 300));
@@ -124,7 +159,9 @@
         for (long t = w.sim.now; t < 110_000; t += 500) {
             w.sim.run(t);
             assertEquals(16, w.rules.places.size(), "everything runs, elsewhere, at " + t);
-            assertTrue(mute.stream().allMatch(x -> x.running() == null), "nothing is given to a machine that cannot report");
+            assertTrue(
+                    mute.stream().allMatch(x -> x.running() == null),
+                    "nothing is given to a machine that cannot report");
         }
         w.unheard.clear();
         settled(w, ids(FIRST, 6));
@@ -132,7 +169,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 5000, false", "2, 12000, false", "3, 20000, true", "4, 7000, true", "5, 12000, true"})
-    @DisplayName("teams at their limits; users cancel, the machines concerned hang or are cut off, the leader goes: never above, not held up")
+    @DisplayName(
+            "teams at their limits; users cancel, the machines concerned hang or are cut off, the leader goes: never above, not held up")
     void atTheLimit(long seed, long forMs, boolean cut) {
         World w = new World(limited(1_080 + seed));
         for (int i = 0; i < 24; i++) {
@@ -144,8 +182,12 @@
             long at = 30_000 + round * 30_000L;
             w.at(at, () -> w.cancelNow(5, cut ? 0 : forMs));
             if (cut) {
-                w.at(at - 50, () -> w.workers.stream().filter(x -> x.running() != null).limit(4).forEach(x -> w.nodes.forEach(n ->
-                        w.sim.cut(n.host.name, x.box().id))));
+                w.at(
+                        at - 50,
+                        () -> w.workers.stream()
+                                .filter(x -> x.running() != null)
+                                .limit(4)
+                                .forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
                 w.at(at + forMs, w.sim::heal);
             }
             w.at(at + 120, () -> crash(w.leader(), 400));
@@ -170,15 +212,24 @@
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("red", new Settings.Team("red", 4, 8, 0, 0));
         teams.put("blue", new Settings.Team("blue", 4, 9, 0, 0));
-        return new World.Setup(seed, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, teams, new Settings.State(200, 20, 4, 8));
+        return new World.Setup(
+                seed, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, teams, new Settings.State(200, 20, 4, 8));
     }
 
     @ParameterizedTest
     @CsvSource({"1, true, 0.5", "2, false, 0.5", "3, true, 0.9", "4, false, 0.8", "5, false, 0.9"})
-    @DisplayName("machines are up at once and get work, while writes lag and the leader ends: nothing runs twice, nothing is kept for nothing")
+    @DisplayName(
+            "machines are up at once and get work, while writes lag and the leader ends: nothing runs twice, nothing is kept for nothing")
     void upAtOnce(long seed, boolean atOnce, double share) {
-        World w = new World(new World.Setup(1_100 + seed, 3, 20, 300, World.REPORT_MS, World.LEASE_MS,
-                World.Setup.small(0, 0, 3).teams(), new Settings.State(200, 20, 4, 8)));
+        World w = new World(new World.Setup(
+                1_100 + seed,
+                3,
+                20,
+                300,
+                World.REPORT_MS,
+                World.LEASE_MS,
+                World.Setup.small(0, 0, 3).teams(),
+                new Settings.State(200, 20, 4, 8)));
         services(w, 2);
         for (int round = 0; round < 4; round++) {
             int first = FIRST + round * 8;
@@ -207,7 +258,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 40", "2, 200", "3, 700", "4, 1500"})
-    @DisplayName("users call off while work changes hands, at the old leader, the new one and a third; the machines hang, the state service goes")
+    @DisplayName(
+            "users call off while work changes hands, at the old leader, the new one and a third; the machines hang, the state service goes")
     void cancelledInTheHandOver(long seed, long spread) {
         World w = new World(1_120 + seed, 0);
         services(w, 2);
@@ -223,10 +275,15 @@
                 String id = World.id(first + i);
                 w.at(at + i * spread, () -> w.cancel(id));
             }
-            w.at(at + 300, () -> w.workers.stream().filter(x -> x.running() != null).limit(4).forEach(x -> {
-                x.hang(true);
-                w.at(at + 300 + World.LEASE_MS - 1_500, () -> x.hang(false));
-            }));
+            w.at(
+                    at + 300,
+                    () -> w.workers.stream()
+                            .filter(x -> x.running() != null)
+                            .limit(4)
+                            .forEach(x -> {
+                                x.hang(true);
+                                w.at(at + 300 + World.LEASE_MS - 1_500, () -> x.hang(false));
+                            }));
             if (round == 1) {
                 w.at(at + 1_000, () -> w.state.outage(true));
                 w.at(at + 1_000 + World.CANCEL_MS + 4_000, () -> w.state.outage(false));
@@ -252,7 +309,9 @@
         for (int i = 0; i < 30; i++) {
             int n = FIRST + i;
             ids.add(World.id(n));
-            w.at(31_000 + i * 4_000L, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
+            w.at(
+                    31_000 + i * 4_000L,
+                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
             if (n % 4 == 0) {
                 w.at(34_000 + i * 4_000L, () -> w.cancel(World.id(n)));
             }
@@ -278,7 +337,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("a zone with machines and a controller is cut off for longer than a lease, the leader within or without; jobs are cancelled outside")
+    @DisplayName(
+            "a zone with machines and a controller is cut off for longer than a lease, the leader within or without; jobs are cancelled outside")
     void aZoneWithAController(long seed) {
         World w = new World(1_160 + seed, 0);
         services(w, 4);
@@ -298,7 +358,8 @@
                 w.sim.cut(inside.host.name, "state");
             }
         });
-        World.Node outside = w.nodes.stream().filter(n -> n != inside).findFirst().orElseThrow();
+        World.Node outside =
+                w.nodes.stream().filter(n -> n != inside).findFirst().orElseThrow();
         for (int i = 0; i < 3; i++) {
             String id = World.id(FIRST + i);
             w.at(47_000 + i * 900L, () -> w.askOnce(id, "cancel", outside.index));
@@ -312,7 +373,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("a cancelled job that a fresh leader has no room to remember still runs on machines that cannot report: its team's limit holds")
+    @DisplayName(
+            "a cancelled job that a fresh leader has no room to remember still runs on machines that cannot report: its team's limit holds")
     void nobodyRemembersTheJob(long seed) {
         World w = new World(1_180 + seed, 8);
         services(w, 2);
@@ -321,7 +383,10 @@
         w.submit(World.job(FIRST + 2, "blue", false, 8, 1, 7));
         w.sim.run(45_000);
         w.submit(World.job(FIRST + 1, "red", false, 8, 1, 5));
-        List<Worker> mute = IntStream.range(0, 8).mapToObj(i -> holder(w, World.id(FIRST) + "/" + i)).distinct().toList();
+        List<Worker> mute = IntStream.range(0, 8)
+                .mapToObj(i -> holder(w, World.id(FIRST) + "/" + i))
+                .distinct()
+                .toList();
         w.at(46_000, () -> mute.forEach(x -> w.unheard.add(x.box().id)));
         // The leader that could act on it has just ended.
         World.Node other = w.nodes.get((w.leader().index + 1) % 3);
@@ -341,18 +406,47 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    @DisplayName("more work than room, urgent and not, over slow links, through a change of leader: the largest begin, all is served in the end")
+    @DisplayName(
+            "more work than room, urgent and not, over slow links, through a change of leader: the largest begin, all is served in the end")
     void moreWorkThanRoom(long seed) {
-        World w = new World(new World.Setup(1_200 + seed, 3, 3, 3_000, World.REPORT_MS, World.LEASE_MS,
-                World.Setup.small(0, 0, 3).teams(), new Settings.State(200, 20, 4, 8)));
+        World w = new World(new World.Setup(
+                1_200 + seed,
+                3,
+                3,
+                3_000,
+                World.REPORT_MS,
+                World.LEASE_MS,
+                World.Setup.small(0, 0, 3).teams(),
+                new Settings.State(200, 20, 4, 8)));
         w.nodes.forEach(n -> w.sim.slow.put(n.host.name, 600L));
         services(w, 2);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             JobSpec small = World.job(FIRST + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
             ids.add(small.id());
-            w.at(31_000 + i * 3_000L, () -> w.submit(new JobSpec(small.id(), "urgent", small.team(), false, Priority.of("urgent"), 2, 1, 0, 1,
-                    "img-1", 0.3, null, null, false, false, true, 12, 0, 0, null)));
+            w.at(
+                    31_000 + i * 3_000L,
+                    () -> w.submit(new JobSpec(
+                            small.id(),
+                            "urgent",
+                            small.team(),
+                            false,
+                            Priority.of("urgent"),
+                            2,
+                            1,
+                            0,
+                            1,
+                            "img-1",
+                            0.3,
+                            null,
+                            null,
+                            false,
+                            false,
+                            true,
+                            12,
+                            0,
+                            0,
+                            null)));
         }
         for (int i = 0; i < 3; i++) {
             JobSpec large = World.job(FIRST + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
@@ -365,7 +459,9 @@
         w.sim.run(400_000);
         kept(w);
         for (int i = 0; i < 3; i++) {
-            assertTrue(w.rules.firstStart(World.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000, "a large one has begun in time");
+            assertTrue(
+                    w.rules.firstStart(World.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
+                    "a large one has begun in time");
         }
         Checks.everybodySaysTheSame(w, ids);
     }
--- a/experiment/src/test/java/org/landingridge/experiment/QuickReturnTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/QuickReturnTest.java
@@ -24,8 +24,14 @@
     private static final long LEASE_MS = 20_000;
 
     private static World world(long seed, int controllers) {
-        return new World(new World.Setup(seed, controllers, 40, 3_000, 2_000, LEASE_MS, Map.of("blue",
-                new Settings.Team("blue", 8, 0, 0, 0), "red", new Settings.Team("red", 8, 10, 0, 0)),
+        return new World(new World.Setup(
+                seed,
+                controllers,
+                40,
+                3_000,
+                2_000,
+                LEASE_MS,
+                Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0), "red", new Settings.Team("red", 8, 10, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
     }
 
@@ -33,8 +39,9 @@
     private static void load(World w) {
         for (int i = 20; i < 60; i++) {
             int n = i;
-            w.at(1_000L + (i - 20) * 2_000, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2,
-                    2 + n % 4)));
+            w.at(
+                    1_000L + (i - 20) * 2_000,
+                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
             if (i % 4 == 0) {
                 w.at(4_000L + (i - 20) * 2_000, () -> w.cancel(World.id(n)));
             }
@@ -47,7 +54,8 @@
     void aMachineBeginsAnew(long back) {
         World w = world(401, 3);
         services(w, 12);
-        Worker lost = w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
+        Worker lost =
+                w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
         w.restart(lost, back);
         w.sim.run(30_000 + back + 8_000);
         assertEquals(12, w.rules.places.size(), "everything runs again long before a lease is over");
@@ -62,10 +70,19 @@
     void aMachineAgainAndAgain() {
         World w = world(402, 3);
         services(w, 12);
-        String id = w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow().box().id;
+        String id = w.workers.stream()
+                .filter(x -> x.running() != null)
+                .findFirst()
+                .orElseThrow()
+                .box()
+                .id;
         for (int i = 0; i < 5; i++) {
-            w.at(31_000 + i * 700L, () -> w.workers.stream().filter(x -> x.box().id.equals(id)).findFirst()
-                    .ifPresent(x -> w.restart(x, 100)));
+            w.at(
+                    31_000 + i * 700L,
+                    () -> w.workers.stream()
+                            .filter(x -> x.box().id.equals(id))
+                            .findFirst()
+                            .ifPresent(x -> w.restart(x, 100)));
         }
         w.at(32_500, () -> w.leader().crash(100));
         w.sim.run(60_000);
@@ -100,7 +117,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("a third of all messages comes again late, between any two parties, with takeovers and lost machines beside")
+    @DisplayName(
+            "a third of all messages comes again late, between any two parties, with takeovers and lost machines beside")
     void lateCopiesOfEverything(long seed) {
         World w = world(420 + seed, 3);
         w.sim.copied.put("", 0.3);
@@ -165,7 +183,10 @@
         World.Node leader = w.leader();
         w.state.outage(true);
         String other = w.nodes.get((leader.index + 1) % 3).host.name;
-        w.at(40_000, () -> leader.controller.received(new Message.Refuse(other, w.status(leader).path("token").asLong(), 1)));
+        w.at(
+                40_000,
+                () -> leader.controller.received(
+                        new Message.Refuse(other, w.status(leader).path("token").asLong(), 1)));
         w.at(30_000 + 3 * LEASE_MS, () -> w.state.outage(false));
         w.sim.run(60_000 + 3 * LEASE_MS);
         kept(w);
@@ -181,8 +202,15 @@
         World.Node leader = w.leader();
         w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id));
         w.nodes.stream().filter(n -> n != leader).forEach(n -> {
-            Message late = new Message.Running(w.nodes.stream().filter(o -> o != n && o != leader).findFirst().orElseThrow()
-                    .host.name, Map.of(), false);
+            Message late = new Message.Running(
+                    w.nodes.stream()
+                            .filter(o -> o != n && o != leader)
+                            .findFirst()
+                            .orElseThrow()
+                            .host
+                            .name,
+                    Map.of(),
+                    false);
             for (long t = 30_000; t < 30_000 + 2 * LEASE_MS; t += 50) {
                 w.at(t, () -> n.controller.received(late));
             }
@@ -212,7 +240,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {4_000, 12_000, 30_000})
-    @DisplayName("a leader that stood still for longer than its hold, and others too, gives nothing from its former right")
+    @DisplayName(
+            "a leader that stood still for longer than its hold, and others too, gives nothing from its former right")
     void longerThanTheHold(long ms) {
         World w = world(451, 3);
         services(w, 8);
--- a/experiment/src/test/java/org/landingridge/experiment/RandomMeetingsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RandomMeetingsTest.java
@@ -13,14 +13,16 @@
 class RandomMeetingsTest {
     @ParameterizedTest
     @ValueSource(longs = {8, 12, 33, 41, 80, 166, 2001, 2002, 2003, 2004})
-    @DisplayName("two or three troubles within seconds, four times: no rule breaks, everybody finds an answer, everybody is served")
+    @DisplayName(
+            "two or three troubles within seconds, four times: no rule breaks, everybody finds an answer, everybody is served")
     void noRuleBreaks(long seed) throws BadSettings {
         plays("meetings.toml", seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {3, 19, 79, 169, 3001, 3002, 3003, 3004})
-    @DisplayName("the same with what the operators named later; besides, nothing odd is accepted and nobody waits beside free room")
+    @DisplayName(
+            "the same with what the operators named later; besides, nothing odd is accepted and nobody waits beside free room")
     void norLater(long seed) throws BadSettings {
         plays("further-meetings.toml", seed);
     }
@@ -36,6 +38,7 @@
         Experiment plan = Experiment.read(Path.of("..", "deploy", "experiments", file));
         Play.Outcome o = Play.once(plan, seed, false);
         assertEquals(List.of(), o.broken());
-        assertEquals(List.of(), o.served().stream().filter(Served.Figure::unserved).toList());
+        assertEquals(
+                List.of(), o.served().stream().filter(Served.Figure::unserved).toList());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
@@ -65,12 +65,16 @@
         }
         w.submit(World.job(20, "blue", false, 3, 1, 10));
         w.submit(World.job(21, "red", false, 2, 1, 60));
-        w.at(12_000, () -> w.submitWhenAwaitedAreAccepted(following(World.job(22, "blue", false, 2, 1, 5), "job-000020")));
-        w.at(14_000, () -> w.submitWhenAwaitedAreAccepted(following(World.job(23, "blue", false, 2, 1, 5), "job-000021")));
+        w.at(
+                12_000,
+                () -> w.submitWhenAwaitedAreAccepted(following(World.job(22, "blue", false, 2, 1, 5), "job-000020")));
+        w.at(
+                14_000,
+                () -> w.submitWhenAwaitedAreAccepted(following(World.job(23, "blue", false, 2, 1, 5), "job-000021")));
         w.at(25_000, () -> w.cancel("job-000021"));
         w.at(30_000, () -> w.workers.get(0).hang(true));
         w.at(35_000, () -> w.cancel("job-000001"));
-        w.at(40_000, () -> w.configure(0, limit("red", 6), reply -> { }));
+        w.at(40_000, () -> w.configure(0, limit("red", 6), reply -> {}));
         w.at(45_000, () -> w.state.outage(true));
         w.at(55_000, () -> w.state.outage(false));
         w.at(62_000, () -> w.restart(w.workers.get(1), 500));
@@ -79,8 +83,9 @@
         for (int i = 0; i < 12; i++) {
             w.at(120_000 + i * 500L, () -> w.oddRequest());
         }
-        for (String path : List.of("/ready", "/metrics", "/api/status", "/api/config", "/api/config/history", "/none")) {
-            w.at(130_000, () -> w.sim.client(visitor).call(w.nodeAddr(1), "GET", path, null, 1_000, reply -> { }));
+        for (String path :
+                List.of("/ready", "/metrics", "/api/status", "/api/config", "/api/config/history", "/none")) {
+            w.at(130_000, () -> w.sim.client(visitor).call(w.nodeAddr(1), "GET", path, null, 1_000, reply -> {}));
         }
         return w;
     }
@@ -120,8 +125,12 @@
             Files.writeString(written, actual);
             List<String> before = expected.lines().toList();
             List<String> after = actual.lines().toList();
-            assertEquals(List.of(), after.stream().filter(l -> !before.contains(l)).toList(), "new; all is in " + written);
-            assertEquals(List.of(), before.stream().filter(l -> !after.contains(l)).toList(), "missing; all is in " + written);
+            assertEquals(
+                    List.of(), after.stream().filter(l -> !before.contains(l)).toList(), "new; all is in " + written);
+            assertEquals(
+                    List.of(),
+                    before.stream().filter(l -> !after.contains(l)).toList(),
+                    "missing; all is in " + written);
         }
     }
 
@@ -135,8 +144,15 @@
     @ParameterizedTest
     @ValueSource(strings = {"samples.txt", "production-samples.txt"})
     void recordsBetweenControllersAreReadAndWrittenBack(String name) throws IOException {
-        List<String> records = text(name).lines().filter(l -> l.startsWith("record ")).toList();
-        assertTrue(records.stream().map(l -> l.substring(0, l.indexOf('\t'))).distinct().count() >= 6, records.toString());
+        List<String> records =
+                text(name).lines().filter(l -> l.startsWith("record ")).toList();
+        assertTrue(
+                records.stream()
+                                .map(l -> l.substring(0, l.indexOf('\t')))
+                                .distinct()
+                                .count()
+                        >= 6,
+                records.toString());
         for (String line : records) {
             byte[] bytes = HexFormat.of().parseHex(line.substring(line.indexOf('\t') + 1));
             Message message = Message.decode(new DataInputStream(new ByteArrayInputStream(bytes)));
@@ -146,12 +162,20 @@
 
     /** A store as it stood, while work ran, right before all controllers are replaced by this version's. */
     @ParameterizedTest
-    @ValueSource(strings = {"stored.txt", "production-stored.txt", "production-stored-early.txt",
-        "production-stored-running.txt"})
+    @ValueSource(
+            strings = {
+                "stored.txt",
+                "production-stored.txt",
+                "production-stored-early.txt",
+                "production-stored-running.txt"
+            })
     void aStoreAsItStoodIsTakenOver(String name) throws IOException {
         Map<String, JsonNode> before = new TreeMap<>();
-        text(name).lines().forEach(l -> before.put(l.substring(0, l.indexOf('\t')),
-                Json.parse(l.substring(l.indexOf('\t') + 1).getBytes(StandardCharsets.UTF_8))));
+        text(name)
+                .lines()
+                .forEach(l -> before.put(
+                        l.substring(0, l.indexOf('\t')),
+                        Json.parse(l.substring(l.indexOf('\t') + 1).getBytes(StandardCharsets.UTF_8))));
         assertFalse(before.isEmpty(), name);
         World w = new World(9, 0);
         before.forEach((key, value) -> {
@@ -164,15 +188,22 @@
             assertTrue(w.sim.now < 10_000, "nobody leads");
         }
         JsonNode status = w.status(w.leader());
-        assertEquals(machines(before.entrySet().stream()), status.get("machines").properties().stream()
-                .mapToInt(e -> e.getValue().intValue()).sum(), status.toString());
+        assertEquals(
+                machines(before.entrySet().stream()),
+                status.get("machines").properties().stream()
+                        .mapToInt(e -> e.getValue().intValue())
+                        .sum(),
+                status.toString());
         for (Map.Entry<String, JsonNode> e : before.entrySet()) {
             if (e.getKey().startsWith(Keys.JOBS)) {
                 String id = e.getKey().substring(Keys.JOBS.length());
                 String ended = e.getValue().path("ended").asText("");
                 JsonNode shown = show(w, id);
                 assertEquals(ended.equals("DONE"), shown.path("status").asText().equals("done"), id + ": " + shown);
-                assertEquals(ended.equals("CANCELLED"), shown.path("status").asText().equals("cancelled"), id + ": " + shown);
+                assertEquals(
+                        ended.equals("CANCELLED"),
+                        shown.path("status").asText().equals("cancelled"),
+                        id + ": " + shown);
             }
         }
         assertEquals(tasksDone(before), tasksDone(w, before));
@@ -181,8 +212,14 @@
     /** What the first controller answers to a poll. */
     private static JsonNode show(World w, String id) {
         JsonNode[] shown = new JsonNode[1];
-        w.sim.client(w.sim.host("visitor")).call(w.nodeAddr(0), "GET", "/api/jobs/" + id, null, 2_000,
-                reply -> shown[0] = Json.parse(reply.body()));
+        w.sim.client(w.sim.host("visitor"))
+                .call(
+                        w.nodeAddr(0),
+                        "GET",
+                        "/api/jobs/" + id,
+                        null,
+                        2_000,
+                        reply -> shown[0] = Json.parse(reply.body()));
         while (shown[0] == null || shown[0].has("error")) {
             w.sim.run(w.sim.now + 10);
             assertTrue(w.sim.now < 20_000, id + ": " + shown[0]);
@@ -191,13 +228,16 @@
     }
 
     private static int machines(Stream<Map.Entry<String, JsonNode>> stored) {
-        return stored.filter(e -> e.getKey().startsWith(Keys.ROOT + "fleet/")).mapToInt(e -> e.getValue().size() - 1).sum();
+        return stored.filter(e -> e.getKey().startsWith(Keys.ROOT + "fleet/"))
+                .mapToInt(e -> e.getValue().size() - 1)
+                .sum();
     }
 
     private static int tasksDone(Map<String, JsonNode> stored) {
         int done = 0;
         for (Map.Entry<String, JsonNode> row : liveChunks(stored)) {
-            done += BitSet.valueOf(Base64.getDecoder().decode(row.getValue().textValue())).cardinality();
+            done += BitSet.valueOf(Base64.getDecoder().decode(row.getValue().textValue()))
+                    .cardinality();
         }
         return done;
     }
@@ -212,9 +252,11 @@
 
     /** Finished tasks of jobs that have not ended. */
     private static List<Map.Entry<String, JsonNode>> liveChunks(Map<String, JsonNode> stored) {
-        return stored.entrySet().stream().filter(e -> e.getKey().startsWith(Keys.ROOT + "done/"))
+        return stored.entrySet().stream()
+                .filter(e -> e.getKey().startsWith(Keys.ROOT + "done/"))
                 .flatMap(e -> e.getValue().properties().stream())
-                .filter(row -> !stored.get(Keys.JOBS + job(row)).has("ended")).toList();
+                .filter(row -> !stored.get(Keys.JOBS + job(row)).has("ended"))
+                .toList();
     }
 
     private static String job(Map.Entry<String, JsonNode> chunk) {
--- a/experiment/src/test/java/org/landingridge/experiment/RulesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RulesTest.java
@@ -20,8 +20,29 @@
     private static void caught(String rule, Consumer<Rules> history) {
         Sim sim = new Sim(1);
         Rules rules = new Rules(sim.host("rules"), 1_000);
-        rules.specs.put(ID, new JobSpec(ID, "c", "red", false, Priority.NORMAL, 4, 3, 0, 1, "i", 1, List.of("t4"), "a",
-                true, false, false, 1, 0, 0, null));
+        rules.specs.put(
+                ID,
+                new JobSpec(
+                        ID,
+                        "c",
+                        "red",
+                        false,
+                        Priority.NORMAL,
+                        4,
+                        3,
+                        0,
+                        1,
+                        "i",
+                        1,
+                        List.of("t4"),
+                        "a",
+                        true,
+                        false,
+                        false,
+                        1,
+                        0,
+                        0,
+                        null));
         rules.limits.put("red", 5.0);
         history.accept(rules);
         assertEquals(1, rules.broken.size(), rules.broken.toString());
@@ -32,8 +53,29 @@
     void aSlowAnswerIsNoOlderOne() {
         Sim sim = new Sim(1);
         Rules rules = new Rules(sim.host("rules"), 1_000);
-        rules.specs.put(ID, new JobSpec(ID, "c", "red", false, Priority.NORMAL, 4, 3, 0, 1, "i", 1, null, null,
-                false, false, false, 1, 0, 0, null));
+        rules.specs.put(
+                ID,
+                new JobSpec(
+                        ID,
+                        "c",
+                        "red",
+                        false,
+                        Priority.NORMAL,
+                        4,
+                        3,
+                        0,
+                        1,
+                        "i",
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        1,
+                        0,
+                        0,
+                        null));
         rules.cancelAsked.add(ID);
         sim.run(100);
         rules.answered(ID, "cancel", 90, 200, "cancelled");
--- a/experiment/src/test/java/org/landingridge/experiment/SilenceTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilenceTest.java
@@ -20,8 +20,15 @@
     private World w;
 
     private void world(long seed) {
-        w = new World(new World.Setup(seed, 3, 40, 3_000, 2_000, LEASE_MS, Map.of("blue",
-                new Settings.Team("blue", 8, 0, 0, 0)), new Settings.State(200, 20, 4, 8)));
+        w = new World(new World.Setup(
+                seed,
+                3,
+                40,
+                3_000,
+                2_000,
+                LEASE_MS,
+                Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0)),
+                new Settings.State(200, 20, 4, 8)));
     }
 
     /** Services of a whole machine each, so many that the zones have some each, running. */
@@ -75,7 +82,9 @@
         w.cloud.trouble = true;
         w.at(30_000 + 10_500, () -> w.cloud.trouble = false);
         w.sim.run(30_000 + 10_400);
-        assertTrue(w.rules.places.containsValue(lost.box().id + "@" + lost.box().zone), "nothing settles it but the cloud");
+        assertTrue(
+                w.rules.places.containsValue(lost.box().id + "@" + lost.box().zone),
+                "nothing settles it but the cloud");
         w.sim.run(30_000 + 18_000);
         assertTrue(lost.box().deleted, "the cloud answers again");
         assertEquals(12, w.rules.places.size());
@@ -106,7 +115,8 @@
     @DisplayName("where a zone falls silent its machines are left to their leases: most of them go on working")
     void aZoneCutOff() {
         services(16);
-        List<Worker> zone = w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
+        List<Worker> zone =
+                w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
         zone.forEach(this::cut);
         w.sim.run(30_000 + LEASE_MS - 3_000);
         assertTrue(zone.stream().noneMatch(x -> x.box().deleted), "none is given back");
@@ -120,7 +130,9 @@
     @DisplayName("a leader's death does not begin the leases of silent machines anew")
     void leasesGoOnThroughATakeover() {
         services(16);
-        List<Worker> zone = w.workers.stream().filter(x -> x.box().zone.equals("a") && x.running() != null).toList();
+        List<Worker> zone = w.workers.stream()
+                .filter(x -> x.box().zone.equals("a") && x.running() != null)
+                .toList();
         List<String> jobs = zone.stream().map(x -> job(x.running())).toList();
         zone.forEach(this::cut);
         w.at(30_000 + 12_000, () -> w.leader().crash(4_000));
@@ -141,7 +153,8 @@
     void heardAgainInAnOutage(long seed) {
         world(seed);
         services(16);
-        List<Worker> zone = w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
+        List<Worker> zone =
+                w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
         zone.forEach(this::cut);
         w.at(30_000 + 10_000, () -> w.state.outage(true));
         w.at(30_000 + 11_000, w.sim::heal);
@@ -163,7 +176,8 @@
     void twoLeadersLater(long seed) {
         world(seed);
         services(16);
-        List<Worker> zone = w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
+        List<Worker> zone =
+                w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
         zone.forEach(this::cut);
         w.at(30_000 + 8_500, () -> w.leader().crash(30_000));
         w.at(30_000 + 9_000, w.sim::heal);
--- a/experiment/src/test/java/org/landingridge/experiment/TwoCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TwoCompactorsTest.java
@@ -39,7 +39,7 @@
         Metrics metrics = new Metrics(host::nanos);
         History[] history = new History[1];
         Capabilities[] capabilities = new Capabilities[1];
-        JobTable table = new JobTable(host::now, id -> { });
+        JobTable table = new JobTable(host::now, id -> {});
         Mirror mirror = new Mirror(client, host, Keys.ROOT, "lr", 30, metrics.busy, (key, value, version) -> {
             if (key.startsWith(Keys.JOBS)) {
                 table.changed(key.substring(Keys.JOBS.length()), value, version);
@@ -51,7 +51,14 @@
         });
         history[0] = new History(client, mirror, metrics);
         capabilities[0] = new Capabilities(client, mirror, host, name, List.of("a", "b"));
-        Compactor compactor = new Compactor(client, mirror, host, table, history[0], capabilities[0], metrics,
+        Compactor compactor = new Compactor(
+                client,
+                mirror,
+                host,
+                table,
+                history[0],
+                capabilities[0],
+                metrics,
                 new Compactor.Reign() {
                     @Override
                     public boolean mayAct() {
@@ -71,7 +78,10 @@
                         }
                         return held;
                     }
-                }, () -> leader, new Settings.State(1_000, 400, 4, 8), 0.5);
+                },
+                () -> leader,
+                new Settings.State(1_000, 400, 4, 8),
+                0.5);
         mirror.start();
         compactor.start();
     }
@@ -162,8 +172,13 @@
     /** Somebody writes the first jobs' keys again and again, faster than anybody hears of it. */
     private static void rewrite(Sim.Host host, StateClient client) {
         for (int i = 0; i < 8; i++) {
-            client.commit(List.of(), List.of(new Write(Keys.JOBS + id(i),
-                    Json.object().put("ended", "DONE").put("takes", 1 + i), 0)), answer -> { });
+            client.commit(
+                    List.of(),
+                    List.of(new Write(
+                            Keys.JOBS + id(i),
+                            Json.object().put("ended", "DONE").put("takes", 1 + i),
+                            0)),
+                    answer -> {});
         }
         host.after(5, () -> rewrite(host, client));
     }
--- a/net/src/main/java/org/landingridge/net/Http.java
+++ b/net/src/main/java/org/landingridge/net/Http.java
@@ -5,7 +5,11 @@
 /** HTTP as the core sees it: calls that always come back, once, and requests that are answered later. */
 public interface Http {
     /** How a call ended. A call that may have been carried out is {@code UNKNOWN}, whatever error was seen. */
-    enum Outcome { ANSWERED, NOT_SENT, UNKNOWN }
+    enum Outcome {
+        ANSWERED,
+        NOT_SENT,
+        UNKNOWN
+    }
 
     record Reply(Outcome outcome, int status, byte[] body) {
         public static final Reply NOT_SENT = new Reply(Outcome.NOT_SENT, 0, new byte[0]);
--- a/net/src/main/java/org/landingridge/net/HttpClient.java
+++ b/net/src/main/java/org/landingridge/net/HttpClient.java
@@ -36,6 +36,7 @@
     private static final int MAX_IDLE = 4;
     /** An idle connection is closed after so long; a machine is called seldom, and there are hundreds of them. */
     private static final long IDLE_MS = 20_000;
+
     private static final int MAX_ANSWER = 16 << 20;
     private final XnioIoThread thread;
     private final Loop loop;
@@ -45,6 +46,7 @@
 
     /** Idle connections to all destinations, the longest idle first. */
     private final Map<ClientConnection, Long> idleSince = new LinkedHashMap<>();
+
     private final int maxIdleInAll;
     private boolean swept;
 
@@ -62,8 +64,9 @@
     }
 
     private void sweep() {
-        while (!idleSince.isEmpty() && (idleSince.size() > maxIdleInAll
-                || loop.now() - idleSince.values().iterator().next() > IDLE_MS)) {
+        while (!idleSince.isEmpty()
+                && (idleSince.size() > maxIdleInAll
+                        || loop.now() - idleSince.values().iterator().next() > IDLE_MS)) {
             ClientConnection longest = idleSince.keySet().iterator().next();
             idleSince.remove(longest);
             IoUtils.safeClose(longest);
@@ -144,7 +147,8 @@
 
         private void send(ClientConnection c) {
             connection = c;
-            ClientRequest request = new ClientRequest().setMethod(new HttpString(method)).setPath(path);
+            ClientRequest request =
+                    new ClientRequest().setMethod(new HttpString(method)).setPath(path);
             request.getRequestHeaders().put(Headers.HOST, addr);
             if (body != null) {
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
@@ -206,8 +210,9 @@
         private void read(ClientExchange exchange) {
             StreamSourceChannel channel = exchange.getResponseChannel();
             int status = exchange.getResponse().getResponseCode();
-            boolean close = "close".equalsIgnoreCase(exchange.getResponse().getResponseHeaders()
-                    .getFirst(Headers.CONNECTION));
+            boolean close = "close"
+                    .equalsIgnoreCase(
+                            exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             ByteBuffer in = ByteBuffer.allocate(4096);
             ChannelListener<StreamSourceChannel> reader = ch -> {
--- a/net/src/main/java/org/landingridge/net/HttpServer.java
+++ b/net/src/main/java/org/landingridge/net/HttpServer.java
@@ -59,8 +59,7 @@
         Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(maxBody);
         receiver.receiveFullBytes(
-                (ex, body) -> ex.dispatch(SameThreadExecutor.INSTANCE, () -> serve(ex, body)),
-                (ex, error) -> {
+                (ex, body) -> ex.dispatch(SameThreadExecutor.INSTANCE, () -> serve(ex, body)), (ex, error) -> {
                     if (error instanceof Receiver.RequestToLargeException) {
                         refuse(ex);
                     } else {
--- a/net/src/main/java/org/landingridge/net/XnioLoop.java
+++ b/net/src/main/java/org/landingridge/net/XnioLoop.java
@@ -25,13 +25,14 @@
         // XNIO registers its workers as MBeans, which nothing here reads. Setting up the platform's bean server costs a
         // tenth of a second of processor time at each start; with this XNIO finds none and goes on without.
         System.setProperty("javax.management.builder.initial", "none");
-        return Xnio.getInstance().createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.STACK_SIZE, 512 * 1024L)
-                .set(Options.WORKER_NAME, "core")
-                .getMap());
+        return Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.STACK_SIZE, 512 * 1024L)
+                        .set(Options.WORKER_NAME, "core")
+                        .getMap());
     }
 
     @Override
@@ -61,7 +62,7 @@
         };
         if (millis <= 0) {
             thread.execute(guarded);
-            return () -> { };
+            return () -> {};
         }
         XnioExecutor.Key key = thread.executeAfter(guarded, millis, TimeUnit.MILLISECONDS);
         return key::remove;
--- a/wire/src/main/java/org/landingridge/wire/CloudMachine.java
+++ b/wire/src/main/java/org/landingridge/wire/CloudMachine.java
@@ -3,8 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** One row of the cloud's machine list. */
-public record CloudMachine(String id, String addr, String type, String zone, boolean spot, String status,
-        double ageS) {
+public record CloudMachine(String id, String addr, String type, String zone, boolean spot, String status, double ageS) {
 
     public static CloudMachine parse(JsonNode n) throws BadMessage {
         String id = Json.text(n, "id");
@@ -14,7 +13,7 @@
         if (id == null || type == null || zone == null || status == null) {
             throw new BadMessage("a listed machine lacks id, rig, yard or status");
         }
-        return new CloudMachine(id, Json.text(n, "addr"), type, zone, Json.flag(n, "standby"), status,
-                Json.number(n, "heldS", 0));
+        return new CloudMachine(
+                id, Json.text(n, "addr"), type, zone, Json.flag(n, "standby"), status, Json.number(n, "heldS", 0));
     }
 }
--- a/wire/src/main/java/org/landingridge/wire/JobSpec.java
+++ b/wire/src/main/java/org/landingridge/wire/JobSpec.java
@@ -13,45 +13,178 @@
  *
  * @param awaits ids of the jobs that have to be done before any task of this one starts, each once; never null
  */
-public record JobSpec(String id, String jobClass, String team, boolean service, Priority priority, int tasks,
-        double cpus, double gpus, double memoryGb, String image, double imageGb, List<String> types, String zone,
-        boolean oneZone, boolean spread, boolean spot, double estimateS, double checkpointS, double saveS,
-        Double deadlineS, List<String> awaits) {
+public record JobSpec(
+        String id,
+        String jobClass,
+        String team,
+        boolean service,
+        Priority priority,
+        int tasks,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        String image,
+        double imageGb,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        double estimateS,
+        double checkpointS,
+        double saveS,
+        Double deadlineS,
+        List<String> awaits) {
 
     public static final int MAX_BODY = 64 * 1024;
     public static final int MAX_TASKS = 100_000;
     /** Jobs that one job may await. */
     public static final int MAX_AWAITED = 64;
+
     private static final int MAX_NAME = 200;
     private static final String ID_START = "job-";
     /** What a user's job has to carry; the others may be null, and so may be left out. */
-    private static final List<String> REQUIRED = List.of("id", "lane", "crew", "shape", "urgency", "takes", "cpus", "cards",
-            "memoryGb", "reel", "sizeGb", "oneZone", "scatter", "standby", "runtimeS", "savepointS", "flushS");
+    private static final List<String> REQUIRED = List.of(
+            "id",
+            "lane",
+            "crew",
+            "shape",
+            "urgency",
+            "takes",
+            "cpus",
+            "cards",
+            "memoryGb",
+            "reel",
+            "sizeGb",
+            "oneZone",
+            "scatter",
+            "standby",
+            "runtimeS",
+            "savepointS",
+            "flushS");
 
     /** A job that awaits no other. */
-    public JobSpec(String id, String jobClass, String team, boolean service, Priority priority, int tasks, double cpus,
-            double gpus, double memoryGb, String image, double imageGb, List<String> types, String zone, boolean oneZone,
-            boolean spread, boolean spot, double estimateS, double checkpointS, double saveS, Double deadlineS) {
-        this(id, jobClass, team, service, priority, tasks, cpus, gpus, memoryGb, image, imageGb, types, zone, oneZone,
-                spread, spot, estimateS, checkpointS, saveS, deadlineS, List.of());
+    public JobSpec(
+            String id,
+            String jobClass,
+            String team,
+            boolean service,
+            Priority priority,
+            int tasks,
+            double cpus,
+            double gpus,
+            double memoryGb,
+            String image,
+            double imageGb,
+            List<String> types,
+            String zone,
+            boolean oneZone,
+            boolean spread,
+            boolean spot,
+            double estimateS,
+            double checkpointS,
+            double saveS,
+            Double deadlineS) {
+        this(
+                id,
+                jobClass,
+                team,
+                service,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                List.of());
     }
 
     /** The same job, with other jobs to await. */
     public JobSpec awaiting(Collection<String> ids) {
-        return new JobSpec(id, jobClass, team, service, priority, tasks, cpus, gpus, memoryGb, image, imageGb, types, zone,
-                oneZone, spread, spot, estimateS, checkpointS, saveS, deadlineS, List.copyOf(ids));
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                service,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                List.copyOf(ids));
     }
 
     /** The same job with another priority. */
     public JobSpec withPriority(Priority other) {
-        return new JobSpec(id, jobClass, team, service, other, tasks, cpus, gpus, memoryGb, image, imageGb, types, zone,
-                oneZone, spread, spot, estimateS, checkpointS, saveS, deadlineS, awaits);
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                service,
+                other,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                awaits);
     }
 
     /** The same job without its list of machine types, which is the one part of a description that has no bound. */
     public JobSpec withoutTypes() {
-        return new JobSpec(id, jobClass, team, service, priority, tasks, cpus, gpus, memoryGb, image, imageGb, null, zone,
-                oneZone, spread, spot, estimateS, checkpointS, saveS, deadlineS, awaits);
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                service,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                null,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                awaits);
     }
 
     /** True for names of the form that users choose for their jobs. */
@@ -101,8 +234,11 @@
             throw new BadMessage("field urgency: expected prod, urgent, normal or best_effort");
         }
         JsonNode count = n.get("takes");
-        if (count == null || !count.isIntegralNumber() || !count.canConvertToInt()
-                || count.intValue() < 1 || count.intValue() > MAX_TASKS) {
+        if (count == null
+                || !count.isIntegralNumber()
+                || !count.canConvertToInt()
+                || count.intValue() < 1
+                || count.intValue() > MAX_TASKS) {
             throw new BadMessage("field takes: expected a whole number from 1 to " + MAX_TASKS);
         }
         double cpus = amount(n, "cpus", true);
@@ -127,21 +263,52 @@
         }
         JsonNode airtime = n.get("airtimeS");
         Double deadline = airtime == null || airtime.isNull() ? null : Double.valueOf(amount(n, "airtimeS", true));
-        return new JobSpec(id, name(n, "lane", true), name(n, "crew", true), shape.equals("standing"), priority,
-                count.intValue(), cpus, gpus, amount(n, "memoryGb", true), image, amount(n, "sizeGb", false), types,
-                name(n, "yard", false), bool(n, "oneZone"), bool(n, "scatter"), bool(n, "standby"),
-                amount(n, "runtimeS", false), amount(n, "savepointS", false), amount(n, "flushS", false), deadline,
+        return new JobSpec(
+                id,
+                name(n, "lane", true),
+                name(n, "crew", true),
+                shape.equals("standing"),
+                priority,
+                count.intValue(),
+                cpus,
+                gpus,
+                amount(n, "memoryGb", true),
+                image,
+                amount(n, "sizeGb", false),
+                types,
+                name(n, "yard", false),
+                bool(n, "oneZone"),
+                bool(n, "scatter"),
+                bool(n, "standby"),
+                amount(n, "runtimeS", false),
+                amount(n, "savepointS", false),
+                amount(n, "flushS", false),
+                deadline,
                 awaits(n));
     }
 
     /** The form in which a job is written to the state service; {@link #read} reads it back. */
     public ObjectNode json() {
         ObjectNode n = Json.object();
-        n.put("id", id).put("lane", jobClass).put("crew", team).put("shape", service ? "standing" : "sweep")
-                .put("urgency", priority.wire()).put("takes", tasks).put("cpus", cpus).put("cards", gpus)
-                .put("memoryGb", memoryGb).put("reel", image).put("sizeGb", imageGb).put("yard", zone)
-                .put("oneZone", oneZone).put("scatter", spread).put("standby", spot).put("runtimeS", estimateS)
-                .put("savepointS", checkpointS).put("flushS", saveS).put("airtimeS", deadlineS);
+        n.put("id", id)
+                .put("lane", jobClass)
+                .put("crew", team)
+                .put("shape", service ? "standing" : "sweep")
+                .put("urgency", priority.wire())
+                .put("takes", tasks)
+                .put("cpus", cpus)
+                .put("cards", gpus)
+                .put("memoryGb", memoryGb)
+                .put("reel", image)
+                .put("sizeGb", imageGb)
+                .put("yard", zone)
+                .put("oneZone", oneZone)
+                .put("scatter", spread)
+                .put("standby", spot)
+                .put("runtimeS", estimateS)
+                .put("savepointS", checkpointS)
+                .put("flushS", saveS)
+                .put("airtimeS", deadlineS);
         if (types != null) {
             types.forEach(n.putArray("rigs")::add);
         }
@@ -180,7 +347,9 @@
             }
             return null;
         }
-        if (!value.isTextual() || value.textValue().isEmpty() || value.textValue().length() > MAX_NAME) {
+        if (!value.isTextual()
+                || value.textValue().isEmpty()
+                || value.textValue().length() > MAX_NAME) {
             throw new BadMessage("field " + field + ": expected a text of 1 to " + MAX_NAME + " characters");
         }
         return value.textValue();
--- a/wire/src/main/java/org/landingridge/wire/Json.java
+++ b/wire/src/main/java/org/landingridge/wire/Json.java
@@ -22,7 +22,8 @@
  */
 public final class Json {
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(64).build())
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(64).build())
             .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
             .build();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -65,11 +66,12 @@
                 yield n;
             }
             case VALUE_STRING -> NODES.textNode(p.getText());
-            case VALUE_NUMBER_INT -> switch (p.getNumberType()) {
-                case INT -> NODES.numberNode(p.getIntValue());
-                case LONG -> NODES.numberNode(p.getLongValue());
-                default -> NODES.numberNode(p.getBigIntegerValue());
-            };
+            case VALUE_NUMBER_INT ->
+                switch (p.getNumberType()) {
+                    case INT -> NODES.numberNode(p.getIntValue());
+                    case LONG -> NODES.numberNode(p.getLongValue());
+                    default -> NODES.numberNode(p.getBigIntegerValue());
+                };
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(p.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
--- a/wire/src/main/java/org/landingridge/wire/MachineType.java
+++ b/wire/src/main/java/org/landingridge/wire/MachineType.java
@@ -5,8 +5,17 @@
 import java.util.List;
 
 /** A machine type that the cloud offers, with its current prices. */
-public record MachineType(String name, double cpus, double gpus, double memoryGb, double cacheGb, double fetchGbPerS,
-        double price, double spotPrice, double bootS, List<String> zones) {
+public record MachineType(
+        String name,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        double cacheGb,
+        double fetchGbPerS,
+        double price,
+        double spotPrice,
+        double bootS,
+        List<String> zones) {
 
     public static List<MachineType> parseAll(JsonNode body) throws BadMessage {
         JsonNode rigs = body == null ? null : body.get("rigs");
@@ -23,9 +32,16 @@
             if (r.get("yards") != null) {
                 r.get("yards").forEach(z -> zones.add(z.asText()));
             }
-            all.add(new MachineType(name, Json.number(r, "cpus", 0), Json.number(r, "cards", 0),
-                    Json.number(r, "memoryGb", 0), Json.number(r, "localGb", 0), Json.number(r, "fetchGbPerS", 1),
-                    Json.number(r, "hourly", 0), Json.number(r, "spotPrice", 0), Json.number(r, "startupS", 60),
+            all.add(new MachineType(
+                    name,
+                    Json.number(r, "cpus", 0),
+                    Json.number(r, "cards", 0),
+                    Json.number(r, "memoryGb", 0),
+                    Json.number(r, "localGb", 0),
+                    Json.number(r, "fetchGbPerS", 1),
+                    Json.number(r, "hourly", 0),
+                    Json.number(r, "spotPrice", 0),
+                    Json.number(r, "startupS", 60),
                     List.copyOf(zones)));
         }
         return all;
@@ -34,6 +50,8 @@
     public boolean fits(JobSpec job) {
         return (job.types() == null || job.types().contains(name))
                 && (job.zone() == null || zones.contains(job.zone()))
-                && job.cpus() <= cpus && job.gpus() <= gpus && job.memoryGb() <= memoryGb;
+                && job.cpus() <= cpus
+                && job.gpus() <= gpus
+                && job.memoryGb() <= memoryGb;
     }
 }
--- a/wire/src/main/java/org/landingridge/wire/Priority.java
+++ b/wire/src/main/java/org/landingridge/wire/Priority.java
@@ -2,7 +2,10 @@
 
 /** Job priorities, least first, with their names on the wire. */
 public enum Priority {
-    LOW("best_effort"), NORMAL("normal"), HIGH("urgent"), PRODUCTION("prod");
+    LOW("best_effort"),
+    NORMAL("normal"),
+    HIGH("urgent"),
+    PRODUCTION("prod");
 
     private final String wire;
 
--- a/wire/src/main/java/org/landingridge/wire/Report.java
+++ b/wire/src/main/java/org/landingridge/wire/Report.java
@@ -5,11 +5,25 @@
 import java.util.List;
 
 /** What a worker says of its machine, in a report or in answer to commands. */
-public record Report(String machine, String addr, String type, String zone, boolean spot, long session, long seq,
-        long token, Double noticeS, List<Entry> tasks) {
+public record Report(
+        String machine,
+        String addr,
+        String type,
+        String zone,
+        boolean spot,
+        long session,
+        long seq,
+        long token,
+        Double noticeS,
+        List<Entry> tasks) {
 
     /** States of a task on a machine. */
-    public enum TaskStatus { FETCHING, RUNNING, SAVING, EXITED }
+    public enum TaskStatus {
+        FETCHING,
+        RUNNING,
+        SAVING,
+        EXITED
+    }
 
     /** One task of a report; {@code why} is set for exited tasks. */
     public record Entry(String job, int task, long attempt, TaskStatus status, String why) {}
@@ -26,7 +40,13 @@
         long seq = Json.integer(n, "tally", -1);
         long token = Json.integer(n, "baton", -1);
         JsonNode takes = n.get("takes");
-        if (machine == null || addr == null || type == null || zone == null || session < 0 || seq < 0 || token < 0
+        if (machine == null
+                || addr == null
+                || type == null
+                || zone == null
+                || session < 0
+                || seq < 0
+                || token < 0
                 || takes != null && !takes.isArray()) {
             throw new BadMessage("a field of the report is missing or invalid");
         }
@@ -37,8 +57,17 @@
                 tasks.add(entry(t));
             }
         }
-        return new Report(machine, addr, type, zone, Json.flag(n, "standby"), session, seq, token,
-                warning != null && warning.isNumber() ? Double.valueOf(warning.doubleValue()) : null, tasks);
+        return new Report(
+                machine,
+                addr,
+                type,
+                zone,
+                Json.flag(n, "standby"),
+                session,
+                seq,
+                token,
+                warning != null && warning.isNumber() ? Double.valueOf(warning.doubleValue()) : null,
+                tasks);
     }
 
     private static Entry entry(JsonNode t) throws BadMessage {
@@ -57,8 +86,12 @@
             default -> throw new BadMessage("unknown task state " + status);
         };
         try {
-            return new Entry(name.substring(0, slash), Integer.parseInt(name, slash + 1, name.length(), 10), attempt,
-                    state, Json.text(t, "cause"));
+            return new Entry(
+                    name.substring(0, slash),
+                    Integer.parseInt(name, slash + 1, name.length(), 10),
+                    attempt,
+                    state,
+                    Json.text(t, "cause"));
         } catch (NumberFormatException e) {
             throw new BadMessage("task name " + name + " has no number");
         }
--- a/wire/src/test/java/org/landingridge/wire/JobSpecTest.java
+++ b/wire/src/test/java/org/landingridge/wire/JobSpecTest.java
@@ -30,10 +30,32 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"id,'\"x\"'", "id,null", "id,7", "lane,null", "crew,''", "shape,'\"gang\"'", "urgency,'\"high\"'",
-        "takes,0", "takes,100001", "takes,1.5", "takes,'\"3\"'", "cpus,-1", "cpus,'\"1\"'", "memoryGb,null",
-        "rigs,'\"g8\"'", "rigs,'[1]'", "awaits,'\"job-000001\"'", "awaits,'[1]'", "awaits,'[\"x\"]'", "awaits,'{}'", "awaits,'[null]'",
-        "oneZone,1", "airtimeS,-3", "runtimeS,1e300"})
+    @CsvSource({
+        "id,'\"x\"'",
+        "id,null",
+        "id,7",
+        "lane,null",
+        "crew,''",
+        "shape,'\"gang\"'",
+        "urgency,'\"high\"'",
+        "takes,0",
+        "takes,100001",
+        "takes,1.5",
+        "takes,'\"3\"'",
+        "cpus,-1",
+        "cpus,'\"1\"'",
+        "memoryGb,null",
+        "rigs,'\"g8\"'",
+        "rigs,'[1]'",
+        "awaits,'\"job-000001\"'",
+        "awaits,'[1]'",
+        "awaits,'[\"x\"]'",
+        "awaits,'{}'",
+        "awaits,'[null]'",
+        "oneZone,1",
+        "airtimeS,-3",
+        "runtimeS,1e300"
+    })
     void aWrongFieldIsNamed(String field, String json) {
         ObjectNode n = good();
         if (json == null || json.isEmpty()) {
