--- a/cli/src/main/java/org/landingridge/cli/ProbeCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/BenchmarkHistoryCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import org.landingridge.experiment.HistoryProbe;
+import org.landingridge.experiment.HistoryBenchmark;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -15,7 +15,7 @@
         name = "probe-history",
         mixinStandardHelpOptions = true,
         description = "Start a controller beside a state service full of ended jobs, and measure it.")
-final class ProbeCommand implements Callable<Integer> {
+final class BenchmarkHistoryCommand implements Callable<Integer> {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
@@ -26,7 +26,7 @@
     private List<Integer> ended;
 
     @Option(names = "--form", defaultValue = "SEGMENTS", description = "how they stand there: ${COMPLETION-CANDIDATES}")
-    private HistoryProbe.Form form;
+    private HistoryBenchmark.Form form;
 
     @Option(
             names = "--limit",
@@ -43,7 +43,7 @@
         System.out.println("form       ended      ready ms   requests   peak MB   failed");
         boolean ok = true;
         for (int n : ended) {
-            HistoryProbe.Result r = new HistoryProbe().measure(jar, form, n, limitS);
+            HistoryBenchmark.Result r = new HistoryBenchmark().measure(jar, form, n, limitS);
             System.out.printf(
                     "%-10s %-10d %-10d %-10d %-9.1f %s%n",
                     r.form(), r.ended(), r.readyMs(), r.requests(), r.peakKb() / 1024.0, String.join("; ", r.failed()));
--- a/cli/src/main/java/org/landingridge/cli/ControllerCall.java
+++ b/cli/src/main/java/org/landingridge/cli/ControllerCall.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ExecutionException;
 import org.landingridge.net.Http.Reply;
 import org.landingridge.net.HttpClient;
-import org.landingridge.net.XnioLoop;
+import org.landingridge.net.XnioEventLoop;
 import org.xnio.XnioWorker;
 
 /** One call to a controller from a shell. */
@@ -15,9 +15,9 @@
     private ControllerCall() {}
 
     static Reply to(String server, String method, String path, byte[] body) throws IOException, InterruptedException {
-        XnioWorker worker = XnioLoop.worker();
+        XnioWorker worker = XnioEventLoop.worker();
         try {
-            XnioLoop loop = new XnioLoop(worker.getIoThread());
+            XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
             CompletableFuture<Reply> answer = new CompletableFuture<>();
             HttpClient client = new HttpClient(worker.getIoThread(), loop, 1);
             loop.after(0, () -> client.call(server, method, path, body, TIMEOUT_MS, answer::complete));
--- a/cli/src/main/java/org/landingridge/cli/LocalCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/LocalCommand.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import org.landingridge.emulator.Cloud;
-import org.landingridge.emulator.Loopback;
-import org.landingridge.emulator.Shelf;
-import org.landingridge.emulator.Worker;
-import org.landingridge.experiment.StoredTruth;
+import org.landingridge.emulator.EmulatedCloud;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.FileStore;
+import org.landingridge.emulator.LoopbackCluster;
+import org.landingridge.experiment.StoredGroundTruth;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -74,22 +74,22 @@
         check("--port", port, 1024, 65_500);
         Path folder = dir == null ? Files.createTempDirectory("landingridge") : Files.createDirectories(dir);
         endLeftovers(folder);
-        Shelf shelf = dir == null ? null : new Shelf(folder.resolve("state.mv"));
-        List<Worker.Node> nodes = new ArrayList<>();
+        FileStore shelf = dir == null ? null : new FileStore(folder.resolve("state.mv"));
+        List<EmulatedWorker.ControllerAddress> nodes = new ArrayList<>();
         List<Integer> backs = new ArrayList<>();
         for (int i = 0; i < controllers; i++) {
-            nodes.add(new Worker.Node("rig-" + i, "127.0.0.1:" + (port + i)));
-            backs.add(Loopback.freePort());
+            nodes.add(new EmulatedWorker.ControllerAddress("rig-" + i, "127.0.0.1:" + (port + i)));
+            backs.add(LoopbackCluster.freePort());
         }
-        Loopback loopback = new Loopback(
-                new Loopback.Config(
-                        new Cloud.Offer(TYPE, 4, 8, List.of("a", "b"), 3_000, 2_000),
+        LoopbackCluster loopback = new LoopbackCluster(
+                new LoopbackCluster.Config(
+                        new EmulatedCloud.Offer(TYPE, 4, 8, List.of("a", "b"), 3_000, 2_000),
                         machines,
                         nodes,
                         REPORT_MS,
                         LEASE_MS),
                 shelf,
-                StoredTruth::new);
+                StoredGroundTruth::new);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             stopping = true;
             synchronized (running) {
@@ -107,7 +107,11 @@
         }
         System.out.printf(
                 "Submit jobs to any of: %s%n",
-                String.join(", ", nodes.stream().map(Worker.Node::addr).toList()));
+                String.join(
+                        ", ",
+                        nodes.stream()
+                                .map(EmulatedWorker.ControllerAddress::addr)
+                                .toList()));
         System.out.printf(
                 "Team: local. Machine type: %s (4 CPUs, 8 GB), %d spot and %d ordinary ones in zones a and b.%n",
                 TYPE, machines, machines);
@@ -183,7 +187,8 @@
         }
     }
 
-    private String settings(int index, List<Worker.Node> nodes, List<Integer> backs, Loopback loopback) {
+    private String settings(
+            int index, List<EmulatedWorker.ControllerAddress> nodes, List<Integer> backs, LoopbackCluster loopback) {
         StringBuilder s = new StringBuilder();
         s.append(String.format("""
                 host_name = "rig-%d"
--- a/cli/src/main/java/org/landingridge/cli/Main.java
+++ b/cli/src/main/java/org/landingridge/cli/Main.java
@@ -21,7 +21,7 @@
             UserCommands.Cancel.class,
             UserCommands.Status.class,
             LocalCommand.class,
-            ProbeCommand.class,
+            BenchmarkHistoryCommand.class,
             ExperimentCommand.class,
             CapacityCommand.class,
             ConfigCommand.class
--- a/cli/src/test/java/org/landingridge/cli/CommandsOnPagesTest.java
+++ b/cli/src/test/java/org/landingridge/cli/DocumentedCommandsTest.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine;
 
 /** Every command that README and the pages show is one that the command line takes. */
-class CommandsOnPagesTest {
+class DocumentedCommandsTest {
     private static final Pattern COMMAND =
             Pattern.compile("^ {4}(?:.*&& )?(?:LJ|landingridge|java -jar \\S*landingridge-cli.jar) (.*)$");
     private static final Pattern WORD = Pattern.compile("\"([^\"]*)\"|(\\S+)");
--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -11,43 +11,43 @@
 import java.util.Objects;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.configuration.ConfigurationService;
-import org.landingridge.controller.configuration.ConfigurationView;
+import org.landingridge.controller.api.JobLookup;
+import org.landingridge.controller.api.JobService;
+import org.landingridge.controller.cloud.CloudClient;
+import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.history.History;
-import org.landingridge.controller.history.Place;
+import org.landingridge.controller.history.SegmentAddress;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
-import org.landingridge.controller.lead.Leadership;
-import org.landingridge.controller.obs.Busy.Part;
-import org.landingridge.controller.obs.Chronicle;
-import org.landingridge.controller.obs.IncidentReport;
-import org.landingridge.controller.obs.Metrics;
-import org.landingridge.controller.ops.CloudClient;
-import org.landingridge.controller.peer.Message;
-import org.landingridge.controller.peer.PeerNet;
-import org.landingridge.controller.peer.Relay;
+import org.landingridge.controller.leader.LeaderContext;
+import org.landingridge.controller.leader.LeaderTerm;
+import org.landingridge.controller.liveconfig.ConfigurationService;
+import org.landingridge.controller.liveconfig.ConfigurationView;
+import org.landingridge.controller.observability.ActivityTimer.Part;
+import org.landingridge.controller.observability.EventLog;
+import org.landingridge.controller.observability.IncidentReport;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.peer.HeartbeatForwarder;
+import org.landingridge.controller.peer.PeerMessage;
+import org.landingridge.controller.peer.PeerTransport;
 import org.landingridge.controller.progress.Progress;
-import org.landingridge.controller.reign.Parts;
-import org.landingridge.controller.reign.Reign;
-import org.landingridge.controller.store.GroupWriter;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.controller.store.Mirror;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.WatchCache;
 import org.landingridge.controller.upgrade.Capabilities;
-import org.landingridge.controller.users.JobLookup;
-import org.landingridge.controller.users.JobService;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.Heartbeat;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
-import org.landingridge.wire.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: the parts that every controller runs, and the reign while it leads. */
+/** One controller: the parts that every controller runs, and the leader term while it leads. */
 public final class Controller implements Leadership.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final long READY_MS = 4_000;
@@ -64,44 +64,45 @@
     /** A new leader is heard over {@code back} so soon, or there is no way to it. */
     private static final long HEAR_MS = 1_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Mirror mirror;
+    private final WatchCache watchCache;
     private final JobTable table;
     private final History history;
     private final Capabilities capabilities;
     private final Metrics metrics;
     private final IncidentReport incidents;
-    private final Chronicle chronicle;
+    private final EventLog eventLog;
     private final JobService jobs;
     private final ConfigurationView configuration;
     private final ConfigurationService configurations;
     private final Leadership lead;
     private final CloudClient cloud;
-    private final Parts parts;
+    private final LeaderContext parts;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     /** Values of the leader's documents as the state service has them: the roster, finished tasks, operations. */
     private final Map<String, JsonNode> documents = new TreeMap<>();
     /** When each of them came to be known in its present form. */
     private final Map<String, Long> seenAt = new TreeMap<>();
 
-    private final PeerNet peers;
+    private final PeerTransport peers;
     private final List<String> others;
-    private final Relay relay;
+    private final HeartbeatForwarder relay;
     private final Deque<Parked> parked = new ArrayDeque<>();
     private int parkedBytes;
-    private Reign reign;
+    private LeaderTerm leaderTerm;
     private boolean probing;
     private long leaderSince = Long.MIN_VALUE / 2;
 
     /** A report that came while no leader was known. */
     private record Parked(Http.Exchange exchange, long until) {}
 
-    public Controller(Loop loop, Http http, PeerNet peers, RandomGenerator random, Settings settings, Policy policy) {
+    public Controller(
+            EventLoop loop, Http http, PeerTransport peers, RandomGenerator random, Settings settings, Policy policy) {
         this.loop = loop;
         this.settings = settings;
         this.incidents = new IncidentReport(loop);
-        this.chronicle = new Chronicle(loop);
+        this.eventLog = new EventLog(loop);
         this.metrics = new Metrics(loop::nanos);
         StateClient client = new StateClient(http, settings.state());
         int nodes = settings.peers().size() + 1;
@@ -110,17 +111,17 @@
                 20, Math.round(1000 * 3.0 * nodes / settings.stateLimits().rps()));
         // Wider than what is read at the start: it brings the changes of the history too.
         String watched = Keys.ROOT.substring(0, Keys.ROOT.length() - 1);
-        mirror = new Mirror(client, loop, Keys.ROOT, watched, pause, metrics.busy, new News());
-        table = new JobTable(loop::now, id -> mirror.forget(Keys.JOBS + id));
-        history = new History(client, mirror, metrics);
+        watchCache = new WatchCache(client, loop, Keys.ROOT, watched, pause, metrics.busy, new News());
+        table = new JobTable(loop::now, id -> watchCache.forget(Keys.JOBS + id));
+        history = new History(client, watchCache, metrics);
         this.peers = peers;
         others = settings.peers().stream().map(Settings.Peer::host).toList();
-        capabilities = new Capabilities(client, mirror, loop, settings.host(), others);
-        relay = new Relay(loop, peers, random, settings.host(), mostReports());
+        capabilities = new Capabilities(client, watchCache, loop, settings.host(), others);
+        relay = new HeartbeatForwarder(loop, peers, random, settings.host(), mostReports());
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
         lead = new Leadership(
                 client,
-                mirror,
+                watchCache,
                 loop,
                 random,
                 Keys.LEADER,
@@ -132,9 +133,9 @@
                 peers,
                 table.endings(),
                 this);
-        GroupWriter writer = new GroupWriter(
+        BatchWriter writer = new BatchWriter(
                 client,
-                mirror,
+                watchCache,
                 loop,
                 settings.stateLimits(),
                 WRITER_SHARE,
@@ -143,13 +144,13 @@
                 metrics.busy);
         cloud = new CloudClient(
                 http, loop, settings.cloud(), settings.cloudLimits().rps());
-        JobLookup lookup = new JobLookup(client, mirror, table, history);
+        JobLookup lookup = new JobLookup(client, watchCache, table, history);
         configuration = new ConfigurationView(settings.teams());
-        configurations =
-                new ConfigurationService(client, mirror, loop, configuration, settings.host(), settings.stateLimits());
+        configurations = new ConfigurationService(
+                client, watchCache, loop, configuration, settings.host(), settings.stateLimits());
         jobs = new JobService(
                 client,
-                mirror,
+                watchCache,
                 loop,
                 table,
                 lookup,
@@ -158,14 +159,14 @@
                 types,
                 () -> capabilities.all(Capabilities.Feature.PIPELINES),
                 metrics);
-        parts = new Parts(
+        parts = new LeaderContext(
                 loop,
                 http,
                 random,
                 settings,
                 policy,
                 client,
-                mirror,
+                watchCache,
                 lead,
                 writer,
                 cloud,
@@ -177,17 +178,17 @@
                 types,
                 metrics,
                 incidents,
-                chronicle);
+                eventLog);
     }
 
     /** What tells of this controller's recoveries. */
-    public Chronicle chronicle() {
-        return chronicle;
+    public EventLog eventLog() {
+        return eventLog;
     }
 
     /** Starts everything; {@code open} lets users and workers in, once there is something to tell them. */
     public void start(Runnable open) {
-        mirror.start();
+        watchCache.start();
         lead.start();
         refreshTypes();
         probe();
@@ -201,7 +202,7 @@
      * To turn each away costs it more than to let them find the door closed, and it would lead later for it.
      */
     private void open(Runnable open, long latest) {
-        if (mirror.following() || relay.heard() != null || loop.now() >= latest) {
+        if (watchCache.following() || relay.heard() != null || loop.now() >= latest) {
             open.run();
             lead.consider();
             loop.after(ANNOUNCE_MS, capabilities::announce);
@@ -211,49 +212,49 @@
     }
 
     /** A record of another controller. */
-    public void received(Message message) {
-        if (message instanceof Message.Ask m) {
+    public void received(PeerMessage message) {
+        if (message instanceof PeerMessage.Ask m) {
             lead.asked(m);
-        } else if (message instanceof Message.Grant m) {
+        } else if (message instanceof PeerMessage.Grant m) {
             lead.granted(m);
-        } else if (message instanceof Message.Refuse m) {
+        } else if (message instanceof PeerMessage.Refuse m) {
             lead.refused(m);
-        } else if (message instanceof Message.HandOver m) {
+        } else if (message instanceof PeerMessage.HandOver m) {
             lead.handedOver(m);
-        } else if (message instanceof Message.Running m) {
+        } else if (message instanceof PeerMessage.Running m) {
             // The sign of life of a leader of the past may come late: it may not hide the one that is heard.
             if (!otherIsHeard(m.host())) {
                 relay.heard(m.host());
                 jobs.leaderHeard(m.comesShort());
                 metrics.busy.during(Part.DISPLAY, () -> showRunning(m.counts()));
             }
-        } else if (message instanceof Message.Report m) {
+        } else if (message instanceof PeerMessage.Heartbeat m) {
             Http.Exchange exchange = relay.carried(m);
-            if (reign != null && lead.mayAct()) {
+            if (leaderTerm != null && lead.mayAct()) {
                 metrics.busy.during(Part.CARRIED, () -> report(exchange));
             } else {
                 exchange.answer(503, new byte[0]);
             }
-        } else if (message instanceof Message.Answer m) {
+        } else if (message instanceof PeerMessage.Answer m) {
             relay.answered(m);
         }
     }
 
     /** The counts are for display: users poll any controller, only the leader knows what runs. */
     private void tellRunning() {
-        if (reign != null && lead.mayAct()) {
+        if (leaderTerm != null && lead.mayAct()) {
             metrics.busy.during(Part.DISPLAY, this::announce);
         }
         loop.after(1_000, this::tellRunning);
     }
 
     private void announce() {
-        Map<String, Integer> counts = reign.running();
+        Map<String, Integer> counts = leaderTerm.running();
         showRunning(counts);
         boolean comesShort = parts.writer().starved();
         jobs.leaderHeard(comesShort);
         for (String other : others) {
-            peers.send(other, new Message.Running(settings.host(), counts, comesShort));
+            peers.send(other, new PeerMessage.Running(settings.host(), counts, comesShort));
         }
     }
 
@@ -269,7 +270,7 @@
     }
 
     /** What the mirror brings. */
-    private final class News implements Mirror.Listener {
+    private final class News implements WatchCache.Listener {
         @Override
         public void changed(String key, JsonNode value, long version) {
             Controller.this.changed(key, value, version);
@@ -284,14 +285,14 @@
     private void changed(String key, JsonNode value, long version) {
         if (key.startsWith(Keys.JOBS)) {
             table.changed(key.substring(Keys.JOBS.length()), value, version);
-        } else if (key.startsWith(Place.ROOT)) {
+        } else if (key.startsWith(SegmentAddress.ROOT)) {
             history.changed(key, value, version);
         } else if (key.startsWith(Capabilities.ROOT)) {
             capabilities.changed(key, value);
         } else if (key.startsWith(ConfigurationView.ROOT)) {
             configuration.changed(key, value);
-            if (reign != null) {
-                reign.changed();
+            if (leaderTerm != null) {
+                leaderTerm.changed();
             }
         } else if (key.equals(Keys.LEADER)) {
             String before = lead.leaderHost();
@@ -326,12 +327,12 @@
             });
             return;
         }
-        reign = new Reign(parts, documents, seenAt);
-        table.listener(reign);
+        leaderTerm = new LeaderTerm(parts, documents, seenAt);
+        table.listener(leaderTerm);
         // The others carry reports from the moment they hear of it, instead of sending every worker here.
         for (long at = 0; at < HEAR_MS; at += HEAR_MS / 4) {
             loop.after(at, () -> {
-                if (reign != null && lead.mayAct()) {
+                if (leaderTerm != null && lead.mayAct()) {
                     announce();
                 }
             });
@@ -341,11 +342,11 @@
 
     @Override
     public void deposed() {
-        incidents.say("this controller no longer leads");
+        incidents.record("this controller no longer leads");
         table.listener(null);
-        if (reign != null) {
-            reign.close();
-            reign = null;
+        if (leaderTerm != null) {
+            leaderTerm.close();
+            leaderTerm = null;
         }
     }
 
@@ -366,15 +367,15 @@
 
     /** Asks the state service for a sign of life where the watch has brought none: readiness hangs on it. */
     private void probe() {
-        if (!probing && mirror.following() && loop.now() - mirror.lastAnswer() > READY_MS / 4) {
+        if (!probing && watchCache.following() && loop.now() - watchCache.lastAnswer() > READY_MS / 4) {
             probing = true;
-            mirror.barrier(() -> probing = false, () -> probing = false);
+            watchCache.barrier(() -> probing = false, () -> probing = false);
         }
         loop.after(READY_MS / 4, this::probe);
     }
 
     private boolean ready() {
-        return mirror.following() && !types.isEmpty() && loop.now() - mirror.lastAnswer() < READY_MS;
+        return watchCache.following() && !types.isEmpty() && loop.now() - watchCache.lastAnswer() < READY_MS;
     }
 
     /** Serves one request of a user, a worker or the load balancer. */
@@ -439,10 +440,10 @@
 
     private void report(Http.Exchange exchange) {
         metrics.reports.increment();
-        if (reign != null && lead.mayAct()) {
+        if (leaderTerm != null && lead.mayAct()) {
             try {
-                reign.report(Report.parse(Json.parse(exchange.body())), exchange);
-            } catch (BadMessage e) {
+                leaderTerm.report(Heartbeat.parse(Json.parse(exchange.body())), exchange);
+            } catch (InvalidMessageException e) {
                 metrics.malformed.increment();
                 LOG.warn("dropping a report: {}", e.getMessage());
                 exchange.answer(400, Json.bytes(Json.object().put("error", e.getMessage())));
@@ -451,7 +452,7 @@
         }
         if (otherLeads()) {
             relay.report(leader(), exchange);
-        } else if (reign == null && parked.size() < mostReports() && parkedBytes < MOST_PARKED_BYTES) {
+        } else if (leaderTerm == null && parked.size() < mostReports() && parkedBytes < MOST_PARKED_BYTES) {
             // Sent away, the worker would try the next controller a second later, which may know as little. And sent
             // to a leader that was elected a moment ago, hundreds would all be served by that one processor.
             parked.addLast(new Parked(exchange, loop.now() + PARK_MS));
@@ -489,12 +490,12 @@
      */
     private String leader() {
         String heard = relay.heard();
-        boolean current = mirror.following() && loop.now() - mirror.lastAnswer() < STALE_MS;
+        boolean current = watchCache.following() && loop.now() - watchCache.lastAnswer() < STALE_MS;
         return !current && heard != null ? heard : lead.leaderHost();
     }
 
     private void settleParked() {
-        boolean known = reign != null || otherLeads();
+        boolean known = leaderTerm != null || otherLeads();
         for (int left = parked.size(); left > 0; left--) {
             Parked p = parked.pollFirst();
             if (!known && loop.now() < p.until) {
@@ -521,11 +522,11 @@
                 .put("token", lead.leads() ? lead.token() : 0)
                 .put("configuration", configuration.current().number())
                 .put("ready", ready())
-                .put("revision", mirror.revision())
+                .put("revision", watchCache.revision())
                 .put("jobs", table.size())
                 .put("activeJobs", table.active().size());
-        if (reign != null) {
-            reign.describe(n);
+        if (leaderTerm != null) {
+            leaderTerm.describe(n);
         }
         incidents.write(n.putArray("incidents"));
         return Json.bytes(n);
--- a/controller/src/main/java/org/landingridge/controller/users/Admission.java
+++ b/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.users;
+package org.landingridge.controller.api;
 
 import io.github.bucket4j.Bandwidth;
 import io.github.bucket4j.Bucket;
@@ -14,7 +14,7 @@
  * without which no machine takes a task. So each controller keeps to its share while no leader is heard, or the leader says,
  * with its sign of life, that it comes short. Who is turned away is told so at once, with the time to come back.
  */
-final class Admission {
+final class AdmissionControl {
     /** A submission, in the bucket's tokens: rates are fractions. */
     private static final long ONE = 1_000;
 
@@ -40,7 +40,7 @@
      * @param share of these, what all controllers together may always use for submissions
      * @param nodes controllers in all
      */
-    Admission(LongSupplier clock, double most, double share, int nodes) {
+    AdmissionControl(LongSupplier clock, double most, double share, int nodes) {
         this.clock = clock;
         this.most = most;
         this.share = most * share / nodes;
--- a/controller/src/main/java/org/landingridge/controller/users/Turns.java
+++ b/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.users;
+package org.landingridge.controller.api;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -10,7 +10,7 @@
  * out by team: each may have an even share, and what a team does not ask for is lent to those that ask for more. Without
  * refusals nobody is held to anything.
  */
-final class Turns {
+final class FairQueue {
     private static final long SLOT_MS = 1_000;
     /** Weight of the newest second in what a team usually asks for. */
     private static final double NEWEST = 0.3;
@@ -44,7 +44,7 @@
     private double level = Double.MAX_VALUE;
 
     /** @param clock milliseconds of the steady clock */
-    Turns(LongSupplier clock) {
+    FairQueue(LongSupplier clock) {
         this.clock = clock;
         since = clock.getAsLong();
         filledAt = since;
--- a/controller/src/main/java/org/landingridge/controller/users/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.users;
+package org.landingridge.controller.api;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.landingridge.controller.history.History;
-import org.landingridge.controller.jobs.Ended;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.controller.store.Mirror;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Status;
+import org.landingridge.controller.store.WatchCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,7 +26,7 @@
         /** The job is neither done nor cancelled, and all that it awaits is known here. */
         void live(Job job);
 
-        void over(Ended ended);
+        void over(TerminatedJob ended);
 
         /** There is no such job as of the call. */
         void absent();
@@ -38,22 +38,23 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
     private static final String NO_ANSWER = "the state service does not answer";
     private final StateClient client;
-    private final Mirror mirror;
+    private final WatchCache watchCache;
     private final JobTable table;
     private final History history;
     /** Awaited jobs that are being looked up, by id, with those who wait for the outcome. */
     private final Map<String, List<Consumer<String>>> resolving = new HashMap<>();
 
-    public JobLookup(StateClient client, Mirror mirror, JobTable table, History history) {
+    public JobLookup(StateClient client, WatchCache watchCache, JobTable table, History history) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.table = table;
         this.history = history;
     }
 
     public void find(String id, Finding finding) {
         Job job = table.get(id);
-        Ended past = job == null ? history.known(id) : job.active() ? null : new Ended(job.status(), job.tasks());
+        TerminatedJob past =
+                job == null ? history.known(id) : job.active() ? null : new TerminatedJob(job.status(), job.tasks());
         if (past != null) {
             finding.over(past);
             return;
@@ -69,7 +70,8 @@
                     // have moved
                     // since the history was looked at, so that is looked at again, past another barrier.
                     client.get(Keys.JOBS + id, answer -> {
-                        Ended ended = answer.ok() ? JobTable.ended(answer.body().path("data")) : null;
+                        TerminatedJob ended =
+                                answer.ok() ? JobTable.ended(answer.body().path("data")) : null;
                         if (ended != null) {
                             finding.over(ended);
                         } else if (answer.status() == Status.NOT_FOUND) {
@@ -96,11 +98,11 @@
                 } else if (job.active()) {
                     finding.live(job);
                 } else {
-                    finding.over(new Ended(job.status(), job.tasks()));
+                    finding.over(new TerminatedJob(job.status(), job.tasks()));
                 }
             });
         } else if (job != null) {
-            finding.over(new Ended(job.status(), job.tasks()));
+            finding.over(new TerminatedJob(job.status(), job.tasks()));
         } else if (table.unreadable(id)) {
             finding.unavailable("what is stored of the job cannot be read");
         } else {
@@ -120,7 +122,7 @@
     }
 
     private void barrier(Finding finding, Runnable passed) {
-        mirror.barrier(passed, () -> finding.unavailable(NO_ANSWER));
+        watchCache.barrier(passed, () -> finding.unavailable(NO_ANSWER));
     }
 
     /** Looks up every awaited job that the table does not keep, as a leader has to before it can start what awaits them. */
@@ -158,8 +160,8 @@
             }
 
             @Override
-            public void over(Ended ended) {
-                table.resolved(id, ended.how(), mirror.revision());
+            public void over(TerminatedJob ended) {
+                table.resolved(id, ended.how(), watchCache.revision());
                 resolved(id, null);
             }
 
--- a/controller/src/main/java/org/landingridge/controller/users/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.users;
+package org.landingridge.controller.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,23 +7,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.configuration.ConfigurationView;
-import org.landingridge.controller.configuration.ConfiguredTeam;
-import org.landingridge.controller.history.Place;
-import org.landingridge.controller.jobs.Ended;
+import org.landingridge.controller.history.SegmentAddress;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
-import org.landingridge.controller.obs.Metrics;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.controller.liveconfig.ConfigurationView;
+import org.landingridge.controller.liveconfig.ConfiguredTeam;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.controller.store.Mirror;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Status;
 import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http.Exchange;
-import org.landingridge.net.Loop;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
@@ -40,8 +40,8 @@
     private static final double SHARE = 0.5;
 
     private final StateClient client;
-    private final Mirror mirror;
-    private final Loop loop;
+    private final WatchCache watchCache;
+    private final EventLoop loop;
     private final JobTable table;
     private final Settings settings;
     private final Map<String, MachineType> types;
@@ -49,14 +49,14 @@
     private final ConfigurationView configuration;
     private final BooleanSupplier pipelines;
     private final Metrics metrics;
-    private final Admission admission;
-    private final Turns turns;
+    private final AdmissionControl admission;
+    private final FairQueue turns;
 
     /** @param pipelines whether every controller runs a version that heeds what a job awaits */
     public JobService(
             StateClient client,
-            Mirror mirror,
-            Loop loop,
+            WatchCache watchCache,
+            EventLoop loop,
             JobTable table,
             JobLookup lookup,
             ConfigurationView configuration,
@@ -65,7 +65,7 @@
             BooleanSupplier pipelines,
             Metrics metrics) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.loop = loop;
         this.table = table;
         this.settings = settings;
@@ -74,8 +74,8 @@
         this.configuration = configuration;
         this.pipelines = pipelines;
         this.metrics = metrics;
-        this.turns = new Turns(loop::now);
-        this.admission = new Admission(
+        this.turns = new FairQueue(loop::now);
+        this.admission = new AdmissionControl(
                 loop::now,
                 settings.stateLimits().writeRps(),
                 SHARE,
@@ -95,7 +95,7 @@
         String malformed = null;
         try {
             spec = JobSpec.parse(body);
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             malformed = e.getMessage();
         }
         if (malformed != null && !JobSpec.validId(id)) {
@@ -171,7 +171,7 @@
                     }
 
                     @Override
-                    public void over(Ended ended) {
+                    public void over(TerminatedJob ended) {
                         cancelled |= ended.how() == Job.Status.CANCELLED;
                         checked();
                     }
@@ -273,15 +273,15 @@
     private void put(
             Exchange exchange, JobSpec spec, ObjectNode record, long segmentVersion, int tries, boolean again) {
         String key = Keys.JOBS + spec.id();
-        String segment = Place.of(spec.id()).key();
+        String segment = SegmentAddress.of(spec.id()).key();
         client.commit(
                 List.of(new Guard(key, 0), new Guard(segment, segmentVersion)),
                 List.of(new Write(key, record, 0)),
                 answer -> {
                     switch (answer.status()) {
                         case OK -> {
-                            if (answer.revision() > mirror.revision()) {
-                                mirror.committed(key, answer.revision());
+                            if (answer.revision() > watchCache.revision()) {
+                                watchCache.committed(key, answer.revision());
                                 table.changed(spec.id(), record, answer.revision());
                             }
                             boolean cancelled = JobTable.ended(record) != null;
@@ -331,7 +331,7 @@
             }
 
             @Override
-            public void over(Ended ended) {
+            public void over(TerminatedJob ended) {
                 exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", name(ended.how()))));
             }
 
@@ -350,9 +350,9 @@
     private void cancel(Exchange exchange, Job job, int tries) {
         String key = Keys.JOBS + job.id();
         ObjectNode value = JobTable.ended(job, Job.Status.CANCELLED);
-        client.commit(List.of(new Guard(key, mirror.version(key))), List.of(new Write(key, value, 0)), answer -> {
+        client.commit(List.of(new Guard(key, watchCache.version(key))), List.of(new Write(key, value, 0)), answer -> {
             if (answer.ok()) {
-                mirror.committed(key, answer.revision());
+                watchCache.committed(key, answer.revision());
                 table.end(job, Job.Status.CANCELLED, job.tasks(), answer.revision(), true);
                 LOG.info("{} is cancelled", job.id());
                 exchange.answer(
@@ -387,7 +387,7 @@
         }
 
         @Override
-        public void over(Ended ended) {
+        public void over(TerminatedJob ended) {
             exchange.answer(200, describe(id, name(ended.how()), ended.tasks(), 0));
         }
 
--- a/controller/src/main/java/org/landingridge/controller/cli/CheckCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/CheckCommand.java
@@ -2,9 +2,9 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import org.landingridge.controller.config.BadSettings;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.InvalidSettingsException;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -28,7 +28,7 @@
                     "ok: %s with %d other controllers, %d teams%n",
                     s.host(), s.peers().size(), s.teams().size());
             return 0;
-        } catch (BadSettings e) {
+        } catch (InvalidSettingsException e) {
             System.err.println("landingridge: " + e.getMessage());
             return 2;
         }
--- a/controller/src/main/java/org/landingridge/controller/cli/RehearseCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/ClassDataTrainingCommand.java
@@ -9,12 +9,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.net.Http;
 import org.landingridge.net.HttpClient;
 import org.landingridge.net.HttpServer;
-import org.landingridge.net.XnioLoop;
+import org.landingridge.net.XnioEventLoop;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 import org.xnio.XnioWorker;
@@ -27,7 +27,7 @@
  * controller go on.
  */
 @Command(name = "rehearse", hidden = true)
-public final class RehearseCommand implements Callable<Integer> {
+public final class ClassDataTrainingCommand implements Callable<Integer> {
     private static final String JOB = """
             {"id":"job-000001","lane":"l","crew":"t","shape":"sweep","urgency":"normal","takes":2,"cpus":1.0,"cards":0.0,
              "memoryGb":1.0,"reel":"i","sizeGb":0.1,"oneZone":false,"scatter":false,"standby":true,"runtimeS":5.0,
@@ -51,8 +51,8 @@
         Files.writeString(file, String.format(SETTINGS, serve, back, back, standIn, standIn), StandardCharsets.UTF_8);
         Settings settings = Settings.read(file);
         Files.delete(file);
-        XnioWorker worker = XnioLoop.worker();
-        XnioLoop loop = new XnioLoop(worker.getIoThread());
+        XnioWorker worker = XnioEventLoop.worker();
+        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         new HttpServer(
                         worker,
                         new InetSocketAddress("127.0.0.1", standIn),
@@ -84,7 +84,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private void answer(Http.Exchange x, XnioLoop loop, String addr) {
+    private void answer(Http.Exchange x, XnioEventLoop loop, String addr) {
         String path = x.path();
         if (path.equals("/machine_types")) {
             x.answer(200, bytes(TYPES));
--- a/controller/src/main/java/org/landingridge/controller/cli/Main.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/Main.java
@@ -15,7 +15,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         description = "A cluster scheduler that treats a timeout as an unknown outcome.",
-        subcommands = {RunCommand.class, CheckCommand.class, RehearseCommand.class},
+        subcommands = {RunCommand.class, CheckCommand.class, ClassDataTrainingCommand.class},
         footer = {
             "",
             "Exit codes: 0 success, 1 failure, 2 bad usage or settings.",
--- a/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.atomic.AtomicReference;
 import org.landingridge.controller.Controller;
-import org.landingridge.controller.config.BadSettings;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.peer.XnioPeerNet;
+import org.landingridge.controller.peer.XnioPeerTransport;
+import org.landingridge.controller.settings.InvalidSettingsException;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.net.HttpClient;
 import org.landingridge.net.HttpServer;
-import org.landingridge.net.XnioLoop;
+import org.landingridge.net.XnioEventLoop;
 import org.landingridge.wire.JobSpec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -42,7 +42,7 @@
         try {
             settings = Settings.read(Path.of(config));
             policy = operators == null ? Policy.DEFAULT : Policy.read(Path.of(operators));
-        } catch (BadSettings e) {
+        } catch (InvalidSettingsException e) {
             System.err.println("landingridge: " + e.getMessage());
             return 2;
         }
@@ -57,20 +57,22 @@
 
     static void start(Settings settings, Policy policy) throws IOException {
         Logger log = LoggerFactory.getLogger(RunCommand.class);
-        XnioWorker worker = XnioLoop.worker();
-        XnioLoop loop = new XnioLoop(worker.getIoThread());
+        XnioWorker worker = XnioEventLoop.worker();
+        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         HttpClient client = new HttpClient(
                 worker.getIoThread(), loop, Math.max(16, settings.machine().maxConnections() / 8));
         // Incarnations must differ between processes: a host's processes start at different times, and hosts differ.
         long seed = settings.host().hashCode() * 0x9E3779B97F4A7C15L + System.currentTimeMillis();
         AtomicReference<Controller> controllerOf = new AtomicReference<>();
-        XnioPeerNet peers = new XnioPeerNet(worker, loop, settings.peers(), settings.peerListen(), message -> {
-            // A process that is back at once hears the others before it is ready: such a record is lost, as any may be.
-            Controller ready = controllerOf.get();
-            if (ready != null) {
-                ready.received(message);
-            }
-        });
+        XnioPeerTransport peers =
+                new XnioPeerTransport(worker, loop, settings.peers(), settings.peerListen(), message -> {
+                    // A process that is back at once hears the others before it is ready: such a record is lost, as any
+                    // may be.
+                    Controller ready = controllerOf.get();
+                    if (ready != null) {
+                        ready.received(message);
+                    }
+                });
         Controller controller = new Controller(loop, client, peers, new SplittableRandom(seed), settings, policy);
         controllerOf.set(controller);
         HttpServer server = new HttpServer(worker, settings.listen(), JobSpec.MAX_BODY, controller::serve);
--- a/controller/src/main/java/org/landingridge/controller/ops/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.ops;
+package org.landingridge.controller.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
@@ -6,10 +6,10 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.function.Consumer;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
-import org.landingridge.wire.BadMessage;
 import org.landingridge.wire.CloudMachine;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
 import org.slf4j.Logger;
@@ -23,7 +23,7 @@
     private static final long BURST_MS = 1_000;
 
     private final Http http;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String addr;
     private final long gapMs;
     /** Rents and give-backs, in the order in which they were decided: the first are the largest. */
@@ -33,7 +33,7 @@
     private boolean waiting;
     private long nextAllowed = Long.MIN_VALUE / 2;
 
-    public CloudClient(Http http, Loop loop, String addr, double rps) {
+    public CloudClient(Http http, EventLoop loop, String addr, double rps) {
         this.http = http;
         this.loop = loop;
         this.addr = addr;
@@ -53,7 +53,7 @@
             if (reply.is(200)) {
                 try {
                     all = MachineType.parseAll(Json.parse(reply.body()));
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                     LOG.warn("dropping the machine types: {}", e.getMessage());
                 }
             }
@@ -79,7 +79,7 @@
             for (JsonNode b : boxes) {
                 try {
                     all.add(CloudMachine.parse(b));
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                     LOG.warn("dropping a row of the machine list: {}", e.getMessage());
                 }
             }
--- a/controller/src/main/java/org/landingridge/controller/ops/NextAction.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/NextAction.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.ops;
+package org.landingridge.controller.cloud;
 
 /** The post's rule: what to do next about an operation, given what was last observed of it. */
 public enum NextAction {
--- a/controller/src/main/java/org/landingridge/controller/ops/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.ops;
+package org.landingridge.controller.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/controller/src/main/java/org/landingridge/controller/ops/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.ops;
+package org.landingridge.controller.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -8,22 +8,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import org.landingridge.controller.ops.NextAction.Observation;
-import org.landingridge.controller.ops.Operation.Kind;
-import org.landingridge.controller.ops.Operation.State;
-import org.landingridge.controller.store.GroupWriter;
+import org.landingridge.controller.cloud.NextAction.Observation;
+import org.landingridge.controller.cloud.Operation.Kind;
+import org.landingridge.controller.cloud.Operation.State;
+import org.landingridge.controller.store.BatchWriter;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and give-backs of one reign. Each is written before it is dispatched and keeps its key; a call without an
+ * Rents and give-backs of one leader term. Each is written before it is dispatched and keeps its key; a call without an
  * answer leaves it unknown, and the next action is the post's.
  */
 public final class Operations {
-    /** What the operations tell the rest of the reign. */
+    /** What the operations tell the rest of the leader term. */
     public interface Events {
         /** Machines that a rent brought; fewer than wanted tells that the pool is empty. */
         void rented(Operation op, List<String> machines);
@@ -46,10 +46,10 @@
     private static final int RECORD_BYTES = 300;
 
     private static final int NAME_BYTES = 3;
-    private final Loop loop;
+    private final EventLoop loop;
     private final RandomGenerator random;
     private final CloudClient cloud;
-    private final GroupWriter writer;
+    private final BatchWriter writer;
     private final String root;
     private final long token;
     private final long queryLimitMs;
@@ -60,10 +60,10 @@
     private boolean closed;
 
     public Operations(
-            Loop loop,
+            EventLoop loop,
             RandomGenerator random,
             CloudClient cloud,
-            GroupWriter writer,
+            BatchWriter writer,
             String root,
             long token,
             double queryLimitS,
--- a/controller/src/main/java/org/landingridge/controller/lead/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -1,17 +1,17 @@
-package org.landingridge.controller.lead;
+package org.landingridge.controller.election;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import org.landingridge.controller.jobs.Endings;
-import org.landingridge.controller.peer.Message;
-import org.landingridge.controller.peer.PeerNet;
-import org.landingridge.controller.store.Mirror;
+import org.landingridge.controller.jobs.CancellationLog;
+import org.landingridge.controller.peer.PeerMessage;
+import org.landingridge.controller.peer.PeerTransport;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Status;
 import org.landingridge.controller.store.StateClient.Write;
-import org.landingridge.net.Loop;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -55,8 +55,8 @@
     private static final long LAPSE_MARGIN_MS = 1_000;
 
     private final StateClient client;
-    private final Mirror mirror;
-    private final Loop loop;
+    private final WatchCache watchCache;
+    private final EventLoop loop;
     private final RandomGenerator random;
     private final String key;
     private final String lastKey;
@@ -67,7 +67,7 @@
     private final long blindMs;
 
     private final Listener listener;
-    private final PeerNet peers;
+    private final PeerTransport peers;
     private final List<String> others;
     private State state = State.FOLLOWING;
     private long lease;
@@ -124,20 +124,20 @@
      */
     public Leadership(
             StateClient client,
-            Mirror mirror,
-            Loop loop,
+            WatchCache watchCache,
+            EventLoop loop,
             RandomGenerator random,
             String key,
             String host,
             long leaseMs,
             long blindMs,
             List<String> others,
-            PeerNet peers,
-            Endings endings,
+            PeerTransport peers,
+            CancellationLog endings,
             Listener listener) {
         this.blindMs = blindMs;
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.loop = loop;
         this.random = random;
         this.key = key;
@@ -148,8 +148,8 @@
         this.listener = listener;
         this.others = List.copyOf(others);
         this.peers = peers;
-        this.promises =
-                new Promises(client, loop, peers, key, host, this.others, random.nextLong(), endings, mirror::loaded);
+        this.promises = new Promises(
+                client, loop, peers, key, host, this.others, random.nextLong(), endings, watchCache::loaded);
         this.started = loop.now();
     }
 
@@ -213,7 +213,7 @@
      * read of the state, or by the word of all others.
      */
     public long known() {
-        return Math.max(mirror.viewAt(), promises.known());
+        return Math.max(watchCache.viewAt(), promises.known());
     }
 
     /**
@@ -295,28 +295,29 @@
         }
         // A claim needs the state service: without a sign of life from it there is no point in trying.
         if (learning
-                || !mirror.following()
+                || !watchCache.following()
                 || loop.now() < claimNotBefore
-                || loop.now() - mirror.lastAnswer() > 2_500) {
+                || loop.now() - watchCache.lastAnswer() > 2_500) {
             return;
         }
         boolean mine = host.equals(leaderHost);
-        boolean given = handedOver != 0 && handedOver == mirror.version(key);
+        boolean given = handedOver != 0 && handedOver == watchCache.version(key);
         if (leaderHost != null && !mine && !given || promises.bound()) {
             return;
         }
         // An earlier process of this host may have promised a leader not to lead. No such promise binds where the last
         // leader was an earlier process of this very host, which is dead, or where no one has led yet.
-        boolean free = mine || given || host.equals(lastHost) || mirror.version(lastKey) == 0;
+        boolean free = mine || given || host.equals(lastHost) || watchCache.version(lastKey) == 0;
         if (!free && loop.now() - started < Promises.LIFE_MS * 1.01) {
             return;
         }
         to(State.CLAIMING);
-        long seen = mirror.version(key);
-        long seenLast = mirror.version(lastKey);
+        long seen = watchCache.version(key);
+        long seenLast = watchCache.version(lastKey);
         // Whatever an earlier process of this host answered is over since this process began. What this one answered
         // when it
-        // had the lead before is not: counted from its start, all leases of its own former reign would be long over.
+        // had the lead before is not: counted from its start, all leases of its own former leader term would be long
+        // over.
         long silent = host.equals(lastHost) && !incarnation.equals(lastIncarnation) ? started : loop.now();
         // The earlier process of this host is dead: no need to draw lots with the others.
         loop.after(mine ? 0 : random.nextInt(60), () -> claim(seen, seenLast, silent));
@@ -341,7 +342,7 @@
                     return;
                 }
                 if (answer.ok()) {
-                    mirror.committed(lastKey, answer.revision());
+                    watchCache.committed(lastKey, answer.revision());
                     won(claim, answer.revision());
                 } else if (answer.status() == Status.UNKNOWN) {
                     settleClaim(claim);
@@ -384,7 +385,7 @@
     /** Makes no claim before the mirror has brought what was there when this is called. */
     private void learn() {
         learning = true;
-        mirror.barrier(
+        watchCache.barrier(
                 () -> {
                     learning = false;
                     consider();
@@ -416,7 +417,7 @@
         leaderIncarnation = incarnation;
         lastHost = host;
         lastIncarnation = incarnation;
-        mirror.committed(key, revision);
+        watchCache.committed(key, revision);
         to(State.LEADING);
         awaitMirror();
     }
@@ -424,7 +425,7 @@
     /** The new leader's view must hold everything that was written before it was elected. */
     private void awaitMirror() {
         long elected = token;
-        mirror.barrier(
+        watchCache.barrier(
                 () -> {
                     if (leads() && token == elected) {
                         listener.elected(elected);
@@ -484,7 +485,7 @@
             raising = false;
             if (leads() && lease == mine && answer.ok()) {
                 token = Math.max(token, answer.revision());
-                mirror.committed(key, token);
+                watchCache.committed(key, token);
                 LOG.info("token raised from {} to {}", old, token);
             }
         });
@@ -494,7 +495,7 @@
     public void suspect() {
         if (!suspecting) {
             suspecting = true;
-            mirror.barrier(() -> suspecting = false, () -> suspecting = false);
+            watchCache.barrier(() -> suspecting = false, () -> suspecting = false);
         }
     }
 
@@ -502,15 +503,15 @@
 
     /** Asks every other controller not to lead for a while: the state service does not answer this one. */
     private void ask() {
-        promises.ask(token, mirror.revision());
+        promises.ask(token, watchCache.revision());
     }
 
     /** Another controller asks for a promise; whoever leads, or may be about to, gives none. */
-    public void asked(Message.Ask ask) {
+    public void asked(PeerMessage.Ask ask) {
         promises.asked(ask, () -> leads() || state == State.CLAIMING);
     }
 
-    public void granted(Message.Grant grant) {
+    public void granted(PeerMessage.Grant grant) {
         promises.heard(grant, e -> listener.cancelled(e.id(), e.revision()));
         if (!leads() || grant.token() != token) {
             return;
@@ -525,7 +526,7 @@
         }
     }
 
-    public void refused(Message.Refuse refusal) {
+    public void refused(PeerMessage.Refuse refusal) {
         // One that comes late tells of an earlier trouble: in an outage it would cost the lead that the others have
         // promised.
         if (!leads()
@@ -554,12 +555,12 @@
         long given = token;
         stepDown(why);
         for (String other : others) {
-            peers.send(other, new Message.HandOver(host, given));
+            peers.send(other, new PeerMessage.HandOver(host, given));
         }
     }
 
     /** The leader of this token gives no more commands, by its own word. */
-    public void handedOver(Message.HandOver word) {
+    public void handedOver(PeerMessage.HandOver word) {
         handedOver = word.token();
         consider();
     }
--- a/controller/src/main/java/org/landingridge/controller/lead/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.lead;
+package org.landingridge.controller.election;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.landingridge.controller.jobs.Endings;
-import org.landingridge.controller.peer.Message;
-import org.landingridge.controller.peer.PeerNet;
+import org.landingridge.controller.jobs.CancellationLog;
+import org.landingridge.controller.peer.PeerMessage;
+import org.landingridge.controller.peer.PeerTransport;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Status;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 
 /**
  * Words given over {@code back} not to take the lead for a while: with those of every other controller a leader goes on
@@ -29,8 +29,8 @@
 
     private static final int MOST_ASKED = 20;
     private final StateClient client;
-    private final Loop loop;
-    private final PeerNet peers;
+    private final EventLoop loop;
+    private final PeerTransport peers;
     private final String key;
     private final String host;
     private final List<String> others;
@@ -44,7 +44,7 @@
     /** What was heard of the others' cancellations, by host. */
     private final Map<String, Heard> heard = new HashMap<>();
 
-    private final Endings endings;
+    private final CancellationLog endings;
     private final BooleanSupplier readWhole;
     /** Of this process: the positions in its own record of cancellations mean nothing in the next one. */
     private final long life;
@@ -62,13 +62,13 @@
      */
     Promises(
             StateClient client,
-            Loop loop,
-            PeerNet peers,
+            EventLoop loop,
+            PeerTransport peers,
             String key,
             String host,
             List<String> others,
             long life,
-            Endings endings,
+            CancellationLog endings,
             BooleanSupplier readWhole) {
         this.life = life;
         this.endings = endings;
@@ -95,11 +95,11 @@
         }
         for (String other : others) {
             Heard h = heard.computeIfAbsent(other, o -> new Heard());
-            peers.send(other, new Message.Ask(host, token, number, since, h.life, h.position));
+            peers.send(other, new PeerMessage.Ask(host, token, number, since, h.life, h.position));
         }
     }
 
-    void asked(Message.Ask ask, BooleanSupplier mayLead) {
+    void asked(PeerMessage.Ask ask, BooleanSupplier mayLead) {
         if (mayLead.getAsBoolean()) {
             refuse(ask);
         } else if (loop.now() - unusableAt < PROBE_MS) {
@@ -121,28 +121,28 @@
         }
     }
 
-    private void refuse(Message.Ask ask) {
-        peers.send(ask.host(), new Message.Refuse(host, ask.token(), ask.number()));
+    private void refuse(PeerMessage.Ask ask) {
+        peers.send(ask.host(), new PeerMessage.Refuse(host, ask.token(), ask.number()));
     }
 
     /** From here on this controller keeps from claiming, by its own clock, for longer than the leader will count. */
-    private void promise(Message.Ask ask) {
+    private void promise(PeerMessage.Ask ask) {
         boundUntil = loop.now() + (long) (LIFE_MS * (1 + Leadership.DRIFT));
-        peers.send(ask.host(), new Message.Grant(host, ask.token(), ask.number(), word(ask)));
+        peers.send(ask.host(), new PeerMessage.Grant(host, ask.token(), ask.number(), word(ask)));
     }
 
-    private Message.Word word(Message.Ask ask) {
+    private PeerMessage.Word word(PeerMessage.Ask ask) {
         if (!readWhole.getAsBoolean()) {
             return null;
         }
         long from = ask.life() == life ? ask.position() : 0;
-        Endings.Page page = endings.after(from, ask.since());
-        return page == null ? null : new Message.Word(life, from, page.to(), page.complete(), page.endings());
+        CancellationLog.Page page = endings.after(from, ask.since());
+        return page == null ? null : new PeerMessage.Word(life, from, page.to(), page.complete(), page.endings());
     }
 
     /** What one of the others vouches for. Its cancellations are final, whichever lead they were said to. */
-    void heard(Message.Grant grant, Consumer<Endings.Ending> cancelled) {
-        Message.Word word = grant.word();
+    void heard(PeerMessage.Grant grant, Consumer<CancellationLog.Ending> cancelled) {
+        PeerMessage.Word word = grant.word();
         Heard h = heard.get(grant.host());
         if (word == null || h == null) {
             return;
@@ -171,7 +171,7 @@
     }
 
     /** Until when nobody else will lead by the words given so far; long past while one of them is missing. */
-    long granted(Message.Grant grant) {
+    long granted(PeerMessage.Grant grant) {
         Long sent = askedAt.get(grant.number());
         if (sent == null || !others.contains(grant.host())) {
             return Long.MIN_VALUE;
--- a/controller/src/main/java/org/landingridge/controller/fleet/LiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -10,7 +10,7 @@
 import org.landingridge.wire.JobSpec;
 
 /** A job with its tasks, for as long as the leader works on it. */
-public final class LiveJob {
+public final class ActiveJob {
     private final Job job;
     private final JobSpec spec;
     /**
@@ -38,12 +38,12 @@
     int failures;
 
     final Set<String> failedOn = new LinkedHashSet<>();
-    /** One of its tasks has completed in this reign. */
+    /** One of its tasks has completed in this leader term. */
     boolean succeeded;
 
     long notBefore;
 
-    LiveJob(Job job, boolean own, long now) {
+    ActiveJob(Job job, boolean own, long now) {
         this.job = job;
         this.spec = job.spec();
         this.own = own;
--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempts.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -3,41 +3,45 @@
 import java.util.ArrayList;
 import java.util.Map;
 import java.util.function.Function;
+import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.EntryEvidence;
 import org.landingridge.controller.recovery.EntryEvidence.Known;
 import org.landingridge.controller.recovery.EntryEvidence.Said;
 import org.landingridge.controller.recovery.EntryEvidence.Stored;
-import org.landingridge.controller.recovery.Judgement;
 import org.landingridge.controller.recovery.Reconciliation;
+import org.landingridge.wire.Heartbeat;
 import org.landingridge.wire.JobSpec;
-import org.landingridge.wire.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What becomes of attempts: placed, seen, over; each change of theirs and of their tasks begins here. */
-final class Attempts {
+final class AttemptTracker {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     /** The worker's word for an attempt that completed. */
     private static final String DONE = "done";
 
-    private final Ground ground;
-    private final Faults faults;
-    private final Map<String, LiveJob> jobs;
+    private final FleetContext context;
+    private final FailureAttribution faults;
+    private final Map<String, ActiveJob> jobs;
     /** What the tasks of ended jobs take. */
     private final Function<String, JobSpec> endedSpecs;
 
     private long count;
 
-    Attempts(Ground ground, Map<String, LiveJob> jobs, Function<String, JobSpec> endedSpecs, Faults faults) {
+    AttemptTracker(
+            FleetContext context,
+            Map<String, ActiveJob> jobs,
+            Function<String, JobSpec> endedSpecs,
+            FailureAttribution faults) {
         this.faults = faults;
-        this.ground = ground;
+        this.context = context;
         this.jobs = jobs;
         this.endedSpecs = endedSpecs;
     }
 
     /** Places a task: its start goes out at once, straight to the machine. */
     void place(Task task, Machine m) {
-        long number = (ground.token() << 22) + ++count;
+        long number = (context.token() << 22) + ++count;
         Attempt a = new Attempt(
                 m,
                 task.job.id(),
@@ -45,10 +49,10 @@
                 number,
                 task.job.spec(),
                 task,
-                ground.loop().now());
+                context.loop().now());
         m.attempts.put(number, a);
         m.used(a.spec.image());
-        task.to(Task.State.ON_MACHINE, a, ground.loop().now());
+        task.to(Task.State.ON_MACHINE, a, context.loop().now());
         LOG.debug("placing {} on {}", a.name(), m.id);
     }
 
@@ -62,18 +66,18 @@
     }
 
     /** An attempt that this leader did not start: an earlier one did. */
-    Attempt adopt(Machine m, Report.Entry e, long now) {
-        LiveJob job = jobs.get(e.job());
+    Attempt adopt(Machine m, Heartbeat.Entry e, long now) {
+        ActiveJob job = jobs.get(e.job());
         Task task = job == null ? null : job.task(e.task());
         JobSpec spec = job == null ? endedSpecs.apply(e.job()) : job.spec();
         Attempt a = new Attempt(m, e.job(), e.task(), e.attempt(), spec, null, now);
         m.attempts.put(a.number, a);
-        Said said = e.status() != Report.TaskStatus.EXITED
+        Said said = e.status() != Heartbeat.TaskStatus.EXITED
                 ? Said.ON
                 : DONE.equals(e.why()) && job != null && !spec.service() ? Said.DONE : Said.ENDED;
         Stored stored = job != null ? Stored.LIVE : spec != null ? Stored.OVER : Stored.ABSENT;
-        Judgement judgement = Reconciliation.entry(new EntryEvidence(stored, known(task, a), said));
-        switch (judgement.verdict()) {
+        Decision decision = Reconciliation.entry(new EntryEvidence(stored, known(task, a), said));
+        switch (decision.verdict()) {
             case ADOPT -> {
                 a.owner = task;
                 if (said == Said.ON) {
@@ -89,13 +93,13 @@
                         "{} on {} is stopped: {}",
                         a.name(),
                         m.id,
-                        judgement.cause().text());
+                        decision.cause().text());
                 a.stopWanted = true;
             }
             // An attempt that failed still tells of its job and its machine.
             default -> a.owner = said == Said.ENDED ? task : null;
         }
-        if (e.status() != Report.TaskStatus.FETCHING && spec != null) {
+        if (e.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
             m.used(spec.image());
         }
         return a;
@@ -113,7 +117,7 @@
         task.to(Task.State.PENDING, null, now);
     }
 
-    /** Numbers only grow, from leader to leader and within a reign, and a task is started where none of its attempts can run. */
+    /** Numbers only grow, from leader to leader and within a leader term, and a task is started where none of its attempts can run. */
     private static Known known(Task task, Attempt a) {
         return task == null
                 ? Known.NONE
@@ -125,7 +129,7 @@
                 };
     }
 
-    void seen(Attempt a, Report.Entry e, long now) {
+    void seen(Attempt a, Heartbeat.Entry e, long now) {
         switch (e.status()) {
             case FETCHING -> {
                 if (a.state() == Attempt.State.SENT) {
@@ -175,8 +179,8 @@
                     disown(other);
                 }
                 task.to(Task.State.FINISHED, null, now);
-                ground.events().completed(a);
-                ground.events().finished(task);
+                context.events().completed(a);
+                context.events().finished(task);
             }
             return;
         }
@@ -199,7 +203,7 @@
     }
 
     /** The newest report lacks an attempt that may be on the machine. */
-    void missing(Attempt a, Report r, boolean hello) {
+    void missing(Attempt a, Heartbeat r, boolean hello) {
         if (a.state() != Attempt.State.SENT) {
             // Seen before and now absent in the same session: it was forgotten on command.
             release(a, "no longer reported");
@@ -230,15 +234,15 @@
     /** The attempt is certainly not on its machine any more. */
     void release(Attempt a, String why) {
         boolean lost = a.live();
-        a.to(Attempt.State.OVER, ground.loop().now());
+        a.to(Attempt.State.OVER, context.loop().now());
         a.machine.attempts.remove(a.number);
         Task task = a.owner;
         if (task != null && task.state() == Task.State.ON_MACHINE && task.attempt() == a) {
             if (lost) {
                 LOG.info("{} on {} is over: {}", a.name(), a.machine.id, why);
-                ground.metrics().lost.increment();
+                context.metrics().lost.increment();
             }
-            task.to(Task.State.PENDING, null, ground.loop().now());
+            task.to(Task.State.PENDING, null, context.loop().now());
         }
         a.owner = null;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Orders.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -8,13 +8,10 @@
 import java.util.Set;
 import org.landingridge.net.Http;
 import org.landingridge.wire.Commands;
-import org.landingridge.wire.Report;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.landingridge.wire.Heartbeat;
 
-/** What workers are told: in answers to their reports, and straight where that is quicker. */
-final class Orders {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+/** What workers are told: in answers to their heartbeats, and straight where that is quicker. */
+final class CommandDispatcher {
     private static final long CALL_MS = 1_500;
     /** A call that was not answered by now may be lost. */
     private static final long CROSSING_MS = 300;
@@ -25,12 +22,12 @@
 
     private static final int LEAST_ASKS = 12;
     private static final int CALL_SHARE = 8;
-    private final Ground ground;
-    private final Map<String, LiveJob> jobs;
-    private final Reports reports;
+    private final FleetContext context;
+    private final Map<String, ActiveJob> jobs;
+    private final HeartbeatHandler heartbeats;
     private final Set<Machine> touched = new LinkedHashSet<>();
     /**
-     * At a takeover every worker reports by itself within a report or two, and those answers save leases: only who stays
+     * At a takeover every worker sends a heartbeat by itself within a period or two, and those answers save leases: only who stays
      * silent is asked, and so many at a time.
      */
     private final int mostAsks;
@@ -42,12 +39,13 @@
     private int calls;
     private boolean closed;
 
-    Orders(Ground ground, Map<String, LiveJob> jobs, Reports reports, int maxConnections) {
+    CommandDispatcher(
+            FleetContext context, Map<String, ActiveJob> jobs, HeartbeatHandler heartbeats, int maxConnections) {
         this.mostAsks = Math.max(LEAST_ASKS, maxConnections / ASK_SHARE);
         this.mostCalls = Math.max(LEAST_ASKS, maxConnections / CALL_SHARE);
-        this.ground = ground;
+        this.context = context;
         this.jobs = jobs;
-        this.reports = reports;
+        this.heartbeats = heartbeats;
     }
 
     void close() {
@@ -72,7 +70,7 @@
     /** What the machine should do now; {@code report} is the report answered, or -1 for a direct call. */
     Commands commands(Machine m, long report) {
         Commands c = new Commands();
-        long now = ground.loop().now();
+        long now = context.loop().now();
         boolean direct = report < 0;
         if (!m.fenced || !m.written) {
             // What is over has to end whether or not this leader may start anything here: between a takeover and the
@@ -114,7 +112,7 @@
     }
 
     void callDirect(Machine m) {
-        long now = ground.loop().now();
+        long now = context.loop().now();
         if (closed
                 || m.attempts.isEmpty()
                 || m.calling
@@ -122,8 +120,8 @@
                 || m.addr == null
                 || now < m.callNotBefore
                 || m.state() != Machine.State.UP
-                || now - m.heard > ground.leaseMs()
-                || !ground.lead().mayAct()) {
+                || now - m.heard > context.leaseMs()
+                || !context.lead().mayAct()) {
             return;
         }
         if (calls >= mostCalls) {
@@ -134,7 +132,7 @@
         if (c.isEmpty()) {
             return;
         }
-        long token = ground.lead().token();
+        long token = context.lead().token();
         List<Attempt> starts = new ArrayList<>();
         for (Attempt a : m.attempts.values()) {
             if (a.state() == Attempt.State.SENT && !a.stopWanted && a.sentWithReport < 0 && a.unansweredUnder == 0) {
@@ -147,29 +145,29 @@
         calls++;
         long session = m.session;
         long seq = m.seq;
-        ground.http().call(m.addr, "POST", "/commands", c.direct(token, session), CALL_MS, reply -> {
+        context.http().call(m.addr, "POST", "/commands", c.direct(token, session), CALL_MS, reply -> {
             m.calling = false;
             calls--;
             starts.forEach(a -> a.directAt = Long.MIN_VALUE / 2);
             if (closed) {
                 return;
             }
-            ground.loop().after(0, this::flush);
+            context.loop().after(0, this::flush);
             switch (reply.outcome()) {
                 case ANSWERED -> {
-                    Report r = reports.read(m, reply);
-                    if (r == null || !reports.mergeAnswer(m, r, session, seq)) {
-                        m.callNotBefore = ground.loop().now() + 500;
+                    Heartbeat r = heartbeats.read(m, reply);
+                    if (r == null || !heartbeats.mergeAnswer(m, r, session, seq)) {
+                        m.callNotBefore = context.loop().now() + 500;
                     }
-                    ground.loop().after(20, () -> callDirect(m));
+                    context.loop().after(20, () -> callDirect(m));
                 }
                 case NOT_SENT -> {
                     m.unanswered++;
-                    m.callNotBefore = ground.loop().now() + 3_000;
+                    m.callNotBefore = context.loop().now() + 3_000;
                 }
                 case UNKNOWN -> {
                     m.unanswered++;
-                    m.callNotBefore = ground.loop().now() + 3_000;
+                    m.callNotBefore = context.loop().now() + 3_000;
                     for (Attempt a : starts) {
                         a.unansweredUnder = token;
                     }
@@ -184,12 +182,12 @@
     }
 
     private void ask(Machine m, int tries) {
-        long now = ground.loop().now();
+        long now = context.loop().now();
         if (closed
                 || m.addr == null
                 || m.calling
                 || now < m.askNotBefore
-                || !ground.lead().mayAct()
+                || !context.lead().mayAct()
                 || tries > 3
                 || asking >= mostAsks) {
             return;
@@ -198,8 +196,8 @@
         asking++;
         long session = m.session;
         long seq = m.seq;
-        byte[] body = new Commands().direct(ground.lead().token(), Math.max(1, session));
-        ground.http().call(m.addr, "POST", "/commands", body, CALL_MS, reply -> {
+        byte[] body = new Commands().direct(context.lead().token(), Math.max(1, session));
+        context.http().call(m.addr, "POST", "/commands", body, CALL_MS, reply -> {
             m.calling = false;
             asking--;
             if (closed) {
@@ -207,15 +205,15 @@
             }
             if (reply.outcome() != Http.Outcome.ANSWERED) {
                 m.unanswered++;
-                m.askNotBefore = ground.loop().now() + ASK_PAUSE_MS;
+                m.askNotBefore = context.loop().now() + ASK_PAUSE_MS;
                 return;
             }
-            Report r = reports.read(m, reply);
+            Heartbeat r = heartbeats.read(m, reply);
             if (r != null) {
-                reports.mergeAnswer(m, r, session, seq);
-                m.heard(ground.loop().now());
+                heartbeats.mergeAnswer(m, r, session, seq);
+                m.heard(context.loop().now());
                 // One that has begun anew is shown the next token, which is not there yet.
-                if (!m.fenced && m.life() == Machine.Life.KNOWN) {
+                if (!m.fenced && m.life() == Machine.Incarnation.KNOWN) {
                     ask(m, tries + 1);
                 }
             }
@@ -228,7 +226,7 @@
         for (Attempt a : m.attempts.values()) {
             kept += a.state() == Attempt.State.EXITED
                             && a.copyCouldRun()
-                            && a.directUnder == ground.lead().token()
+                            && a.directUnder == context.lead().token()
                     ? 1
                     : 0;
         }
@@ -258,7 +256,7 @@
             boolean unwanted = a.stopWanted || a.state() == Attempt.State.EXITED;
             if (a.unansweredUnder != 0
                     && unwanted
-                    && a.unansweredUnder == ground.lead().token()
+                    && a.unansweredUnder == context.lead().token()
                     && now - a.since > 3_000) {
                 return true;
             }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Faults.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
@@ -10,7 +10,7 @@
  * which jobs fail that succeed elsewhere, or several jobs one after the other, is faulty. Until one of the two is known the
  * machine is avoided for a while, and the job waits a little.
  */
-final class Faults {
+final class FailureAttribution {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     /** A job that has failed on so many machines, without a success since, is broken. */
     static final int MACHINES = 2;
@@ -25,20 +25,20 @@
     private static final long PAUSE_MS = 500;
     private static final long PROBE_MS = 2_000;
     private static final int MOST_DOUBLINGS = 5;
-    private final Ground ground;
+    private final FleetContext context;
     private final Function<String, Machine> machines;
 
-    Faults(Ground ground, Function<String, Machine> machines) {
-        this.ground = ground;
+    FailureAttribution(FleetContext context, Function<String, Machine> machines) {
+        this.context = context;
         this.machines = machines;
     }
 
     /** A task of the job ended with an error on the machine. */
-    void failed(LiveJob job, Machine m, long now) {
+    void failed(ActiveJob job, Machine m, long now) {
         job.failedOn.add(m.id);
         job.failures++;
-        LiveJob.Health health = health(job.failedOn.size(), job.failures, job.succeeded);
-        if (health == LiveJob.Health.BROKEN && job.health() != health) {
+        ActiveJob.Health health = health(job.failedOn.size(), job.failures, job.succeeded);
+        if (health == ActiveJob.Health.BROKEN && job.health() != health) {
             // What it did there says nothing of the machines any more.
             for (String id : job.failedOn) {
                 Machine other = machines.apply(id);
@@ -47,15 +47,15 @@
                 }
             }
             LOG.info("{} fails on every machine that it is given: one task at a time is tried from now on", job.id());
-            ground.incidents()
-                    .say(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
+            context.incidents()
+                    .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
                             + String.join(", ", job.failedOn)
                             + ": it looks like a mistake in the job; one task at a time is tried"
                             + " until it is cancelled");
-            ground.chronicle().tell("job_broken", "job", job.id(), "machines", job.failedOn.size());
+            context.eventLog().emit("job_broken", "job", job.id(), "machines", job.failedOn.size());
         }
         job.to(health);
-        if (health == LiveJob.Health.BROKEN) {
+        if (health == ActiveJob.Health.BROKEN) {
             // Bounded, and never for good: a mistake outside the job may be mended.
             job.notBefore = now + (PROBE_MS << Math.min(MOST_DOUBLINGS, job.failures - MACHINES));
             return;
@@ -68,7 +68,7 @@
     }
 
     /** A task of the job completed on the machine: both have shown that they work. */
-    void completed(LiveJob job, Machine m) {
+    void completed(ActiveJob job, Machine m) {
         for (String id : job.failedOn) {
             Machine other = machines.apply(id);
             if (other != null && other != m) {
@@ -80,19 +80,21 @@
         job.failedOn.clear();
         job.failures = 0;
         job.succeeded = true;
-        job.to(LiveJob.Health.SOUND);
+        job.to(ActiveJob.Health.SOUND);
         m.failed.clear();
         m.proven = 0;
         m.errors = 0;
     }
 
     /** What the failures since the last success say of a job. */
-    static LiveJob.Health health(int machines, int failures, boolean succeeded) {
+    static ActiveJob.Health health(int machines, int failures, boolean succeeded) {
         if (failures == 0) {
-            return LiveJob.Health.SOUND;
+            return ActiveJob.Health.SOUND;
         }
         int more = succeeded ? 2 : 1;
-        return machines >= MACHINES * more || failures >= TIMES * more ? LiveJob.Health.BROKEN : LiveJob.Health.DOUBTED;
+        return machines >= MACHINES * more || failures >= TIMES * more
+                ? ActiveJob.Health.BROKEN
+                : ActiveJob.Health.DOUBTED;
     }
 
     /** True if the failures on a machine since its last success are its own. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -7,36 +7,36 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.jobs.Job;
-import org.landingridge.controller.lead.Leadership;
-import org.landingridge.controller.obs.Chronicle;
-import org.landingridge.controller.obs.IncidentReport;
-import org.landingridge.controller.obs.Metrics;
-import org.landingridge.controller.recovery.Judgement;
+import org.landingridge.controller.observability.EventLog;
+import org.landingridge.controller.observability.IncidentReport;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.recovery.Action;
+import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.Reconciliation;
 import org.landingridge.controller.recovery.ReportEvidence;
 import org.landingridge.controller.recovery.ReportEvidence.Token;
 import org.landingridge.controller.recovery.TaskEvidence;
-import org.landingridge.controller.recovery.Verdict;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.Commands;
+import org.landingridge.wire.Heartbeat;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
-import org.landingridge.wire.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines and what is or may be on them, for one reign of this controller. Starts are written nowhere: a new
- * reign rebuilds them from reports, and places no task that an earlier leader could have started before every machine
+ * The machines and what is or may be on them, for one leader term of this controller. Starts are written nowhere: a new
+ * leader term rebuilds them from heartbeats, and places no task that an earlier leader could have started before every machine
  * of the roster is fenced, lapsed or gone.
  */
 public final class Fleet {
-    /** What the fleet tells the rest of the reign. */
+    /** What the fleet tells the rest of the leader term. */
     public interface Events {
         void changed();
 
@@ -46,7 +46,7 @@
         void completed(Attempt attempt);
 
         /** The machine's row in the roster must be written anew. */
-        void roster(Machine machine);
+        void registry(Machine machine);
 
         /** A machine has reported that nobody knew of. */
         void newcomer();
@@ -77,33 +77,33 @@
     /** One in so many machines without a report are many. */
     private static final int MANY = 4;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Leadership lead;
-    private final long reignToken;
+    private final long fencingToken;
     private final Function<String, MachineType> types;
     private final Metrics metrics;
     private final IncidentReport incidents;
-    private final Chronicle chronicle;
+    private final EventLog eventLog;
     private final Events events;
     private final long leaseMs;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<String, LiveJob> jobs = new LinkedHashMap<>();
+    private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
     /** Machines that were given back, with the time; the oldest first. */
     private final Map<String, Long> returned = new LinkedHashMap<>();
 
     private final BootTimes boots = new BootTimes();
-    private final Census census;
-    private final Attempts attempts;
-    private final Reports reports;
-    private final Orders orders;
-    private final Appraisal appraisal;
+    private final UnverifiedMachines unverifiedMachines;
+    private final AttemptTracker attempts;
+    private final HeartbeatHandler heartbeats;
+    private final CommandDispatcher dispatcher;
+    private final HealthMonitor healthMonitor;
     private long tokenRaised;
     private long ticked;
     private boolean closed;
 
     /** @param endedSpecs what the tasks of ended jobs take, null where that is not known any more */
     public Fleet(
-            Loop loop,
+            EventLoop loop,
             Http http,
             Leadership lead,
             Settings.Workers workers,
@@ -113,38 +113,39 @@
             int maxConnections,
             Metrics metrics,
             IncidentReport incidents,
-            Chronicle chronicle,
+            EventLog eventLog,
             Events events) {
         this.loop = loop;
         this.lead = lead;
-        this.reignToken = lead.token();
+        this.fencingToken = lead.token();
         this.types = types;
         this.metrics = metrics;
         this.incidents = incidents;
-        this.chronicle = chronicle;
+        this.eventLog = eventLog;
         this.events = events;
         // Clocks differ by 0.05 % and our 200 was written after the report was sent: both err on the safe side.
         this.leaseMs = (long) (workers.leaseS() * 1000 * 1.002) + 250;
-        Ground ground = new Ground(
+        FleetContext context = new FleetContext(
                 loop,
                 http,
                 lead,
-                reignToken,
+                fencingToken,
                 metrics,
                 incidents,
-                chronicle,
+                eventLog,
                 events,
                 leaseMs,
                 Math.round(workers.reportS() * 1000));
-        census = new Census(ground);
-        attempts = new Attempts(ground, jobs, endedSpecs, new Faults(ground, machines::get));
-        reports = new Reports(ground, attempts, census, boots);
-        orders = new Orders(ground, jobs, reports, maxConnections);
-        appraisal = new Appraisal(ground, census, boots, Math.round(policy.bootMarginS() * 1000), policy.settleShare());
+        unverifiedMachines = new UnverifiedMachines(context);
+        attempts = new AttemptTracker(context, jobs, endedSpecs, new FailureAttribution(context, machines::get));
+        heartbeats = new HeartbeatHandler(context, attempts, unverifiedMachines, boots);
+        dispatcher = new CommandDispatcher(context, jobs, heartbeats, maxConnections);
+        healthMonitor = new HealthMonitor(
+                context, unverifiedMachines, boots, Math.round(policy.bootMarginS() * 1000), policy.settleShare());
     }
 
     public void start() {
-        appraisal.awake(loop.now());
+        healthMonitor.awake(loop.now());
         ticked = loop.now();
         tokenRaised = loop.now();
         tick();
@@ -152,7 +153,7 @@
 
     public void close() {
         closed = true;
-        orders.close();
+        dispatcher.close();
     }
 
     public Iterable<Machine> machines() {
@@ -167,36 +168,36 @@
         return machines.get(id);
     }
 
-    public Iterable<LiveJob> jobs() {
+    public Iterable<ActiveJob> jobs() {
         return jobs.values();
     }
 
-    public LiveJob job(String id) {
+    public ActiveJob job(String id) {
         return jobs.get(id);
     }
 
     /** Tasks that wait for a place. */
     public int waiting() {
         int sum = 0;
-        for (LiveJob j : jobs.values()) {
+        for (ActiveJob j : jobs.values()) {
             sum += j.job().ready() ? j.count(Task.State.PENDING) : 0;
         }
         return sum;
     }
 
     public int unaccounted() {
-        return census.left();
+        return unverifiedMachines.left();
     }
 
     /**
      * Tasks that wait for a place and are certainly on no machine. An earlier leader had each task in one place at most:
-     * what this reign has seen on a fenced machine and then lost is accounted for, whatever other machines may hold.
+     * what this leader term has seen on a fenced machine and then lost is accounted for, whatever other machines may hold.
      */
-    public int placeable(LiveJob job) {
+    public int placeable(ActiveJob job) {
         if (!job.job().ready()) {
             return 0;
         }
-        boolean held = census.mayHold(job.spec());
+        boolean held = unverifiedMachines.mayHold(job.spec());
         if (placeable(job, false, held)) {
             return job.count(Task.State.PENDING);
         }
@@ -207,13 +208,13 @@
         return n;
     }
 
-    private static boolean placeable(LiveJob job, boolean accounted, boolean held) {
-        return Reconciliation.task(new TaskEvidence(job.own, accounted, held)).is(Verdict.PLACE);
+    private static boolean placeable(ActiveJob job, boolean accounted, boolean held) {
+        return Reconciliation.task(new TaskEvidence(job.own, accounted, held)).is(Action.PLACE);
     }
 
     /** True if the machine may hold tasks that nobody has reported to this leader: no more than fit on it. */
     public boolean unaccounted(Machine m) {
-        return m.inCensus;
+        return m.unverified;
     }
 
     /** Jobs of which an attempt is or may be on a machine. */
@@ -228,7 +229,7 @@
     }
 
     /**
-     * True if tasks may be started on the machine now. One that answers calls and whose reports do not come keeps nothing for
+     * True if tasks may be started on the machine now. One that answers calls and whose heartbeats do not come keeps nothing for
      * longer than its lease, which a call does not renew.
      */
     public boolean usable(Machine m, long now) {
@@ -257,9 +258,9 @@
      * likely lost what it held.
      */
     public boolean unheard(Machine m, long now) {
-        return m.inCensus
-                && census.left() * MANY > census.asked()
-                && appraisal.judge(m, now).cause() == Judgement.Cause.REPORT_DUE;
+        return m.unverified
+                && unverifiedMachines.left() * MANY > unverifiedMachines.asked()
+                && healthMonitor.judge(m, now).cause() == Decision.Reason.REPORT_DUE;
     }
 
     /** For how long a machine on which nothing takes room has been so. */
@@ -277,16 +278,16 @@
     }
 
     /** What the evidence says of the machine. */
-    public Judgement judge(Machine m, long now) {
-        return appraisal.judge(m, now);
+    public Decision judge(Machine m, long now) {
+        return healthMonitor.judge(m, now);
     }
 
     /** The machine is to go back, by its judgement: it gets no more starts. */
-    public void giveBack(Machine m, Judgement why) {
-        if (why.cause() == Judgement.Cause.SETTLED_BY_RETURN) {
-            appraisal.returned(m, loop.now());
+    public void giveBack(Machine m, Decision why) {
+        if (why.cause() == Decision.Reason.SETTLED_BY_RETURN) {
+            healthMonitor.returned(m, loop.now());
             metrics.settled.increment();
-            chronicle.tell("settled", "machine", m.id, "zone", m.zone, "silentMs", silentMs(m), "held", m.live());
+            eventLog.emit("settled", "machine", m.id, "zone", m.zone, "silentMs", silentMs(m), "held", m.live());
         }
         leaving(m);
     }
@@ -297,13 +298,13 @@
     }
 
     /** The job's next waiting task that may be placed, or null. */
-    public Task nextPlaceable(LiveJob job) {
+    public Task nextPlaceable(ActiveJob job) {
         // The one door to every start: whatever asks, nothing of a job begins before all that it needs is stored as
         // done.
         if (!job.job().ready()) {
             return null;
         }
-        boolean held = census.mayHold(job.spec());
+        boolean held = unverifiedMachines.mayHold(job.spec());
         boolean clear = placeable(job, false, held);
         for (int tried = 0; tried < job.size(); tried++) {
             int index = job.next;
@@ -322,16 +323,16 @@
         return null;
     }
 
-    public boolean wasReturned(String id) {
+    public boolean wasReleased(String id) {
         return returned.containsKey(id);
     }
 
-    // ---- what the reign tells the fleet ----
+    // ---- what the leader term tells the fleet ----
 
     /**
      * Adds a machine of the roster, as read at the election.
      *
-     * @param silentSince no earlier leader has answered its reports since then, by the loop's clock
+     * @param silentSince no earlier leader has answered its heartbeats since then, by the loop's clock
      */
     public void fromRoster(String id, String addr, String type, String zone, boolean spot, long silentSince) {
         MachineType kind = types.apply(type);
@@ -340,19 +341,19 @@
             m.written = true;
             m.answered = Math.min(silentSince, lead.silentSince());
             m.answeredBefore = m.answered;
-            census.add(m);
+            unverifiedMachines.add(m);
         }
         machines.put(id, m);
     }
 
     /** A page of the roster cannot be read: machines that nobody knows may hold anything, for as long as a lease lasts. */
     void unreadable() {
-        census.unreadable(lead.silentSince() + leaseMs);
+        unverifiedMachines.unreadable(lead.silentSince() + leaseMs);
     }
 
     /** True while machines that nobody knows may hold tasks of any team, nobody knows how many. */
     public boolean anyUnreadable() {
-        return census.unreadable();
+        return unverifiedMachines.unreadable();
     }
 
     boolean knows(String type) {
@@ -374,7 +375,7 @@
         }
         Machine m = new Machine(id, addr, kind, zone, spot, loop.now());
         machines.put(id, m);
-        events.roster(m);
+        events.registry(m);
         return m;
     }
 
@@ -387,14 +388,14 @@
         }
     }
 
-    /** Milliseconds since one of its reports was answered last. */
+    /** Milliseconds since one of its heartbeats was answered last. */
     long silentMs(Machine m) {
         return loop.now() - m.answered;
     }
 
-    /** The token under which this reign began. */
+    /** The token under which this leader term began. */
     long token() {
-        return reignToken;
+        return fencingToken;
     }
 
     public void written(Machine m) {
@@ -416,13 +417,13 @@
         if (m != null) {
             m.to(Machine.State.GONE);
             attempts.releaseAll(m, "the machine is gone");
-            census.accounted(m);
+            unverifiedMachines.accounted(m);
             events.changed();
         }
     }
 
     public void jobAccepted(Job job) {
-        jobs.put(job.id(), new LiveJob(job, job.created() > reignToken, loop.now()));
+        jobs.put(job.id(), new ActiveJob(job, job.created() > fencingToken, loop.now()));
         events.changed();
     }
 
@@ -440,7 +441,7 @@
                 }
             }
             if (some) {
-                orders.callDirect(m);
+                dispatcher.callDirect(m);
             }
         }
         events.changed();
@@ -449,18 +450,18 @@
     /** Places a task: its start goes out at once, straight to the machine. */
     public void place(Task task, Machine m) {
         attempts.place(task, m);
-        orders.touch(m);
+        dispatcher.touch(m);
     }
 
     /** Stops an attempt so that its room is freed; the task becomes pending once it is certainly off. */
     public void stop(Attempt a, double graceS) {
         attempts.stop(a, graceS);
-        orders.touch(a.machine);
+        dispatcher.touch(a.machine);
     }
 
     /** Sends what has been decided, straight to the machines that need it; what can't be sent now waits for a tick. */
     public void flush() {
-        orders.flush();
+        dispatcher.flush();
     }
 
     /** The finished task is stored: the machine may forget it. */
@@ -470,21 +471,21 @@
         }
     }
 
-    // ---- reports ----
+    // ---- heartbeats ----
 
     /** Answers a worker's report; the caller has checked that this process leads. */
-    public void report(Report r, Http.Exchange exchange) {
+    public void report(Heartbeat r, Http.Exchange exchange) {
         Machine known = machines.get(r.machine());
-        Judgement judgement = Reconciliation.report(new ReportEvidence(
+        Decision decision = Reconciliation.report(new ReportEvidence(
                 returned.containsKey(r.machine()),
-                known == null || Reports.newer(known, r),
+                known == null || HeartbeatHandler.newer(known, r),
                 Token.of(r.token(), lead.token())));
-        if (judgement.is(Verdict.ASK)) {
+        if (decision.is(Action.ASK)) {
             // The worker would drop our 200, and its lease would run out while it stays with us.
             lead.suspect();
         }
-        if (judgement.is(Verdict.ASK) || judgement.cause() == Judgement.Cause.GIVEN_BACK) {
-            exchange.answer(503, error(judgement.cause().text()));
+        if (decision.is(Action.ASK) || decision.cause() == Decision.Reason.GIVEN_BACK) {
+            exchange.answer(503, error(decision.cause().text()));
             return;
         }
         Machine m = appeared(r.machine(), r.addr(), r.type(), r.zone(), r.spot());
@@ -495,15 +496,15 @@
             exchange.answer(503, error("unknown machine type"));
             return;
         }
-        boolean news = reports.merge(m, r, true);
-        if (news && m.inCensus && !m.fenced) {
+        boolean news = heartbeats.merge(m, r, true);
+        if (news && m.unverified && !m.fenced) {
             hasNotHeardUs(m, r.session());
         }
         if (!news && (m.older > 1 || loop.now() - m.heard > DOUBT_MS)) {
             // Its answer tells a late report from a machine that has begun anew.
-            orders.ask(m);
+            dispatcher.ask(m);
         }
-        if (m.voice() != Machine.Voice.HEARD) {
+        if (m.contact() != Machine.Contact.HEARD) {
             // A later leader may count its lease from before: it must read first that this one is answered again.
             if (m.waiting != null) {
                 m.waiting.answer(503, error("a newer report has come"));
@@ -511,25 +512,25 @@
             m.waiting = exchange;
             return;
         }
-        if (orders.mustLapse(m, loop.now())) {
+        if (dispatcher.mustLapse(m, loop.now())) {
             // A start that is held up on the way, of a job that is cancelled: only the end of the session stops it now.
             exchange.answer(503, error("a start of a cancelled job may still arrive here"));
             return;
         }
-        answer(m, news ? orders.commands(m, r.seq()) : new Commands(), exchange);
+        answer(m, news ? dispatcher.commands(m, r.seq()) : new Commands(), exchange);
     }
 
     /**
-     * A machine of the roster reports and shows no token of ours. A worker has one report in flight and drops late answers, so
+     * A machine of the registry sends heartbeats and shows no token of ours. A worker has one report in flight and drops late answers, so
      * whatever we answered before has not reached it: its lease is that of the earlier leader. Without this one that is deaf,
-     * and whose reports all come, would count as alive with what it held for as long as it is so.
+     * and whose heartbeats all come, would count as alive with what it held for as long as it is so.
      */
     private void hasNotHeardUs(Machine m, long session) {
         m.answered = m.answeredBefore;
         if (loop.now() > leaseEnds(m)) {
             lapse(m);
             // Nothing that it said so far counts any more; what it says once it has heard us does.
-            m.lifeAbove = Math.max(m.lifeAbove, reignToken - 1);
+            m.lifeAbove = Math.max(m.lifeAbove, fencingToken - 1);
             m.session = session;
         }
     }
@@ -546,18 +547,18 @@
 
     /** A silent machine's row is to tell for how long it has been so, before a later leader needs to know. */
     private void mute(Machine m) {
-        if (m.voice() != Machine.Voice.MUTED
+        if (m.contact() != Machine.Contact.MUTED
                 && m.written
-                && (m.state() == Machine.State.UP || m.inCensus)
+                && (m.state() == Machine.State.UP || m.unverified)
                 && lead.state() == Leadership.State.LEADING) {
-            m.to(Machine.Voice.MUTED);
-            events.roster(m);
+            m.to(Machine.Contact.MUTED);
+            events.registry(m);
         }
     }
 
     /** The row is stored without a silence: the machine is answered again. */
     void speaks(Machine m) {
-        m.to(Machine.Voice.HEARD);
+        m.to(Machine.Contact.HEARD);
         m.told = false;
         if (m.waiting != null) {
             Http.Exchange waiting = m.waiting;
@@ -583,35 +584,36 @@
         // A process that stood still while its clocks ran on has heard nobody: that says nothing of the machines.
         if (now - ticked > TICK_MS + STOOD_STILL_MS) {
             LOG.info("stood still for {} ms", now - ticked - TICK_MS);
-            incidents.say("this controller stood still for " + (now - ticked - TICK_MS) + " ms");
-            appraisal.awake(now);
+            incidents.record("this controller stood still for " + (now - ticked - TICK_MS) + " ms");
+            healthMonitor.awake(now);
         }
         ticked = now;
-        if (census.unreadableOver(now)) {
+        if (unverifiedMachines.unreadableOver(now)) {
             events.unreadableOver();
         }
-        appraisal.look(machines.values(), census.left() > 0 && anyHeld(), now);
+        healthMonitor.look(machines.values(), unverifiedMachines.left() > 0 && anyHeld(), now);
         for (Machine m : new ArrayList<>(machines.values())) {
-            switch (appraisal.judge(m, now).verdict()) {
+            switch (healthMonitor.judge(m, now).verdict()) {
                 case PLACE -> lapse(m);
                 case ASK -> {
-                    orders.ask(m);
+                    dispatcher.ask(m);
                     if (m.unanswered > 0) {
                         mute(m);
                     }
                 }
                 default -> {}
             }
-            stuck |= m.state() == Machine.State.UP && orders.withdrawn(m, now);
-            kept = Math.max(kept, orders.kept(m));
+            stuck |= m.state() == Machine.State.UP && dispatcher.withdrawn(m, now);
+            kept = Math.max(kept, dispatcher.kept(m));
             // One whose lease ran out unheard is not asked: it may well be gone for good, and says when it is back.
-            if (m.life() == Machine.Life.ANEW && (m.state() != Machine.State.LAPSED || m.older > 0)) {
+            if (m.life() == Machine.Incarnation.ANEW && (m.state() != Machine.State.LAPSED || m.older > 0)) {
                 anew |= lead.token() <= m.lifeAbove;
-                orders.ask(m);
+                dispatcher.ask(m);
             }
-            orders.callDirect(m);
+            dispatcher.callDirect(m);
         }
-        // Lists lag, and reports may come minutes late: after that a name that was given back is not heard of any more.
+        // Lists lag, and heartbeats may come minutes late: after that a name that was given back is not heard of any
+        // more.
         Iterator<Long> returns = returned.values().iterator();
         while (returns.hasNext() && now - returns.next() > RETURNED_MS) {
             returns.remove();
@@ -627,7 +629,7 @@
 
     /** True if tasks of earlier leaders' jobs wait. */
     private boolean anyHeld() {
-        for (LiveJob job : jobs.values()) {
+        for (ActiveJob job : jobs.values()) {
             if (!job.own && job.job().ready() && job.count(Task.State.PENDING) > 0) {
                 return true;
             }
@@ -638,33 +640,35 @@
     /** Tasks that wait until the machines that may hold them are accounted for. */
     public int held() {
         int sum = 0;
-        for (LiveJob job : jobs.values()) {
-            sum += census.left() == 0 || !job.job().ready() ? 0 : job.count(Task.State.PENDING) - placeable(job);
+        for (ActiveJob job : jobs.values()) {
+            sum += unverifiedMachines.left() == 0 || !job.job().ready()
+                    ? 0
+                    : job.count(Task.State.PENDING) - placeable(job);
         }
         return sum;
     }
 
     /** When, by the loop's clock, the machine's lease is certainly over. */
     public long leaseEnds(Machine m) {
-        return appraisal.leaseEnds(m);
+        return healthMonitor.leaseEnds(m);
     }
 
     private void lapse(Machine m) {
         // One that this leader never heard is no machine on its way either: counted as such, nothing was rented in its
         // place.
-        if (m.state() == Machine.State.UP || m.inCensus && m.state() == Machine.State.BOOTING) {
+        if (m.state() == Machine.State.UP || m.unverified && m.state() == Machine.State.BOOTING) {
             LOG.info("{} is silent: its lease has run out", m.id);
             metrics.lapses.increment();
             int held = m.live();
-            chronicle.tell("lapsed", "machine", m.id, "zone", m.zone, "held", held);
-            incidents.say(m.id + " fell silent and its lease ran out"
+            eventLog.emit("lapsed", "machine", m.id, "zone", m.zone, "held", held);
+            incidents.record(m.id + " fell silent and its lease ran out"
                     + (held > 0 ? "; " + held + " tasks are started elsewhere" : ""));
             m.to(Machine.State.LAPSED);
             if (!m.everHeard()) {
                 // Which session ended nobody knows. What was reported in it may still arrive, after the first word of a
                 // life that
                 // began since: only a higher token tells them apart.
-                m.to(Machine.Life.ANEW);
+                m.to(Machine.Incarnation.ANEW);
                 m.lifeAbove = lead.token();
                 m.older = 0;
             }
@@ -672,17 +676,17 @@
             m.session++;
             m.seq = -1;
         }
-        census.accounted(m);
+        unverifiedMachines.accounted(m);
         if (m.written) {
             // From here on it holds nothing; it must be written anew before it is given anything again.
             m.written = false;
-            m.to(Machine.Voice.HEARD);
+            m.to(Machine.Contact.HEARD);
             m.told = false;
             if (m.waiting != null) {
                 m.waiting.answer(503, error("its lease is over"));
                 m.waiting = null;
             }
-            events.roster(m);
+            events.registry(m);
         }
         if (!m.attempts.isEmpty()) {
             attempts.releaseAll(m, "its lease ran out");
--- a/controller/src/main/java/org/landingridge/controller/fleet/Appraisal.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.landingridge.controller.lead.Leadership;
-import org.landingridge.controller.recovery.Judgement;
+import org.landingridge.controller.election.Leadership;
+import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.MachineEvidence;
 import org.landingridge.controller.recovery.MachineEvidence.Row;
 import org.landingridge.controller.recovery.MachineEvidence.Word;
 import org.landingridge.controller.recovery.Reconciliation;
 
 /** Gathers the evidence about machines, twice a second for all of them, and has it judged. */
-final class Appraisal {
-    /** A worker reports this much later at most than its interval says: a quarter of it, and the way. */
+final class HealthMonitor {
+    /** A worker sends its heartbeat this much later at most than its interval says: a quarter of it, and the way. */
     private static final double REPORT_SLACK = 0.25;
 
     private static final long WAY_MS = 1_500;
@@ -40,8 +40,8 @@
 
     private record Return(long at, String zone) {}
 
-    private final Ground ground;
-    private final Census census;
+    private final FleetContext context;
+    private final UnverifiedMachines unverifiedMachines;
     private final BootTimes boots;
     private final long bootMarginMs;
     private final double settleShare;
@@ -51,15 +51,20 @@
     private boolean waitingFor;
     private Set<String> cutOff = Set.of();
 
-    Appraisal(Ground ground, Census census, BootTimes boots, long bootMarginMs, double settleShare) {
-        this.ground = ground;
-        this.census = census;
+    HealthMonitor(
+            FleetContext context,
+            UnverifiedMachines unverifiedMachines,
+            BootTimes boots,
+            long bootMarginMs,
+            double settleShare) {
+        this.context = context;
+        this.unverifiedMachines = unverifiedMachines;
         this.boots = boots;
         this.bootMarginMs = bootMarginMs;
         this.settleShare = settleShare;
     }
 
-    /** From now on reports are taken in: at the beginning, and again where the process stood still. */
+    /** From now on heartbeats are taken in: at the beginning, and again where the process stood still. */
     void awake(long now) {
         awake = now;
     }
@@ -71,7 +76,7 @@
             if (z.silent > 1 && crowd(name)) {
                 now.add(name);
                 if (!cutOff.contains(name)) {
-                    ground.chronicle().tell("cut_off", "zone", name, "silent", z.silent, "of", z.all);
+                    context.eventLog().emit("cut_off", "zone", name, "silent", z.silent, "of", z.all);
                 }
             }
         });
@@ -86,12 +91,12 @@
     void look(Iterable<Machine> machines, boolean held, long now) {
         waitingFor = held;
         zones.clear();
-        while (!returns.isEmpty() && now - returns.peekFirst().at > ground.leaseMs()) {
+        while (!returns.isEmpty() && now - returns.peekFirst().at > context.leaseMs()) {
             returns.removeFirst();
         }
         returns.forEach(r -> zone(r.zone).returned++);
         for (Machine m : machines) {
-            if (m.state() == Machine.State.UP || m.inCensus && m.state() == Machine.State.BOOTING) {
+            if (m.state() == Machine.State.UP || m.unverified && m.state() == Machine.State.BOOTING) {
                 Zone z = zone(m.zone);
                 z.all++;
                 z.silent += silent(m, now) ? 1 : 0;
@@ -113,12 +118,12 @@
 
     /** When, by the loop's clock, the machine's lease is certainly over. */
     long leaseEnds(Machine m) {
-        return m.answered + ground.leaseMs();
+        return m.answered + context.leaseMs();
     }
 
-    Judgement judge(Machine m, long now) {
-        boolean mayHold = m.state() == Machine.State.UP || m.inCensus || !m.attempts.isEmpty();
-        Row row = !mayHold ? Row.NAMED : m.written || m.inCensus ? Row.HOLDS : Row.REPORTED;
+    Decision judge(Machine m, long now) {
+        boolean mayHold = m.state() == Machine.State.UP || m.unverified || !m.attempts.isEmpty();
+        Row row = !mayHold ? Row.NAMED : m.written || m.unverified ? Row.HOLDS : Row.REPORTED;
         Word word = !m.everHeard() ? Word.NONE : m.fenced ? Word.OURS : Word.OLD;
         return Reconciliation.machine(new MachineEvidence(
                 row,
@@ -129,24 +134,25 @@
                 silent(m, now),
                 m.unanswered >= ASKED,
                 overdue(m, now),
-                Faults.faulty(m.proven, m.failed.size()) && !m.hasLive() && m.state() == Machine.State.UP,
+                FailureAttribution.faulty(m.proven, m.failed.size()) && !m.hasLive() && m.state() == Machine.State.UP,
                 crowd(m.zone),
                 worth(m, now)));
     }
 
     private boolean silent(Machine m, long now) {
-        long reportMs = ground.reportMs();
+        long reportMs = context.reportMs();
         if (m.everHeard()) {
             return now - Math.max(m.heard, awake) > reportMs * (1 + REPORT_SLACK) + WAY_MS;
         }
-        boolean few = census.left() <= Math.max(FEW, census.asked() / FEW_SHARE) || now - census.lastAt() > LULL_MS;
-        return !m.inCensus || now - awake > (few ? WAY_MS : reportMs * (1 + REPORT_SLACK) + WAY_MS);
+        boolean few = unverifiedMachines.left() <= Math.max(FEW, unverifiedMachines.asked() / FEW_SHARE)
+                || now - unverifiedMachines.lastAt() > LULL_MS;
+        return !m.unverified || now - awake > (few ? WAY_MS : reportMs * (1 + REPORT_SLACK) + WAY_MS);
     }
 
     private boolean overdue(Machine m, long now) {
         return switch (m.state()) {
             case BOOTING -> now - m.appeared > boots.usualMostMs(m, now) + bootMarginMs;
-            case LAPSED -> now - m.answered > ground.leaseMs() + bootMarginMs;
+            case LAPSED -> now - m.answered > context.leaseMs() + bootMarginMs;
             default -> false;
         };
     }
@@ -160,7 +166,7 @@
     private boolean worth(Machine m, long now) {
         // A give-back that cannot be written now would be carried out later, when the machine may be back.
         return leaseEnds(m) - now > LEAST_GAIN_MS
-                && ground.lead().state() == Leadership.State.LEADING
-                && (m.hasLive() || m.inCensus && waitingFor);
+                && context.lead().state() == Leadership.State.LEADING
+                && (m.hasLive() || m.unverified && waitingFor);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -10,7 +10,7 @@
 /** One machine that is or may be rented, as the leader sees it. */
 public final class Machine {
     /**
-     * BOOTING: never heard. UP: reports. LAPSED: silent so long that its worker has certainly killed its tasks.
+     * BOOTING: never heard. UP: sends heartbeats. LAPSED: silent so long that its worker has certainly killed its tasks.
      * LEAVING: is being given back. GONE: given back.
      */
     public enum State {
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Whether its reports are answered. HEARD: they are. MUTED: it is silent, and its row in the roster says or is to say
-     * for how long; none of its reports is answered, so that a later leader can count its lease from then. RETURNING: it
+     * Whether its heartbeats are answered. HEARD: they are. MUTED: it is silent, and its row in the roster says or is to say
+     * for how long; none of its heartbeats is answered, so that a later leader can count its lease from then. RETURNING: it
      * was heard again, and is answered once its row is stored without that.
      */
-    enum Voice {
+    enum Contact {
         HEARD,
         MUTED,
         RETURNING
@@ -37,7 +37,7 @@
      * an answer older than what was known when it was asked for; what its earlier life held counts as held until it has
      * shown a token from after that, so that nothing sent to the earlier life can reach it any more.
      */
-    enum Life {
+    enum Incarnation {
         KNOWN,
         ANEW
     }
@@ -49,8 +49,8 @@
     final MachineType kind;
     String addr;
     private State state = State.BOOTING;
-    private Voice voice = Voice.HEARD;
-    private Life life = Life.KNOWN;
+    private Contact contact = Contact.HEARD;
+    private Incarnation life = Incarnation.KNOWN;
     /** Reports that show no higher token than this were sent by an earlier life of the machine. */
     long lifeAbove;
     /** Reports in a row that were older than what is known. */
@@ -64,12 +64,12 @@
     /** Has shown this leader's token, so that no earlier leader's command can reach it any more. */
     boolean fenced;
     /** On the roster when this leader was elected, and not yet accounted for. */
-    boolean inCensus;
+    boolean unverified;
 
     long session = -1;
     long seq = -1;
     long token;
-    /** Loop time of the last 200 to one of its reports, or of the election where that is later. */
+    /** Loop time of the last 200 to one of its heartbeats, or of the election where that is later. */
     long answered;
     /** The latest moment at which an earlier leader can have answered it, for a machine of the census. */
     long answeredBefore;
@@ -155,24 +155,24 @@
         state = next;
     }
 
-    Voice voice() {
-        return voice;
+    Contact contact() {
+        return contact;
     }
 
-    /** The only place where its voice changes. */
-    void to(Voice next) {
-        if (voice == Voice.HEARD && next == Voice.RETURNING) {
-            throw new IllegalStateException(id + ": " + voice + " -> " + next);
+    /** The only place where its contact changes. */
+    void to(Contact next) {
+        if (contact == Contact.HEARD && next == Contact.RETURNING) {
+            throw new IllegalStateException(id + ": " + contact + " -> " + next);
         }
-        voice = next;
+        contact = next;
     }
 
-    Life life() {
+    Incarnation life() {
         return life;
     }
 
     /** The only place where a machine begins a life. */
-    void to(Life next) {
+    void to(Incarnation next) {
         if (next == life) {
             throw new IllegalStateException(id + ": " + life + " -> " + next);
         }
@@ -202,7 +202,7 @@
         return false;
     }
 
-    /** True once it has said something to this reign's leader. */
+    /** True once it has said something to this leader term's leader. */
     boolean everHeard() {
         return heard > Long.MIN_VALUE / 2;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Roster.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.landingridge.controller.store.GroupWriter;
+import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Page;
 import org.landingridge.controller.store.PageTable;
 import org.landingridge.wire.Json;
@@ -25,9 +25,9 @@
  * <p>Beside them stands which images the machines have, as far as was known when the page was last written: a later
  * leader starts services where their image is. That is a hint, and no page is written for it alone.
  */
-public final class Roster {
+public final class MachineRegistry {
     public static final String PREFIX = "fleet/";
-    private static final Logger LOG = LoggerFactory.getLogger(Roster.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
     /** The row of a page that names images; in the others each stands as one digit. */
     private static final String IMAGES = "images";
 
@@ -43,7 +43,7 @@
     private static final int USABLE = 2;
 
     private static final int LATER = 6;
-    private final GroupWriter writer;
+    private final BatchWriter writer;
     private final Fleet fleet;
     private final int valueBytes;
     private final PageTable<MachinePage> pages;
@@ -51,7 +51,7 @@
     private final Set<String> quarantined = new LinkedHashSet<>();
 
     /** @param valueBytes what the state service takes for a value */
-    public Roster(String root, GroupWriter writer, Fleet fleet, int valueBytes) {
+    public MachineRegistry(String root, BatchWriter writer, Fleet fleet, int valueBytes) {
         this.writer = writer;
         this.fleet = fleet;
         this.valueBytes = valueBytes;
@@ -62,7 +62,7 @@
      * Takes over a page as it stands in the state service.
      *
      * @param at       when, by the loop's clock, this process first saw it so
-     * @param previous the token under which the last leader's reign began: only its word on silent machines counts, since a
+     * @param previous the token under which the last leader's leader term began: only its word on silent machines counts, since a
      *                 later one may have answered them
      */
     public void takeOver(String key, JsonNode value, long at, long previous) {
@@ -192,19 +192,19 @@
                 Machine m = fleet.machine(id);
                 if (m != null) {
                     ArrayNode row = n.putArray(id);
-                    boolean holds = m.mayHold() || m.inCensus;
+                    boolean holds = m.mayHold() || m.unverified;
                     row.add(holds ? m.addr : null)
                             .add(m.type)
                             .add(m.zone)
                             .add(m.spot ? 1 : 0)
                             .add(hints ? digits(m, images) : "");
-                    if (m.voice() == Machine.Voice.MUTED && holds) {
+                    if (m.contact() == Machine.Contact.MUTED && holds) {
                         row.add(fleet.silentMs(m)).add(fleet.token());
                         if (!m.told) {
                             m.told = true;
                             telling.add(m);
                         }
-                    } else if (m.voice() == Machine.Voice.RETURNING) {
+                    } else if (m.contact() == Machine.Contact.RETURNING) {
                         speaking.add(id);
                     }
                     if (holds) {
@@ -243,7 +243,7 @@
             }
             for (String id : speaking) {
                 Machine m = fleet.machine(id);
-                if (m != null && m.voice() == Machine.Voice.RETURNING) {
+                if (m != null && m.contact() == Machine.Contact.RETURNING) {
                     fleet.speaks(m);
                 }
             }
@@ -259,7 +259,7 @@
         public int rank() {
             for (String id : names()) {
                 Machine m = fleet.machine(id);
-                if (m != null && (!m.written && m.mayHold() || m.voice() != Machine.Voice.HEARD)) {
+                if (m != null && (!m.written && m.mayHold() || m.contact() != Machine.Contact.HEARD)) {
                     return USABLE;
                 }
             }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -13,7 +13,7 @@
         DONE
     }
 
-    final LiveJob job;
+    final ActiveJob job;
     final int index;
     private State state;
     private Attempt attempt;
@@ -22,7 +22,7 @@
     /** Loop time when the task last became pending. */
     long pendingSince;
 
-    Task(LiveJob job, int index, State state, long now) {
+    Task(ActiveJob job, int index, State state, long now) {
         this.job = job;
         this.index = index;
         this.state = state;
@@ -37,7 +37,7 @@
         return attempt;
     }
 
-    public LiveJob job() {
+    public ActiveJob job() {
         return job;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Census.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -10,9 +10,9 @@
  * The machines of the roster that are not accounted for yet. They may hold tasks that an earlier leader started and nobody
  * has reported to this one; a machine is accounted for once it is fenced, lapsed or gone.
  */
-final class Census {
+final class UnverifiedMachines {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    private final Ground ground;
+    private final FleetContext context;
     private int left;
     private int asked;
     /** When one was accounted for last. */
@@ -34,13 +34,13 @@
         }
     }
 
-    Census(Ground ground) {
-        this.ground = ground;
+    UnverifiedMachines(FleetContext context) {
+        this.context = context;
     }
 
     void add(Machine m) {
-        m.inCensus = true;
-        lastAt = ground.loop().now();
+        m.unverified = true;
+        lastAt = context.loop().now();
         left++;
         asked++;
         kinds.merge(new Kind(m), 1, Integer::sum);
@@ -100,8 +100,8 @@
     }
 
     void accounted(Machine m) {
-        if (m.inCensus) {
-            m.inCensus = false;
+        if (m.unverified) {
+            m.unverified = false;
             kinds.computeIfPresent(new Kind(m), (k, n) -> n == 1 ? null : n - 1);
             less();
         }
@@ -109,10 +109,10 @@
 
     private void less() {
         left--;
-        lastAt = ground.loop().now();
+        lastAt = context.loop().now();
         if (left == 0) {
             LOG.info("census complete: {} machines accounted for", asked);
         }
-        ground.events().changed();
+        context.events().changed();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.jobs.Ended;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
-import org.landingridge.controller.obs.Metrics;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.controller.store.Mirror;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.WatchCache;
 import org.landingridge.controller.upgrade.Capabilities;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -34,8 +34,8 @@
  * out anew from that.
  */
 public final class Compactor {
-    /** What the rest of the reign knows and the compactor must heed. */
-    public interface Reign {
+    /** What the rest of the leader term knows and the compactor must heed. */
+    public interface Owner {
         boolean mayAct();
 
         /** True while the leader has something else to write, or does not know yet what is on its machines. */
@@ -51,7 +51,7 @@
     /**
      * IDLE: nothing to do, or no leave to do it. SCANNING: looking for ended jobs that are not in the table. READING: the
      * segment is asked for. WRITING: the transaction is out. SETTLING: waiting until the mirror shows what holds. PAUSED:
-     * the state service refused. CLOSED: the reign is over.
+     * the state service refused. CLOSED: the leader term is over.
      */
     private enum State {
         IDLE,
@@ -84,23 +84,23 @@
     private static final double LOAD_WINDOW_S = 2;
 
     /** An ended job that may be moved. */
-    private record Candidate(String id, long version, Ended ended) {}
+    private record Candidate(String id, long version, TerminatedJob ended) {}
 
     private final StateClient client;
-    private final Mirror mirror;
-    private final Loop loop;
+    private final WatchCache watchCache;
+    private final EventLoop loop;
     private final JobTable table;
     private final History history;
     private final Capabilities capabilities;
     private final Metrics metrics;
-    private final Reign reign;
+    private final Owner owner;
     private final LongSupplier leaderVersion;
     private final int valueBytes;
     private final double writeRps;
     private final double share;
     /** Ended jobs that the table has no room for, found by a scan of their keys. */
     private final Map<String, Candidate> strays = new LinkedHashMap<>();
-    /** Segments that could not be read in this reign: their jobs stay where they are. */
+    /** Segments that could not be read in this leader term: their jobs stay where they are. */
     private final Set<String> unreadable = new HashSet<>();
     /** Jobs that stand in both places with different ends. */
     private final Set<String> contradicted = new HashSet<>();
@@ -126,24 +126,24 @@
      */
     public Compactor(
             StateClient client,
-            Mirror mirror,
-            Loop loop,
+            WatchCache watchCache,
+            EventLoop loop,
             JobTable table,
             History history,
             Capabilities capabilities,
             Metrics metrics,
-            Reign reign,
+            Owner owner,
             LongSupplier leaderVersion,
             Settings.State limits,
             double share) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.loop = loop;
         this.table = table;
         this.history = history;
         this.capabilities = capabilities;
         this.metrics = metrics;
-        this.reign = reign;
+        this.owner = owner;
         this.leaderVersion = leaderVersion;
         this.maxOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
@@ -198,7 +198,7 @@
         if (state == State.CLOSED) {
             return;
         }
-        if (!reign.mayAct() || reign.busy() || crowded() || !allKnow()) {
+        if (!owner.mayAct() || owner.busy() || crowded() || !allKnow()) {
             idle(IDLE_MS);
             return;
         }
@@ -237,7 +237,7 @@
         if (surplus < maxOps / 2 && strays.isEmpty()) {
             return batch;
         }
-        Set<String> held = reign.needed();
+        Set<String> held = owner.needed();
         held.addAll(contradicted);
         int ops = 0;
         for (Candidate c : strays.values()) {
@@ -249,14 +249,18 @@
             if (ops >= maxOps || now - job.endedAt() < MIN_AGE_MS) {
                 break;
             }
-            long version = mirror.version(Keys.JOBS + job.id());
+            long version = watchCache.version(Keys.JOBS + job.id());
             // What is not in the mirror yet may name the job: a move is thought out on all that came before its end.
-            if (version > mirror.revision() || table.unstored().contains(job)) {
+            if (version > watchCache.revision() || table.unstored().contains(job)) {
                 continue;
             }
-            boolean due = surplus-- > 0 || batch.containsKey(Place.of(job.id()).key());
+            boolean due = surplus-- > 0
+                    || batch.containsKey(SegmentAddress.of(job.id()).key());
             if (due && version > 0 && !held.contains(job.id()) && !strays.containsKey(job.id())) {
-                ops += add(batch, new Candidate(job.id(), version, new Ended(job.status(), job.tasks())), maxOps - ops);
+                ops += add(
+                        batch,
+                        new Candidate(job.id(), version, new TerminatedJob(job.status(), job.tasks())),
+                        maxOps - ops);
             }
         }
         return batch;
@@ -264,7 +268,7 @@
 
     /** Takes the job into the batch where there is room for it; returns how many puts and deletes it takes. */
     private int add(Map<String, List<Candidate>> batch, Candidate c, int room) {
-        String key = Place.of(c.id).key();
+        String key = SegmentAddress.of(c.id).key();
         int ops = batch.containsKey(key) ? 1 : 2;
         if (ops > room || unreadable.contains(key) || full.contains(key)) {
             return 0;
@@ -311,16 +315,16 @@
         guards.add(new Guard(Keys.LEADER, leader));
         batch.forEach((key, candidates) -> {
             Segment before = read.get(key).segment();
-            Map<Integer, Ended> moving = new LinkedHashMap<>();
+            Map<Integer, TerminatedJob> moving = new LinkedHashMap<>();
             for (Candidate c : candidates) {
-                Ended there = before.get(Place.of(c.id).offset());
+                TerminatedJob there = before.get(SegmentAddress.of(c.id).offset());
                 if (there != null && !there.equals(c.ended)) {
                     // Two ends of one job: whichever users were told, nothing here may choose between them.
                     LOG.error("{} has ended {} by its key and {} by segment {}: both stay", c.id, c.ended, there, key);
                     contradicted.add(c.id);
                     continue;
                 }
-                moving.put(Place.of(c.id).offset(), c.ended);
+                moving.put(SegmentAddress.of(c.id).offset(), c.ended);
                 moved.add(c);
                 guards.add(new Guard(Keys.JOBS + c.id, c.version));
                 writes.add(new Write(Keys.JOBS + c.id, null, 0));
@@ -360,7 +364,7 @@
                 some = true;
             }
         }
-        strays.keySet().removeIf(id -> full.contains(Place.of(id).key()));
+        strays.keySet().removeIf(id -> full.contains(SegmentAddress.of(id).key()));
         return some;
     }
 
@@ -388,7 +392,7 @@
 
     private void settle(List<Candidate> batch) {
         to(State.SETTLING);
-        mirror.barrier(
+        watchCache.barrier(
                 () -> {
                     if (state == State.SETTLING) {
                         batch.forEach(c -> strays.remove(c.id));
@@ -435,13 +439,13 @@
             for (JsonNode e : page) {
                 scanFrom = Json.text(e, "key");
                 String id = scanFrom.substring(Keys.JOBS.length());
-                Ended ended = JobTable.ended(e.path("data"));
+                TerminatedJob ended = JobTable.ended(e.path("data"));
                 if (ended != null && table.get(id) == null) {
                     strayInPass = true;
                     // Those that cannot move would fill the table, and keep all others from moving.
                     if (!contradicted.contains(id)
-                            && !unreadable.contains(Place.of(id).key())
-                            && !full.contains(Place.of(id).key())) {
+                            && !unreadable.contains(SegmentAddress.of(id).key())
+                            && !full.contains(SegmentAddress.of(id).key())) {
                         strays.put(id, new Candidate(id, Json.integer(e, "stamp", 0), ended));
                     }
                 }
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.landingridge.controller.jobs.Ended;
-import org.landingridge.controller.obs.Metrics;
-import org.landingridge.controller.store.Mirror;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.controller.observability.Metrics;
 import org.landingridge.controller.store.StateClient;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -36,7 +36,7 @@
      * @param segment the segment read, null where nothing could be
      * @param version the segment's version, 0 where it does not exist
      */
-    public record Found(Outcome outcome, Ended ended, Segment segment, long version) {}
+    public record Found(Outcome outcome, TerminatedJob ended, Segment segment, long version) {}
 
     /** LOADING: asked for, the answer is not here yet. READ: as of its version. UNREADABLE: there, and makes no sense. */
     private enum State {
@@ -58,7 +58,7 @@
     private static final int FIRST_PAGE = 32;
 
     private final StateClient client;
-    private final Mirror mirror;
+    private final WatchCache watchCache;
     private final Metrics metrics;
     private final int most;
     /** The least recently used first. */
@@ -103,14 +103,14 @@
         }
     }
 
-    public History(StateClient client, Mirror mirror, Metrics metrics) {
-        this(client, mirror, metrics, MOST);
+    public History(StateClient client, WatchCache watchCache, Metrics metrics) {
+        this(client, watchCache, metrics, MOST);
     }
 
     /** @param most segments kept in memory */
-    History(StateClient client, Mirror mirror, Metrics metrics, int most) {
+    History(StateClient client, WatchCache watchCache, Metrics metrics, int most) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.metrics = metrics;
         this.most = most;
     }
@@ -134,15 +134,15 @@
     }
 
     /** How the job ended, if that is known here without asking; null says nothing. */
-    public Ended known(String id) {
-        Place place = Place.of(id);
+    public TerminatedJob known(String id) {
+        SegmentAddress place = SegmentAddress.of(id);
         Entry entry = entries.get(place.key());
         return entry == null || entry.state != State.READ ? null : entry.segment.get(place.offset());
     }
 
     /** Looks a job up. An absence is of the mirror's revision or later; {@code done} may run at once. */
     public void find(String id, Consumer<Found> done) {
-        Place place = Place.of(id);
+        SegmentAddress place = SegmentAddress.of(id);
         Entry entry = entries.get(place.key());
         if (entry != null && entry.state != State.LOADING) {
             done.accept(entry.found(place.offset()));
@@ -167,17 +167,17 @@
         }
     }
 
-    private static Found answer(Entry entry, Place place) {
+    private static Found answer(Entry entry, SegmentAddress place) {
         return entry.state == State.LOADING
                 ? new Found(Outcome.UNAVAILABLE, null, null, 0)
                 : entry.found(place.offset());
     }
 
-    private void load(Place place, Consumer<Found> done) {
+    private void load(SegmentAddress place, Consumer<Found> done) {
         // In the table before it is asked for: changes that come by the watch meanwhile are not missed.
         Entry entry = add(place.key());
         entry.waiting.add(() -> done.accept(answer(entry, place)));
-        boolean kept = mirror.following();
+        boolean kept = watchCache.following();
         long began = epoch;
         metrics.historyReads.increment();
         client.get(place.key(), answer -> {
@@ -196,11 +196,11 @@
     /** One page, of a young history all: then no later question about an unknown id costs a request. */
     private void readFirst() {
         first = First.ASKING;
-        boolean kept = mirror.following();
+        boolean kept = watchCache.following();
         long began = epoch;
         int evictedBefore = evicted;
         metrics.historyReads.increment();
-        client.list(Place.ROOT, null, FIRST_PAGE, answer -> {
+        client.list(SegmentAddress.ROOT, null, FIRST_PAGE, answer -> {
             if (began == epoch) {
                 JsonNode page = answer.ok() ? answer.body().get("entries") : null;
                 boolean read = page != null && page.isArray();
@@ -237,7 +237,7 @@
         }
         try {
             entry.to(State.READ, value == null ? Segment.EMPTY : Segment.read(value), version);
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             // Never taken for empty, never overwritten: its jobs are answered 503 until somebody has mended it.
             LOG.error("segment {} of the history cannot be read: {}", entry.key, e.getMessage());
             entry.to(State.UNREADABLE, null, version);
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -11,9 +11,9 @@
 import java.util.Base64;
 import java.util.Map;
 import java.util.zip.CRC32;
-import org.landingridge.controller.jobs.Ended;
 import org.landingridge.controller.jobs.Job;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
 /**
@@ -45,20 +45,20 @@
     }
 
     /** How the job at this offset ended, or null where it is not here. */
-    public Ended get(int offset) {
+    public TerminatedJob get(int offset) {
         return switch (state(offset)) {
-            case DONE -> new Ended(Job.Status.DONE, counts()[offset]);
-            case CANCELLED -> new Ended(Job.Status.CANCELLED, 0);
+            case DONE -> new TerminatedJob(Job.Status.DONE, counts()[offset]);
+            case CANCELLED -> new TerminatedJob(Job.Status.CANCELLED, 0);
             default -> null;
         };
     }
 
     /** This segment and more jobs, by offset. One that is here already must have ended the same way. */
-    public Segment with(Map<Integer, Ended> more) {
+    public Segment with(Map<Integer, TerminatedJob> more) {
         byte[] next = states.clone();
         int[] counts = counts();
         more.forEach((offset, ended) -> {
-            Ended before = get(offset);
+            TerminatedJob before = get(offset);
             if (before != null && !before.equals(ended)) {
                 throw new IllegalStateException("offset " + offset + " is " + before + " and would become " + ended);
             }
@@ -124,30 +124,30 @@
     }
 
     /** Reads a stored value back; whatever it cannot read in full it refuses, and says why. */
-    public static Segment read(JsonNode value) throws BadMessage {
+    public static Segment read(JsonNode value) throws InvalidMessageException {
         String text = value == null ? null : Json.text(value, FIELD);
         if (text == null) {
-            throw new BadMessage("there is no field " + FIELD);
+            throw new InvalidMessageException("there is no field " + FIELD);
         }
         byte[] all;
         try {
             all = Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            throw new BadMessage("it is not base64");
+            throw new InvalidMessageException("it is not base64");
         }
         int body = all.length - Integer.BYTES;
         if (body < 1 + JOBS / 4) {
-            throw new BadMessage("it has only " + all.length + " bytes");
+            throw new InvalidMessageException("it has only " + all.length + " bytes");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(all))) {
             int form = in.readUnsignedByte();
             byte[] states = in.readNBytes(JOBS / 4);
             byte[] tasks = in.readNBytes(body - 1 - states.length);
             if (in.readInt() != crc(all, body)) {
-                throw new BadMessage("its checksum is wrong");
+                throw new InvalidMessageException("its checksum is wrong");
             }
             if (form != FORM) {
-                throw new BadMessage("its form is " + form + ", this version reads " + FORM);
+                throw new InvalidMessageException("its form is " + form + ", this version reads " + FORM);
             }
             Segment segment = new Segment(states, tasks);
             segment.check();
@@ -157,11 +157,11 @@
         }
     }
 
-    private void check() throws BadMessage {
+    private void check() throws InvalidMessageException {
         int done = 0;
         for (int i = 0; i < JOBS; i++) {
             if (state(i) > CANCELLED) {
-                throw new BadMessage("offset " + i + " has no known state");
+                throw new InvalidMessageException("offset " + i + " has no known state");
             }
             done += state(i) == DONE ? 1 : 0;
         }
@@ -171,11 +171,11 @@
             length = b < 0 ? length + 1 : 0;
             ends += b < 0 ? 0 : 1;
             if (length > 4) {
-                throw new BadMessage("a number of tasks is too long");
+                throw new InvalidMessageException("a number of tasks is too long");
             }
         }
         if (ends != done || length != 0) {
-            throw new BadMessage("it has " + done + " done jobs and " + ends + " numbers of tasks");
+            throw new InvalidMessageException("it has " + done + " done jobs and " + ends + " numbers of tasks");
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/history/Place.java
+++ b/controller/src/main/java/org/landingridge/controller/history/SegmentAddress.java
@@ -5,7 +5,7 @@
  * the usual form, {@code job-} and six digits or more, stand 512 to a segment. Any other id is an exception with a
  * segment of its own, under the id itself. The mapping never loses anything: no two ids share a place.
  */
-public record Place(String key, int offset) {
+public record SegmentAddress(String key, int offset) {
     /** All segments are kept under this prefix, which is watched but not read at a start. */
     public static final String ROOT = "lr-past/";
 
@@ -13,11 +13,11 @@
     private static final int DIGITS = 6;
     private static final int MOST_DIGITS = 15;
 
-    public static Place of(String id) {
+    public static SegmentAddress of(String id) {
         long number = number(id);
         return number < 0
-                ? new Place(ROOT + id, 0)
-                : new Place(ROOT + number / Segment.JOBS, (int) (number % Segment.JOBS));
+                ? new SegmentAddress(ROOT + id, 0)
+                : new SegmentAddress(ROOT + number / Segment.JOBS, (int) (number % Segment.JOBS));
     }
 
     /** The number of an id in its one usual form, or -1: {@code job-0000412} and {@code job-000412} are two jobs. */
--- a/controller/src/main/java/org/landingridge/controller/jobs/Endings.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -8,7 +8,7 @@
  * the state service. Everything that it tells a user of a cancellation stands here before. Bounded: of what was let go,
  * the newest revision is kept, and a leader that lacks it cannot be vouched for.
  */
-public final class Endings {
+public final class CancellationLog {
     /** A job that is cancelled, and the revision at which that was stored. */
     public record Ending(long revision, String id) {}
 
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
@@ -56,7 +56,7 @@
     private final LongSupplier clock;
     private final Consumer<String> dropped;
     private final int mostEnded;
-    private final Endings endings = new Endings();
+    private final CancellationLog endings = new CancellationLog();
     /** Cancelled by another controller's word, before this one has heard that the job was accepted; with the revision. */
     private final Map<String, Long> foretold = new HashMap<>();
     /** Ids under which something is stored that makes no sense. */
@@ -95,7 +95,7 @@
     }
 
     /** The cancellations known here. */
-    public Endings endings() {
+    public CancellationLog endings() {
         return endings;
     }
 
@@ -194,12 +194,12 @@
     }
 
     /** How the job of this stored value ended, or null where it has not, or where that cannot be read. */
-    public static Ended ended(JsonNode value) {
+    public static TerminatedJob ended(JsonNode value) {
         String how = Json.text(value, "ended");
         int tasks = (int) Math.max(0, Json.integer(value, "takes", 0));
         return Job.Status.DONE.name().equals(how)
-                ? new Ended(Job.Status.DONE, tasks)
-                : Job.Status.CANCELLED.name().equals(how) ? new Ended(Job.Status.CANCELLED, tasks) : null;
+                ? new TerminatedJob(Job.Status.DONE, tasks)
+                : Job.Status.CANCELLED.name().equals(how) ? new TerminatedJob(Job.Status.CANCELLED, tasks) : null;
     }
 
     /** True if something is stored under the job's id that makes no sense: nothing can be said of it. */
@@ -223,12 +223,12 @@
             return;
         }
         boolean fresh = job == null;
-        Ended end = ended(value);
+        TerminatedJob end = ended(value);
         JobSpec spec = null;
         String wrong = "neither a description nor an end";
         try {
             spec = value.get("spec") == null ? null : JobSpec.read(value.get("spec"));
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             wrong = e.getMessage();
         }
         if (end == null && spec == null) {
--- a/controller/src/main/java/org/landingridge/controller/jobs/Ended.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
@@ -6,8 +6,8 @@
  * @param how   {@code DONE} or {@code CANCELLED}
  * @param tasks of a done job, how many tasks it had; 0 for a cancelled one, of which nobody is told
  */
-public record Ended(Job.Status how, int tasks) {
-    public Ended {
+public record TerminatedJob(Job.Status how, int tasks) {
+    public TerminatedJob {
         if (how != Job.Status.DONE && how != Job.Status.CANCELLED || tasks < 0) {
             throw new IllegalArgumentException(how + " with " + tasks + " tasks is no end");
         }
--- a/controller/src/main/java/org/landingridge/controller/reign/Recovery.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.reign;
+package org.landingridge.controller.leader;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.EnumMap;
@@ -6,14 +6,14 @@
 import java.util.Map;
 import org.landingridge.controller.fleet.Fleet;
 import org.landingridge.controller.fleet.Machine;
-import org.landingridge.controller.obs.Chronicle;
-import org.landingridge.controller.recovery.Judgement;
-import org.landingridge.controller.recovery.Judgement.Cause;
-import org.landingridge.controller.recovery.Picture;
-import org.landingridge.controller.recovery.Verdict;
+import org.landingridge.controller.observability.EventLog;
+import org.landingridge.controller.recovery.Action;
+import org.landingridge.controller.recovery.Decision;
+import org.landingridge.controller.recovery.Decision.Reason;
+import org.landingridge.controller.recovery.ObservationWindow;
 
 /** How far a new leader has come in squaring the reports with the stored state, for people: events and status. */
-final class Recovery {
+final class FailoverProgress {
     /** GATHERING: what is there is not known yet. SETTLING: machines are left to be accounted for. OVER: none is. */
     private enum State {
         GATHERING,
@@ -24,17 +24,17 @@
     private static final int[] SHARES = {50, 95, 100};
     private static final int NAMED = 5;
     private final Fleet fleet;
-    private final Picture picture;
-    private final Chronicle chronicle;
+    private final ObservationWindow observationWindow;
+    private final EventLog eventLog;
     private final long beganAt;
     private final int asked;
     private State state = State.GATHERING;
     private int share;
 
-    Recovery(Fleet fleet, Picture picture, Chronicle chronicle, long beganAt) {
+    FailoverProgress(Fleet fleet, ObservationWindow observationWindow, EventLog eventLog, long beganAt) {
         this.fleet = fleet;
-        this.picture = picture;
-        this.chronicle = chronicle;
+        this.observationWindow = observationWindow;
+        this.eventLog = eventLog;
         this.beganAt = beganAt;
         this.asked = fleet.unaccounted();
     }
@@ -44,11 +44,11 @@
         int left = fleet.unaccounted();
         while (share < SHARES.length && (asked - left) * 100L >= (long) SHARES[share] * asked) {
             if (asked > 0) {
-                chronicle.tell("known", "percent", SHARES[share], "afterMs", now - beganAt, "left", left);
+                eventLog.emit("known", "percent", SHARES[share], "afterMs", now - beganAt, "left", left);
             }
             share++;
         }
-        if (state == State.GATHERING && picture.state(now) == Picture.State.COMPLETE) {
+        if (state == State.GATHERING && observationWindow.state(now) == ObservationWindow.State.COMPLETE) {
             to(State.SETTLING, now);
         }
         if (state == State.SETTLING && left == 0) {
@@ -59,7 +59,7 @@
     /** The only place where the state changes. */
     private void to(State next, long now) {
         state = next;
-        chronicle.tell(
+        eventLog.emit(
                 next == State.OVER ? "recovered" : "picture_complete",
                 "afterMs",
                 now - beganAt,
@@ -76,21 +76,21 @@
                 .put("asked", asked)
                 .put("left", fleet.unaccounted())
                 .put("heldTasks", fleet.held());
-        Map<Verdict, Map<Cause, ObjectNode>> byVerdict = new EnumMap<>(Verdict.class);
+        Map<Action, Map<Reason, ObjectNode>> byVerdict = new EnumMap<>(Action.class);
         for (Machine m : fleet.machines()) {
-            Judgement j = fleet.judge(m, now);
+            Decision j = fleet.judge(m, now);
             ObjectNode of = byVerdict
-                    .computeIfAbsent(j.verdict(), v -> new EnumMap<>(Cause.class))
+                    .computeIfAbsent(j.verdict(), v -> new EnumMap<>(Reason.class))
                     .computeIfAbsent(
                             j.cause(),
                             c -> n.withObject("/machines/" + name(j.verdict()) + "/" + name(c))
                                     .put("why", c.text())
                                     .put("count", 0));
             of.put("count", of.path("count").asInt() + 1);
-            if (of.path("count").asInt() <= NAMED && !j.is(Verdict.ADOPT)) {
+            if (of.path("count").asInt() <= NAMED && !j.is(Action.ADOPT)) {
                 of.withArray("first").add(m.id());
             }
-            if (j.is(Verdict.WAIT) && j.cause() != Cause.BOOTING) {
+            if (j.is(Action.WAIT) && j.cause() != Reason.BOOTING) {
                 of.put("untilMs", Math.max(of.path("untilMs").asLong(), fleet.leaseEnds(m) - now));
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/reign/Inventory.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.reign;
+package org.landingridge.controller.leader;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.landingridge.controller.cloud.Operations;
 import org.landingridge.controller.fleet.Fleet;
 import org.landingridge.controller.fleet.Machine;
-import org.landingridge.controller.ops.Operations;
-import org.landingridge.controller.recovery.Judgement;
-import org.landingridge.controller.recovery.Verdict;
+import org.landingridge.controller.recovery.Action;
+import org.landingridge.controller.recovery.Decision;
 import org.landingridge.wire.CloudMachine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Holds the fleet against the cloud's lists, and gives back what is silent or never came up. */
-final class Inventory {
-    private static final Logger LOG = LoggerFactory.getLogger(Reign.class);
-    private final Parts parts;
+final class InstanceReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
+    private final LeaderContext context;
     private final Fleet fleet;
     private final Operations operations;
     private final Consumer<List<String>> gonePerList;
@@ -35,8 +35,13 @@
      * @param gonePerList told of machines that the cloud has taken, by its lists
      * @param listed      told of each list that was read
      */
-    Inventory(Parts parts, Fleet fleet, Operations operations, Consumer<List<String>> gonePerList, Runnable listed) {
-        this.parts = parts;
+    InstanceReconciler(
+            LeaderContext context,
+            Fleet fleet,
+            Operations operations,
+            Consumer<List<String>> gonePerList,
+            Runnable listed) {
+        this.context = context;
         this.fleet = fleet;
         this.operations = operations;
         this.gonePerList = gonePerList;
@@ -55,11 +60,11 @@
     void giveBack(long now) {
         List<String> back = new ArrayList<>();
         for (Machine m : fleet.machines()) {
-            Judgement judgement = fleet.judge(m, now);
-            if (judgement.is(Verdict.GIVE_BACK)) {
-                LOG.info("{} goes back: {}", m.id(), judgement.cause().text());
-                parts.incidents().say(m.id() + ": " + judgement.cause().text() + "; given back");
-                fleet.giveBack(m, judgement);
+            Decision decision = fleet.judge(m, now);
+            if (decision.is(Action.GIVE_BACK)) {
+                LOG.info("{} goes back: {}", m.id(), decision.cause().text());
+                context.incidents().record(m.id() + ": " + decision.cause().text() + "; given back");
+                fleet.giveBack(m, decision);
                 back.add(m.id());
             }
         }
@@ -68,21 +73,21 @@
 
     /** Asks for the cloud's list, where it is time to. */
     void list() {
-        long asked = parts.loop().now();
+        long asked = context.loop().now();
         if (listing || asked < nextList) {
             return;
         }
         listing = true;
-        long lag = Math.round(parts.settings().cloudLimits().listLagS() * 1000);
-        parts.cloud().list(machines -> {
+        long lag = Math.round(context.settings().cloudLimits().listLagS() * 1000);
+        context.cloud().list(machines -> {
             listing = false;
-            nextList = parts.loop().now() + Math.max(2_000, lag / 2);
-            if (closed || machines == null || !parts.lead().mayAct()) {
+            nextList = context.loop().now() + Math.max(2_000, lag / 2);
+            if (closed || machines == null || !context.lead().mayAct()) {
                 return;
             }
             for (CloudMachine c : machines) {
                 Machine m = fleet.machine(c.id());
-                if (m == null && !fleet.wasReturned(c.id()) && !c.status().equals("failed")) {
+                if (m == null && !fleet.wasReleased(c.id()) && !c.status().equals("failed")) {
                     // Nobody claims it: a rent that succeeded late, or there before us. It is used, or goes back idle.
                     LOG.info("{} is listed and nobody's: taking it in", c.id());
                     fleet.appeared(c.id(), c.addr(), c.type(), c.zone(), c.spot());
@@ -118,7 +123,7 @@
         }
         if (!gone.isEmpty()) {
             LOG.info("no longer listed: {}", gone);
-            parts.incidents().say("taken by the cloud: " + String.join(", ", gone));
+            context.incidents().record("taken by the cloud: " + String.join(", ", gone));
             gonePerList.accept(gone);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/reign/Reign.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.reign;
+package org.landingridge.controller.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,30 +7,30 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.cloud.Operation;
+import org.landingridge.controller.cloud.Operations;
+import org.landingridge.controller.election.Leadership;
+import org.landingridge.controller.fleet.ActiveJob;
 import org.landingridge.controller.fleet.Attempt;
 import org.landingridge.controller.fleet.Fleet;
-import org.landingridge.controller.fleet.LiveJob;
 import org.landingridge.controller.fleet.Machine;
-import org.landingridge.controller.fleet.Roster;
+import org.landingridge.controller.fleet.MachineRegistry;
 import org.landingridge.controller.fleet.Task;
 import org.landingridge.controller.history.Compactor;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
-import org.landingridge.controller.lead.Leadership;
-import org.landingridge.controller.obs.Busy.Part;
-import org.landingridge.controller.ops.Operation;
-import org.landingridge.controller.ops.Operations;
+import org.landingridge.controller.observability.ActivityTimer.Part;
 import org.landingridge.controller.progress.Cancellations;
 import org.landingridge.controller.progress.Progress;
-import org.landingridge.controller.recovery.Picture;
-import org.landingridge.controller.sched.Scheduler;
-import org.landingridge.controller.store.GroupWriter;
+import org.landingridge.controller.recovery.ObservationWindow;
+import org.landingridge.controller.scheduling.Scheduler;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Keys;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
-import org.landingridge.wire.Report;
+import org.landingridge.wire.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -38,33 +38,33 @@
  * One time in the lead: everything that the leader knows and does, built anew from the state service and from reports
  * at each election and dropped whole when the lead ends.
  */
-public final class Reign
-        implements Fleet.Events, Operations.Events, Progress.Events, JobTable.Listener, Compactor.Reign {
-    private static final Logger LOG = LoggerFactory.getLogger(Reign.class);
+public final class LeaderTerm
+        implements Fleet.Events, Operations.Events, Progress.Events, JobTable.Listener, Compactor.Owner {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long PASS_MS = 25;
     /** A pass looks at every machine and job: the pause before it grows by a millisecond for so many of them. */
     private static final int PASS_STEP = 25;
     /** Beyond a report's time a new leader waits so long at most before it rents. */
     private static final long GATHER_MS = 1_500;
 
-    private final Parts parts;
-    private final Loop loop;
+    private final LeaderContext context;
+    private final EventLoop loop;
     private final Leadership lead;
-    private final GroupWriter writer;
+    private final BatchWriter writer;
     private final Settings settings;
     private final Policy policy;
     private final JobTable table;
     private final Fleet fleet;
-    private final Roster roster;
+    private final MachineRegistry registry;
     private final Progress progress;
     private final Cancellations cancellations;
     private final Operations operations;
     private final Compactor compactor;
-    private final Expectations expectations;
-    private final Pass pass;
-    private final Inventory inventory;
-    private final Picture picture;
-    private final Recovery recovery;
+    private final RuntimeForecast forecast;
+    private final SchedulingCycle pass;
+    private final InstanceReconciler inventory;
+    private final ObservationWindow observationWindow;
+    private final FailoverProgress recovery;
     private boolean passDue;
     private boolean closed;
 
@@ -72,41 +72,42 @@
      * @param stored the leader's documents
      * @param seenAt when, by the loop's clock, each came to be known here in its present form
      */
-    public Reign(Parts parts, Map<String, JsonNode> stored, Map<String, Long> seenAt) {
-        this.parts = parts;
-        this.loop = parts.loop();
-        this.lead = parts.lead();
-        this.writer = parts.writer();
-        this.settings = parts.settings();
-        this.policy = parts.policy();
-        this.table = parts.table();
+    public LeaderTerm(LeaderContext context, Map<String, JsonNode> stored, Map<String, Long> seenAt) {
+        this.context = context;
+        this.loop = context.loop();
+        this.lead = context.lead();
+        this.writer = context.writer();
+        this.settings = context.settings();
+        this.policy = context.policy();
+        this.table = context.table();
         String root = Keys.ROOT;
-        expectations = new Expectations(settings.objectives(), policy);
+        forecast = new RuntimeForecast(settings.objectives(), policy);
         fleet = new Fleet(
                 loop,
-                parts.http(),
+                context.http(),
                 lead,
                 settings.workers(),
-                parts.types()::get,
+                context.types()::get,
                 id -> {
                     Job job = table.get(id);
                     return job == null ? null : job.spec();
                 },
                 policy,
                 settings.machine().maxConnections(),
-                parts.metrics(),
-                parts.incidents(),
-                parts.chronicle(),
+                context.metrics(),
+                context.incidents(),
+                context.eventLog(),
                 this);
-        parts.metrics().takeovers.increment();
-        parts.incidents().say("this controller took the lead under token " + lead.token());
-        roster = new Roster(root, writer, fleet, settings.stateLimits().valueBytes());
+        context.metrics().takeovers.increment();
+        context.incidents().record("this controller took the lead under token " + lead.token());
+        registry =
+                new MachineRegistry(root, writer, fleet, settings.stateLimits().valueBytes());
         progress = new Progress(root, Keys.JOBS, writer, settings.stateLimits().valueBytes(), this);
         cancellations = new Cancellations(writer, table);
         operations = new Operations(
                 loop,
-                parts.random(),
-                parts.cloud(),
+                context.random(),
+                context.cloud(),
                 writer,
                 root,
                 lead.token(),
@@ -125,8 +126,8 @@
             fleet.jobAccepted(job);
         }
         stored.forEach((key, value) -> {
-            if (key.startsWith(root + Roster.PREFIX)) {
-                roster.takeOver(key, value, seenAt.get(key), lead.previous());
+            if (key.startsWith(root + MachineRegistry.PREFIX)) {
+                registry.takeOver(key, value, seenAt.get(key), lead.previous());
             } else if (key.startsWith(root + Progress.PREFIX)) {
                 progress.takeOver(key, value, table);
             }
@@ -145,31 +146,32 @@
             }
         });
         fleet.jobs().forEach(progress::takeOver);
-        roster.splitOversized();
+        registry.splitOversized();
         progress.splitOversized();
         compactor = new Compactor(
-                parts.client(),
-                parts.mirror(),
+                context.client(),
+                context.watchCache(),
                 loop,
                 table,
-                parts.history(),
-                parts.capabilities(),
-                parts.metrics(),
+                context.history(),
+                context.capabilities(),
+                context.metrics(),
                 this,
                 lead::writeGuard,
                 settings.stateLimits(),
                 policy.historyShare());
-        picture = new Picture(loop.now(), Math.round(settings.workers().reportS() * 1250) + GATHER_MS);
-        recovery = new Recovery(fleet, picture, parts.chronicle(), loop.now());
-        pass = new Pass(parts, fleet, operations, expectations, picture);
-        inventory = new Inventory(parts, fleet, operations, this::givenBack, picture::listed);
+        observationWindow =
+                new ObservationWindow(loop.now(), Math.round(settings.workers().reportS() * 1250) + GATHER_MS);
+        recovery = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
+        pass = new SchedulingCycle(context, fleet, operations, forecast, observationWindow);
+        inventory = new InstanceReconciler(context, fleet, operations, this::givenBack, observationWindow::listed);
         LOG.info(
                 "leading under token {}: {} jobs, {} machines on the roster",
                 lead.token(),
                 table.active().size(),
                 fleet.size());
-        parts.chronicle()
-                .tell(
+        context.eventLog()
+                .emit(
                         "elected",
                         "token",
                         lead.token(),
@@ -193,7 +195,7 @@
         writer.clear();
     }
 
-    public void report(Report r, Http.Exchange exchange) {
+    public void report(Heartbeat r, Http.Exchange exchange) {
         fleet.report(r, exchange);
     }
 
@@ -216,8 +218,8 @@
     @Override
     public void jobEnded(Job job) {
         compactor.noted();
-        expectations.ended(job.id());
-        LiveJob live = fleet.job(job.id());
+        forecast.ended(job.id());
+        ActiveJob live = fleet.job(job.id());
         if (live != null) {
             progress.ended(live);
         }
@@ -237,7 +239,7 @@
             loop.after(Math.max(PASS_MS, (fleet.size() + table.active().size()) / PASS_STEP), () -> {
                 passDue = false;
                 if (!closed) {
-                    parts.metrics().busy.during(Part.PASS, pass::run);
+                    context.metrics().busy.during(Part.PASS, pass::run);
                     recovery.look(loop.now());
                 }
             });
@@ -247,7 +249,7 @@
     @Override
     public void completed(Attempt attempt) {
         if (attempt.runningSince() > 0) {
-            expectations.completed(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
+            forecast.completed(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
         }
     }
 
@@ -257,18 +259,18 @@
     }
 
     @Override
-    public void roster(Machine machine) {
-        roster.add(machine);
+    public void registry(Machine machine) {
+        registry.add(machine);
     }
 
     @Override
     public void unreadableOver() {
-        roster.dropUnreadable();
+        registry.dropUnreadable();
     }
 
     @Override
     public void newcomer() {
-        picture.newcomer(loop.now());
+        observationWindow.newcomer(loop.now());
     }
 
     @Override
@@ -282,8 +284,8 @@
         long tookS = (loop.timeOfDay() - job.submittedAt()) / 1000;
         LOG.debug("{} is done after {} s", job.id(), tookS);
         if (within != null && tookS > within) {
-            parts.incidents()
-                    .say(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
+            context.incidents()
+                    .record(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
                             + tookS + " s instead of " + Math.round(within) + " s, with " + fleet.waiting()
                             + " tasks of all jobs waiting for room now");
         }
@@ -313,9 +315,9 @@
 
     @Override
     public void escalated(Operation op) {
-        parts.metrics().escalated.increment();
-        parts.incidents()
-                .say(op.name() + " (" + op.kind() + ") has had no clear outcome for long: it counts as"
+        context.metrics().escalated.increment();
+        context.incidents()
+                .record(op.name() + " (" + op.kind() + ") has had no clear outcome for long: it counts as"
                         + " unsettled room and is asked about now and then");
     }
 
@@ -332,7 +334,7 @@
     public void givenBack(List<String> machines) {
         for (String id : machines) {
             fleet.gone(id);
-            roster.remove(id);
+            registry.remove(id);
             inventory.forget(id);
         }
         changed();
@@ -360,7 +362,7 @@
         if (lead.mayAct()) {
             inventory.giveBack(loop.now());
             inventory.list();
-            parts.lookup().resolveAll();
+            context.lookup().resolveAll();
             cancellations.write();
             changed();
         }
--- a/controller/src/main/java/org/landingridge/controller/reign/Inheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.reign;
+package org.landingridge.controller.leader;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.landingridge.controller.jobs.Job;
-import org.landingridge.controller.sched.Group;
+import org.landingridge.controller.scheduling.TaskGroup;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Priority;
 
@@ -15,7 +15,7 @@
  * What jobs inherit from those that need them, directly or through others: the highest priority, and the time by which they have
  * to be over so that the last job of the pipeline can still be in time.
  */
-final class Inheritance {
+final class PriorityInheritance {
     /**
      * What one job inherits.
      *
@@ -33,11 +33,11 @@
 
     private final Map<String, Inherited> byId = new HashMap<>();
 
-    private Inheritance() {}
+    private PriorityInheritance() {}
 
     /** @param active all jobs that are neither done nor cancelled */
-    static Inheritance of(Collection<Job> active, Expectations expectations, long now, long timeOfDay) {
-        Inheritance all = new Inheritance();
+    static PriorityInheritance of(Collection<Job> active, RuntimeForecast forecast, long now, long timeOfDay) {
+        PriorityInheritance all = new PriorityInheritance();
         List<Job> waiting = new ArrayList<>();
         for (Job job : active) {
             if (!job.ready()) {
@@ -47,8 +47,8 @@
         // What a job awaits was accepted before it: in this order each has inherited all before it hands on.
         waiting.sort(Comparator.comparingLong(Job::created).reversed());
         for (Job job : waiting) {
-            Group group = new Group(job.spec(), null, job.created(), 0, 0);
-            expectations.expect(group, job, now, timeOfDay);
+            TaskGroup group = new TaskGroup(job.spec(), null, job.created(), 0, 0);
+            forecast.expect(group, job, now, timeOfDay);
             all.apply(group, job.id());
             Inherited handedOn = new Inherited(
                     all.priority(job.spec()), before(group.due, group.lastS), before(group.lastDue, group.lastS));
@@ -77,7 +77,7 @@
     }
 
     /** Tightens what is expected of a group. */
-    void apply(Group group, String id) {
+    void apply(TaskGroup group, String id) {
         Inherited inherited = byId.get(id);
         if (inherited == null || inherited.due == Long.MAX_VALUE) {
             return;
--- a/controller/src/main/java/org/landingridge/controller/reign/Expectations.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -1,20 +1,20 @@
-package org.landingridge.controller.reign;
+package org.landingridge.controller.leader;
 
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
 import org.landingridge.controller.jobs.Job;
-import org.landingridge.controller.sched.Group;
+import org.landingridge.controller.scheduling.TaskGroup;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.MachineType;
 
 /**
  * What is expected of jobs, from the platform's objectives, the jobs' own deadlines and what completed tasks showed.
  */
-final class Expectations {
+final class RuntimeForecast {
     /** Weight of the newest job in the running share of hurried ones. */
     private static final double NEWEST = 0.1;
     /** A job that has fewer boot times than that to spare is taken to be hurried: boots vary, and images are fetched. */
@@ -67,7 +67,7 @@
     private double bootS = 60;
     private int lastSeen = -1;
 
-    Expectations(List<Settings.Objective> objectives, Policy policy) {
+    RuntimeForecast(List<Settings.Objective> objectives, Policy policy) {
         this.policy = policy;
         for (Settings.Objective o : objectives) {
             if (o.jobClass() != null && o.kind().equals("wait")) {
@@ -121,7 +121,7 @@
     }
 
     /** Notes what is expected of a group; the first sight of a job also tells how hurried jobs are. */
-    void fill(Group group, Job job, long now, long timeOfDay) {
+    void fill(TaskGroup group, Job job, long now, long timeOfDay) {
         expect(group, job, now, timeOfDay);
         Double within = within(job.spec());
         if (within == null) {
@@ -142,7 +142,7 @@
     }
 
     /** Notes what is expected of a group, and learns nothing. */
-    void expect(Group group, Job job, long now, long timeOfDay) {
+    void expect(TaskGroup group, Job job, long now, long timeOfDay) {
         JobSpec spec = job.spec();
         group.startWithinS = startWithin.getOrDefault(spec.jobClass(), 0.0);
         group.runS = runS(spec);
