--- a/controller/src/main/java/org/landingridge/controller/reign/Pass.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.reign;
+package org.landingridge.controller.leader;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,36 +7,36 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.configuration.Configuration;
-import org.landingridge.controller.configuration.ConfiguredTeam;
+import org.landingridge.controller.cloud.Operation;
+import org.landingridge.controller.cloud.Operations;
+import org.landingridge.controller.fleet.ActiveJob;
 import org.landingridge.controller.fleet.Attempt;
 import org.landingridge.controller.fleet.Fleet;
-import org.landingridge.controller.fleet.LiveJob;
 import org.landingridge.controller.fleet.Machine;
 import org.landingridge.controller.fleet.Task;
-import org.landingridge.controller.ops.Operation;
-import org.landingridge.controller.ops.Operations;
-import org.landingridge.controller.recovery.Picture;
-import org.landingridge.controller.sched.ExcessWork;
-import org.landingridge.controller.sched.Group;
-import org.landingridge.controller.sched.Node;
-import org.landingridge.controller.sched.Peak;
-import org.landingridge.controller.sched.Plan;
-import org.landingridge.controller.sched.Scheduler;
-import org.landingridge.controller.sched.Team;
+import org.landingridge.controller.liveconfig.Configuration;
+import org.landingridge.controller.liveconfig.ConfiguredTeam;
+import org.landingridge.controller.recovery.ObservationWindow;
+import org.landingridge.controller.scheduling.CandidateNode;
+import org.landingridge.controller.scheduling.ExcessWork;
+import org.landingridge.controller.scheduling.Scheduler;
+import org.landingridge.controller.scheduling.SchedulingPlan;
+import org.landingridge.controller.scheduling.TaskGroup;
+import org.landingridge.controller.scheduling.Team;
+import org.landingridge.controller.scheduling.WindowedMaximum;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.MachineType;
 
 /**
- * The scheduler's pass, wired to what the reign knows: describes machines, jobs and teams to the scheduler, and carries
+ * The scheduler's pass, wired to what the leader term knows: describes machines, jobs and teams to the scheduler, and carries
  * out what it decides.
  */
-final class Pass {
-    private final Parts parts;
+final class SchedulingCycle {
+    private final LeaderContext context;
     private final Fleet fleet;
     private final Operations operations;
-    private final Expectations expectations;
+    private final RuntimeForecast forecast;
     /** A change is in force within 7 s wherever it was made: beyond that less what a command takes, nothing is started. */
     private static final long IN_FORCE_MS = 6_000;
     /** After so long without news of the state service it is asked whether there are any. */
@@ -50,23 +50,28 @@
     private final Map<String, Long> noCapacityUntil = new HashMap<>();
 
     private final Map<String, Integer> refusals = new HashMap<>();
-    private final Peak standing = new Peak();
-    private final Picture picture;
+    private final WindowedMaximum standing = new WindowedMaximum();
+    private final ObservationWindow observationWindow;
     private final long began;
 
-    Pass(Parts parts, Fleet fleet, Operations operations, Expectations expectations, Picture picture) {
-        this.parts = parts;
+    SchedulingCycle(
+            LeaderContext context,
+            Fleet fleet,
+            Operations operations,
+            RuntimeForecast forecast,
+            ObservationWindow observationWindow) {
+        this.context = context;
         this.fleet = fleet;
         this.operations = operations;
-        this.expectations = expectations;
-        this.picture = picture;
-        this.began = parts.loop().now();
+        this.forecast = forecast;
+        this.observationWindow = observationWindow;
+        this.began = context.loop().now();
     }
 
     /** The cloud had less than was asked for in this pool. */
     void noCapacity(String pool) {
         int times = refusals.merge(pool, 1, Integer::sum);
-        noCapacityUntil.put(pool, parts.loop().now() + Math.min(20_000, 3_000L << Math.min(3, times - 1)));
+        noCapacityUntil.put(pool, context.loop().now() + Math.min(20_000, 3_000L << Math.min(3, times - 1)));
     }
 
     /** The cloud gave all that was asked for in this pool. */
@@ -75,27 +80,27 @@
     }
 
     void run() {
-        if (!parts.lead().mayAct() || parts.types().isEmpty()) {
+        if (!context.lead().mayAct() || context.types().isEmpty()) {
             return;
         }
-        long now = parts.loop().now();
+        long now = context.loop().now();
         List<Team> teams = teams();
         if (mayHaveChanged(now)) {
             return;
         }
-        Inheritance inheritance = Inheritance.of(
-                parts.table().active(), expectations, now, parts.loop().timeOfDay());
-        Map<String, Group> groups = new LinkedHashMap<>();
-        for (LiveJob job : fleet.jobs()) {
+        PriorityInheritance inheritance = PriorityInheritance.of(
+                context.table().active(), forecast, now, context.loop().timeOfDay());
+        Map<String, TaskGroup> groups = new LinkedHashMap<>();
+        for (ActiveJob job : fleet.jobs()) {
             int team = teamIndex.getOrDefault(job.spec().team(), -1);
             if (team < 0 || !job.job().ready()) {
                 // A job that waits for others takes no part in limits, guarantees, turns and forecasts.
                 continue;
             }
             int placeable = fleet.placeable(job);
-            boolean broken = job.health() == LiveJob.Health.BROKEN;
+            boolean broken = job.health() == ActiveJob.Health.BROKEN;
             int most = broken ? job.count(Task.State.ON_MACHINE) == 0 ? 1 : 0 : placeable;
-            Group group = new Group(
+            TaskGroup group = new TaskGroup(
                     inheritance.spec(job.spec()),
                     job,
                     job.job().created(),
@@ -103,14 +108,14 @@
                     job.notBefore() <= now ? Math.min(placeable, most) : 0);
             group.probing = broken;
             group.held = job.count(Task.State.PENDING) - placeable;
-            expectations.fill(group, job.job(), now, parts.loop().timeOfDay());
+            forecast.fill(group, job.job(), now, context.loop().timeOfDay());
             inheritance.apply(group, job.id());
             groups.put(job.id(), group);
         }
-        List<Node> nodes = nodes(now, teams, groups);
+        List<CandidateNode> nodes = nodes(now, teams, groups);
         JobSpec service = null;
         int services = 0;
-        for (Group g : groups.values()) {
+        for (TaskGroup g : groups.values()) {
             if (g.spec.service()) {
                 services += g.spec.tasks();
                 if (service == null || g.spec.cpus() > service.cpus()) {
@@ -121,21 +126,21 @@
         Scheduler.Spare spare = service == null
                 ? null
                 : new Scheduler.Spare(service, Math.max(2, (int)
-                        Math.ceil(services * parts.policy().spareShare())));
-        long idleMs = expectations.idleMs(parts.types().values());
+                        Math.ceil(services * context.policy().spareShare())));
+        long idleMs = forecast.idleMs(context.types().values());
         // What an earlier leader may have started cannot be placed during the census: that it does not ask for room now
         // says nothing, and machines given back then were rented again a minute later.
         double kept = standing.most(now, demand(teams, groups.values()), idleMs);
         // Nor does a fresh leader know what was asked for in the time that counts: a fleet that stood at a first start
         // was
         // given back within seconds, and rented again.
-        boolean fresh = now - began < Math.round(parts.policy().idleS() * 1000);
-        Plan plan = Scheduler.plan(new Scheduler.Input(
+        boolean fresh = now - began < Math.round(context.policy().idleS() * 1000);
+        SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 now,
                 nodes,
                 List.copyOf(groups.values()),
                 teams,
-                List.copyOf(parts.types().values()),
+                List.copyOf(context.types().values()),
                 closedPools(now),
                 spare,
                 idleMs,
@@ -146,7 +151,7 @@
 
     /** The teams as they are configured, all by the same change; a pass looks at the configuration here only. */
     private List<Team> teams() {
-        Configuration now = parts.configuration().current();
+        Configuration now = context.configuration().current();
         if (now != configuration) {
             configuration = now;
             teamIndex.clear();
@@ -168,20 +173,20 @@
         if (configuration.number() == 0) {
             return false;
         }
-        long age = now - parts.lead().known();
+        long age = now - context.lead().known();
         if (age > ASK_AGAIN_MS && !asking) {
             asking = true;
-            parts.mirror().barrier(() -> asking = false, () -> asking = false);
+            context.watchCache().barrier(() -> asking = false, () -> asking = false);
         }
         return age > IN_FORCE_MS;
     }
 
     /** Work beyond limits that were lowered. */
-    private void giveUpExcess(long now, List<Node> nodes, List<Team> teams) {
+    private void giveUpExcess(long now, List<CandidateNode> nodes, List<Team> teams) {
         if (configuration.number() == 0 || now < nextExcessStep) {
             return;
         }
-        List<Node.Running> stops = ExcessWork.step(nodes, teams);
+        List<CandidateNode.Running> stops = ExcessWork.step(nodes, teams);
         if (!stops.isEmpty()) {
             nextExcessStep = now + ExcessWork.STEP_MS;
             stops.forEach(this::stop);
@@ -189,15 +194,15 @@
         }
     }
 
-    private void stop(Node.Running r) {
+    private void stop(CandidateNode.Running r) {
         Attempt a = (Attempt) r.attempt;
         fleet.stop(a, a.spec().checkpointS() > 0 && !r.atOnce ? a.spec().saveS() : 0);
     }
 
     /** Processors that the teams ask for within their guarantees; all that they ask for where they have none. */
-    private static double demand(List<Team> teams, Collection<Group> groups) {
+    private static double demand(List<Team> teams, Collection<TaskGroup> groups) {
         double[] asked = new double[teams.size()];
-        for (Group g : groups) {
+        for (TaskGroup g : groups) {
             asked[g.team] += g.waiting * g.spec.cpus();
         }
         double sum = 0;
@@ -229,7 +234,7 @@
         }
         silent.forEach((zone, more) -> {
             if (more > 0) {
-                for (String type : parts.types().keySet()) {
+                for (String type : context.types().keySet()) {
                     closed.put(Scheduler.pool(type, zone, true), now + 1);
                     closed.put(Scheduler.pool(type, zone, false), now + 1);
                 }
@@ -238,8 +243,8 @@
         return closed;
     }
 
-    private List<Node> nodes(long now, List<Team> teams, Map<String, Group> groups) {
-        List<Node> nodes = new ArrayList<>();
+    private List<CandidateNode> nodes(long now, List<Team> teams, Map<String, TaskGroup> groups) {
+        List<CandidateNode> nodes = new ArrayList<>();
         if (fleet.anyUnreadable()) {
             teams.forEach(t -> t.hold(Double.MAX_VALUE, Double.MAX_VALUE));
         }
@@ -249,7 +254,7 @@
                 // It may hold tasks of any team that nobody has reported, as many as fit: they count within the limits.
                 teams.forEach(t -> t.hold(m.kind().cpus(), m.kind().gpus()));
             }
-            Node node = new Node(m.kind(), m.zone(), m.spot(), m, usable, m.images());
+            CandidateNode node = new CandidateNode(m.kind(), m.zone(), m.spot(), m, usable, m.images());
             node.draining = fleet.draining(m, now);
             node.unheard = fleet.unheard(m, now);
             boolean idle = true;
@@ -264,11 +269,11 @@
                 }
                 int team =
                         a.spec() == null ? 0 : teamIndex.getOrDefault(a.spec().team(), 0);
-                Group of = groups.get(a.jobId());
+                TaskGroup of = groups.get(a.jobId());
                 JobSpec spec = of == null ? a.spec() : of.spec;
-                Node.Running running = new Node.Running(spec, team, a, a.since(), a.stopWanted());
+                CandidateNode.Running running = new CandidateNode.Running(spec, team, a, a.since(), a.stopWanted());
                 running.ranS = a.runningSince() > 0 ? (now - a.runningSince()) / 1000.0 : 0;
-                running.leftS = a.spec() == null ? 0 : expectations.leftS(a.spec(), running.ranS);
+                running.leftS = a.spec() == null ? 0 : forecast.leftS(a.spec(), running.ranS);
                 node.add(running);
                 if (a.spec() != null) {
                     teams.get(team).usedCpus += a.spec().cpus();
@@ -293,9 +298,9 @@
         }
         for (Operation op : operations.all()) {
             if (op.open() && op.kind() == Operation.Kind.RENT && op.state() != Operation.State.ESCALATED) {
-                MachineType type = parts.types().get(op.request().path("rig").asText());
+                MachineType type = context.types().get(op.request().path("rig").asText());
                 for (int i = 0; type != null && i < op.request().path("count").asInt(); i++) {
-                    nodes.add(new Node(
+                    nodes.add(new CandidateNode(
                             type,
                             op.request().path("yard").asText(),
                             op.request().path("standby").asBoolean(),
@@ -308,9 +313,9 @@
         return nodes;
     }
 
-    private void apply(Plan plan) {
-        for (Plan.Placement p : plan.placements) {
-            Task task = fleet.nextPlaceable((LiveJob) p.group().job);
+    private void apply(SchedulingPlan plan) {
+        for (SchedulingPlan.Placement p : plan.placements) {
+            Task task = fleet.nextPlaceable((ActiveJob) p.group().job);
             if (task != null) {
                 fleet.place(task, (Machine) p.node().machine);
             }
@@ -318,14 +323,14 @@
         plan.stops.forEach(this::stop);
         plan.vacated.forEach(n -> fleet.drain((Machine) n.machine));
         fleet.flush();
-        boolean known = picture.state(parts.loop().now()) == Picture.State.COMPLETE;
-        for (Plan.Rent r : plan.rents) {
+        boolean known = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
+        for (SchedulingPlan.Rent r : plan.rents) {
             if (known && !operations.renting(r.type(), r.zone(), r.spot())) {
                 operations.rent(r.type(), r.zone(), r.spot(), r.count());
             }
         }
         List<String> back = new ArrayList<>();
-        for (Node n : plan.idle) {
+        for (CandidateNode n : plan.idle) {
             Machine m = (Machine) n.machine;
             fleet.leaving(m);
             back.add(m.id());
--- a/controller/src/main/java/org/landingridge/controller/configuration/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
 /**
@@ -34,13 +34,13 @@
             Set.of("key", "expected", "by", "why", "dryRun", "rollback", "set", "add", "remove");
     private static final Set<String> TEAM_FIELDS = Set.of("cpus", "cpusMax", "gpus", "gpusMax");
 
-    static ChangeRequest parse(JsonNode n) throws BadMessage {
+    static ChangeRequest parse(JsonNode n) throws InvalidMessageException {
         if (n == null || !n.isObject()) {
-            throw new BadMessage("the body is not a JSON object");
+            throw new InvalidMessageException("the body is not a JSON object");
         }
         for (Map.Entry<String, JsonNode> field : n.properties()) {
             if (!FIELDS.contains(field.getKey())) {
-                throw new BadMessage("field " + field.getKey() + ": expected one of "
+                throw new InvalidMessageException("field " + field.getKey() + ": expected one of "
                         + FIELDS.stream().sorted().toList());
             }
         }
@@ -56,34 +56,34 @@
                 names(n));
         boolean changes = !request.set.isEmpty() || !request.add.isEmpty() || !request.remove.isEmpty();
         if (changes == request.rollback >= 0) {
-            throw new BadMessage("expected either some of set, add and remove, or rollback");
+            throw new InvalidMessageException("expected either some of set, add and remove, or rollback");
         }
         return request;
     }
 
-    private static String text(JsonNode n, String field, int most) throws BadMessage {
+    private static String text(JsonNode n, String field, int most) throws InvalidMessageException {
         String text = Json.text(n, field);
         if (text == null || text.isBlank() || text.length() > most) {
-            throw new BadMessage("field " + field + ": expected a text of 1 to " + most + " characters");
+            throw new InvalidMessageException("field " + field + ": expected a text of 1 to " + most + " characters");
         }
         return text;
     }
 
-    private static Map<String, JsonNode> teams(JsonNode n, String field) throws BadMessage {
+    private static Map<String, JsonNode> teams(JsonNode n, String field) throws InvalidMessageException {
         Map<String, JsonNode> teams = new LinkedHashMap<>();
         JsonNode value = n.get(field);
         if (value == null) {
             return teams;
         }
         if (!value.isObject()) {
-            throw new BadMessage("field " + field + ": expected an object with a field for each team");
+            throw new InvalidMessageException("field " + field + ": expected an object with a field for each team");
         }
         for (Map.Entry<String, JsonNode> e : value.properties()) {
             String at = field + "." + e.getKey();
             if (e.getKey().isBlank()
                     || e.getKey().length() > MAX_NAME
                     || !e.getValue().isObject()) {
-                throw new BadMessage("field " + at + ": expected a team's name and an object");
+                throw new InvalidMessageException("field " + at + ": expected a team's name and an object");
             }
             check(at, e.getValue());
             teams.put(e.getKey(), e.getValue());
@@ -91,20 +91,21 @@
         return teams;
     }
 
-    private static void check(String at, JsonNode team) throws BadMessage {
+    private static void check(String at, JsonNode team) throws InvalidMessageException {
         for (Map.Entry<String, JsonNode> e : team.properties()) {
             if (!TEAM_FIELDS.contains(e.getKey())) {
-                throw new BadMessage("field " + at + "." + e.getKey() + ": expected one of "
+                throw new InvalidMessageException("field " + at + "." + e.getKey() + ": expected one of "
                         + TEAM_FIELDS.stream().sorted().toList());
             }
             double amount = e.getValue().isNumber() ? e.getValue().doubleValue() : -1;
             if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
-                throw new BadMessage("field " + at + "." + e.getKey() + ": expected a number from 0 to 1e9");
+                throw new InvalidMessageException(
+                        "field " + at + "." + e.getKey() + ": expected a number from 0 to 1e9");
             }
         }
     }
 
-    private static List<String> names(JsonNode n) throws BadMessage {
+    private static List<String> names(JsonNode n) throws InvalidMessageException {
         JsonNode value = n.get("remove");
         if (value == null) {
             return List.of();
@@ -112,30 +113,30 @@
         List<String> names = new ArrayList<>();
         for (JsonNode name : value) {
             if (!name.isTextual()) {
-                throw new BadMessage("field remove: expected a list of teams");
+                throw new InvalidMessageException("field remove: expected a list of teams");
             }
             names.add(name.textValue());
         }
         if (!value.isArray() || names.isEmpty()) {
-            throw new BadMessage("field remove: expected a list of teams");
+            throw new InvalidMessageException("field remove: expected a list of teams");
         }
         return names;
     }
 
     /** What the teams concerned are to be, by the configuration that holds; a null value: the platform's file speaks again. */
-    Map<String, ConfiguredTeam> apply(Configuration holds, ConfigurationView view) throws BadMessage {
+    Map<String, ConfiguredTeam> apply(Configuration holds, ConfigurationView view) throws InvalidMessageException {
         Map<String, ConfiguredTeam> after = rollback >= 0 ? rolledBack(holds, view) : new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> e : set.entrySet()) {
             ConfiguredTeam before = holds.teams().get(e.getKey());
             if (before == null) {
-                throw new BadMessage("field set." + e.getKey() + ": there is no such team");
+                throw new InvalidMessageException("field set." + e.getKey() + ": there is no such team");
             }
             after.put(e.getKey(), merged("set." + e.getKey(), e.getKey(), before.limits(), e.getValue()));
         }
         for (Map.Entry<String, JsonNode> e : add.entrySet()) {
             ConfiguredTeam before = holds.teams().get(e.getKey());
             if (before != null && !before.removed()) {
-                throw new BadMessage("field add." + e.getKey() + ": there is such a team already");
+                throw new InvalidMessageException("field add." + e.getKey() + ": there is such a team already");
             }
             Settings.Team none = new Settings.Team(e.getKey(), 0, 0, 0, 0);
             after.put(e.getKey(), merged("add." + e.getKey(), e.getKey(), none, e.getValue()));
@@ -143,7 +144,7 @@
         for (String name : remove) {
             ConfiguredTeam before = holds.teams().get(name);
             if (before == null) {
-                throw new BadMessage("field remove: there is no team " + name);
+                throw new InvalidMessageException("field remove: there is no team " + name);
             }
             after.put(name, new ConfiguredTeam(before.limits(), true));
         }
@@ -151,7 +152,7 @@
     }
 
     private static ConfiguredTeam merged(String at, String name, Settings.Team before, JsonNode fields)
-            throws BadMessage {
+            throws InvalidMessageException {
         Settings.Team limits = new Settings.Team(
                 name,
                 Json.number(fields, "cpus", before.cpus()),
@@ -159,18 +160,20 @@
                 Json.number(fields, "gpus", before.gpus()),
                 Json.number(fields, "gpusMax", before.gpusMax()));
         if (limits.cpusMax() > 0 && limits.cpus() > limits.cpusMax()) {
-            throw new BadMessage("field " + at + ".cpus: expected at most cpusMax, " + limits.cpusMax());
+            throw new InvalidMessageException("field " + at + ".cpus: expected at most cpusMax, " + limits.cpusMax());
         }
         if (limits.gpusMax() > 0 && limits.gpus() > limits.gpusMax()) {
-            throw new BadMessage("field " + at + ".gpus: expected at most gpusMax, " + limits.gpusMax());
+            throw new InvalidMessageException("field " + at + ".gpus: expected at most gpusMax, " + limits.gpusMax());
         }
         return new ConfiguredTeam(limits, false);
     }
 
     /** What every change since that number made is taken back, the newest first; a team that was added then is removed. */
-    private Map<String, ConfiguredTeam> rolledBack(Configuration holds, ConfigurationView view) throws BadMessage {
+    private Map<String, ConfiguredTeam> rolledBack(Configuration holds, ConfigurationView view)
+            throws InvalidMessageException {
         if (rollback >= holds.number()) {
-            throw new BadMessage("field rollback: expected less than the present number, " + holds.number());
+            throw new InvalidMessageException(
+                    "field rollback: expected less than the present number, " + holds.number());
         }
         Map<String, ConfiguredTeam> after = new LinkedHashMap<>();
         long reached = holds.number();
@@ -182,7 +185,7 @@
             reached--;
         }
         if (reached != rollback) {
-            throw new BadMessage("field rollback: the log reaches back to number " + reached + " only");
+            throw new InvalidMessageException("field rollback: the log reaches back to number " + reached + " only");
         }
         after.replaceAll((name, team) -> team != null || view.inFile(name)
                 ? team
--- a/controller/src/main/java/org/landingridge/controller/configuration/Configuration.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/Configuration.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import java.util.Map;
 
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
@@ -1,10 +1,10 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
 /**
@@ -41,9 +41,9 @@
         return rows;
     }
 
-    static Map<String, ConfiguredTeam> teams(JsonNode rows) throws BadMessage {
+    static Map<String, ConfiguredTeam> teams(JsonNode rows) throws InvalidMessageException {
         if (rows == null || !rows.isObject()) {
-            throw new BadMessage("expected rows of teams");
+            throw new InvalidMessageException("expected rows of teams");
         }
         Map<String, ConfiguredTeam> teams = new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> row : rows.properties()) {
@@ -52,7 +52,7 @@
         return teams;
     }
 
-    static ConfigurationRecord read(JsonNode n) throws BadMessage {
+    static ConfigurationRecord read(JsonNode n) throws InvalidMessageException {
         return new ConfigurationRecord(
                 Json.integer(n, "number", 0),
                 Json.text(n, "key"),
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,15 +10,15 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.store.Mirror;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Status;
 import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http.Exchange;
-import org.landingridge.net.Loop;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -37,16 +37,21 @@
     private static final int FIXED_WRITES = 2;
 
     private final StateClient client;
-    private final Mirror mirror;
-    private final Loop loop;
+    private final WatchCache watchCache;
+    private final EventLoop loop;
     private final ConfigurationView view;
     private final String host;
     private final Settings.State limits;
 
     public ConfigurationService(
-            StateClient client, Mirror mirror, Loop loop, ConfigurationView view, String host, Settings.State limits) {
+            StateClient client,
+            WatchCache watchCache,
+            EventLoop loop,
+            ConfigurationView view,
+            String host,
+            Settings.State limits) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.loop = loop;
         this.view = view;
         this.host = host;
@@ -57,7 +62,7 @@
     public void show(Exchange exchange) {
         Configuration holds = view.current();
         ObjectNode n = Json.object().put("host", host).put("number", holds.number());
-        n.put("following", mirror.following());
+        n.put("following", watchCache.following());
         ObjectNode teams = n.putObject("teams");
         holds.teams().forEach((name, team) -> {
             Settings.Team t = team.limits();
@@ -86,7 +91,7 @@
         ChangeRequest request;
         try {
             request = ChangeRequest.parse(Json.parse(exchange.body()));
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             refuse(exchange, 400, e.getMessage());
             return;
         }
@@ -98,7 +103,7 @@
             refuse(exchange, 503, "whether the change was made is unknown: ask again with the same key");
             return;
         }
-        mirror.barrier(
+        watchCache.barrier(
                 () -> decide(exchange, request, tries),
                 () -> refuse(exchange, 503, "the state service does not answer: ask again with the same key"));
     }
@@ -129,7 +134,7 @@
             } else {
                 commit(exchange, request, transaction, notes, tries);
             }
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             refuse(exchange, 400, e.getMessage());
         }
     }
@@ -138,7 +143,7 @@
     private record Transaction(long number, List<Guard> guards, List<Write> writes) {}
 
     private Transaction transaction(ChangeRequest request, Configuration holds, Map<String, ConfiguredTeam> after)
-            throws BadMessage {
+            throws InvalidMessageException {
         long number = holds.number() + 1;
         List<Long> numbers = view.pageNumbers();
         List<Map<String, ConfiguredTeam>> pages = new ArrayList<>();
@@ -177,7 +182,7 @@
         writes.add(new Write(ConfigurationView.HEAD, ConfigurationView.head(number, request.key(), numbers), 0));
         check(writes);
         List<Guard> guards = new ArrayList<>();
-        writes.forEach(w -> guards.add(new Guard(w.key(), mirror.version(w.key()))));
+        writes.forEach(w -> guards.add(new Guard(w.key(), watchCache.version(w.key()))));
         return new Transaction(number, guards, writes);
     }
 
@@ -206,15 +211,15 @@
         return Json.object().put("number", number).set("teams", ConfigurationRecord.rows(teams));
     }
 
-    private void check(List<Write> writes) throws BadMessage {
+    private void check(List<Write> writes) throws InvalidMessageException {
         if (writes.size() > limits.txnOps()) {
-            throw new BadMessage(
+            throw new InvalidMessageException(
                     "the change concerns " + (writes.size() - FIXED_WRITES) + " pages of teams, of which one change may"
                             + " take " + (limits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
         }
         for (Write w : writes) {
             if (Json.bytes(w.value()).length > limits.valueBytes()) {
-                throw new BadMessage(w.key() + " would take more than " + limits.valueBytes()
+                throw new InvalidMessageException(w.key() + " would take more than " + limits.valueBytes()
                         + " bytes: change fewer teams at once");
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -59,7 +59,7 @@
             try {
                 Configuration next = read();
                 current = next == null ? current : next;
-            } catch (BadMessage e) {
+            } catch (InvalidMessageException e) {
                 LOG.error(
                         "the stored configuration cannot be read ({}): number {} stays in force",
                         e.getMessage(),
@@ -70,7 +70,7 @@
     }
 
     /** The stored configuration over the platform's file; null while its pages are not all here. */
-    private Configuration read() throws BadMessage {
+    private Configuration read() throws InvalidMessageException {
         JsonNode head = documents.get(HEAD);
         if (head == null) {
             return null;
@@ -78,7 +78,7 @@
         long number = Json.integer(head, "number", 0);
         JsonNode pages = head.get("pages");
         if (number <= 0 || pages == null || !pages.isArray()) {
-            throw new BadMessage("its head");
+            throw new InvalidMessageException("its head");
         }
         Map<String, ConfiguredTeam> teams = new LinkedHashMap<>(fromFile);
         for (int i = 0; i < pages.size(); i++) {
@@ -106,7 +106,7 @@
     }
 
     /** The rows of one page; empty where there is no such page. */
-    Map<String, ConfiguredTeam> page(int index) throws BadMessage {
+    Map<String, ConfiguredTeam> page(int index) throws InvalidMessageException {
         JsonNode page = documents.get(PAGE + index);
         return page == null ? new LinkedHashMap<>() : ConfigurationRecord.teams(page.get("teams"));
     }
@@ -118,7 +118,7 @@
             if (key.startsWith(LOG_ROOT)) {
                 try {
                     log.add(ConfigurationRecord.read(value));
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                     LOG.warn("{} cannot be read: {}", key, e.getMessage());
                 }
             }
--- a/controller/src/main/java/org/landingridge/controller/configuration/ConfiguredTeam.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
@@ -1,9 +1,9 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
 /**
@@ -26,13 +26,13 @@
         return row;
     }
 
-    static ConfiguredTeam read(String name, JsonNode row) throws BadMessage {
+    static ConfiguredTeam read(String name, JsonNode row) throws InvalidMessageException {
         if (row == null || !row.isArray() || row.size() != FIELDS) {
-            throw new BadMessage("team " + name + ": expected a row of " + FIELDS + " numbers");
+            throw new InvalidMessageException("team " + name + ": expected a row of " + FIELDS + " numbers");
         }
         for (JsonNode field : row) {
             if (!field.isNumber() || !(field.doubleValue() >= 0)) {
-                throw new BadMessage("team " + name + ": expected numbers, 0 or more");
+                throw new InvalidMessageException("team " + name + ": expected numbers, 0 or more");
             }
         }
         Settings.Team limits = new Settings.Team(
--- a/controller/src/main/java/org/landingridge/controller/obs/Busy.java
+++ b/controller/src/main/java/org/landingridge/controller/observability/ActivityTimer.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.obs;
+package org.landingridge.controller.observability;
 
 import java.util.Locale;
 import java.util.function.LongSupplier;
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Time of the core's thread by part of its work: what a deployment's size costs, and where. */
-public final class Busy {
+public final class ActivityTimer {
     /** What the thread works on; a part does not count what it calls of another. */
     public enum Part {
         REPORTS,
@@ -18,7 +18,7 @@
         DISPLAY
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Busy.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ActivityTimer.class);
     private final LongSupplier clock;
     private final long[] nanos = new long[Part.values().length];
     private final long[] times = new long[Part.values().length];
@@ -27,7 +27,7 @@
     private long inner;
 
     /** @param clock nanoseconds of the steady clock */
-    public Busy(LongSupplier clock) {
+    public ActivityTimer(LongSupplier clock) {
         this.clock = clock;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/obs/Chronicle.java
+++ b/controller/src/main/java/org/landingridge/controller/observability/EventLog.java
@@ -1,10 +1,10 @@
-package org.landingridge.controller.obs;
+package org.landingridge.controller.observability;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -14,7 +14,7 @@
  * Tells of recoveries as structured events: key-value pairs of the log, or one JSON object a line on standard error where
  * the variable {@code LOG_EVENTS} is {@code json}.
  */
-public final class Chronicle {
+public final class EventLog {
     /**
      * Something that happened.
      *
@@ -23,12 +23,12 @@
      */
     public record Event(long atMs, String name, Map<String, Object> fields) {}
 
-    private static final Logger LOG = LoggerFactory.getLogger(Chronicle.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EventLog.class);
     private static final boolean JSON = "json".equals(System.getenv("LOG_EVENTS"));
-    private final Loop loop;
+    private final EventLoop loop;
     private Consumer<Event> listener = e -> {};
 
-    public Chronicle(Loop loop) {
+    public EventLog(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** @param pairs names and values in turn */
-    public void tell(String name, Object... pairs) {
+    public void emit(String name, Object... pairs) {
         Map<String, Object> fields = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
             fields.put((String) pairs[i], pairs[i + 1]);
@@ -50,7 +50,9 @@
             return;
         }
         LoggingEventBuilder line = LOG.atInfo().addKeyValue("event", name);
-        fields.forEach(line::addKeyValue);
+        for (Map.Entry<String, Object> field : fields.entrySet()) {
+            line = line.addKeyValue(field.getKey(), field.getValue());
+        }
         line.log("");
     }
 
--- a/controller/src/main/java/org/landingridge/controller/obs/IncidentReport.java
+++ b/controller/src/main/java/org/landingridge/controller/observability/IncidentReport.java
@@ -1,22 +1,22 @@
-package org.landingridge.controller.obs;
+package org.landingridge.controller.observability;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 
 /** What went wrong lately and what was done about it, in plain words, for whoever looks in the morning. */
 public final class IncidentReport {
     private static final int KEPT = 200;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Deque<String> lines = new ArrayDeque<>();
 
-    public IncidentReport(Loop loop) {
+    public IncidentReport(EventLoop loop) {
         this.loop = loop;
     }
 
-    public void say(String line) {
+    public void record(String line) {
         if (lines.size() == KEPT) {
             lines.removeFirst();
         }
--- a/controller/src/main/java/org/landingridge/controller/obs/Metrics.java
+++ b/controller/src/main/java/org/landingridge/controller/observability/Metrics.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.obs;
+package org.landingridge.controller.observability;
 
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.FunctionCounter;
@@ -24,11 +24,11 @@
     public final Counter moved = counter("history.moved", "ended jobs moved into the history");
     public final Counter historyReads = counter("history.reads", "reads of the history from the state service");
 
-    public final Busy busy;
+    public final ActivityTimer busy;
 
     public Metrics(LongSupplier nanos) {
-        busy = new Busy(nanos);
-        for (Busy.Part part : Busy.Part.values()) {
+        busy = new ActivityTimer(nanos);
+        for (ActivityTimer.Part part : ActivityTimer.Part.values()) {
             String name = part.name().toLowerCase(Locale.ROOT);
             FunctionCounter.builder("landingridge.busy.ms." + name, busy, b -> b.milliseconds(part))
                     .description("time of the core's thread on this part")
--- a/controller/src/main/java/org/landingridge/controller/peer/Relay.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.random.RandomGenerator;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.Json;
 
 /**
@@ -12,7 +12,7 @@
  * leader that the workers cannot reach keeps their leases, and a takeover moves only the workers that were with the
  * leader itself. Where the leader is not heard over {@code back}, the worker is sent to it.
  */
-public final class Relay {
+public final class HeartbeatForwarder {
     /** The leader tells the others every second what runs: after a few misses the way to it is taken to be cut. */
     private static final long FRESH_MS = 2_800;
     /** Less than the 4 s after which the worker gives up. */
@@ -20,8 +20,8 @@
     /** Reports that wait may hold so many bytes together. */
     private static final int MOST_BYTES = 8 << 20;
 
-    private final Loop loop;
-    private final PeerNet net;
+    private final EventLoop loop;
+    private final PeerTransport net;
     private final String host;
     private final Map<Long, Http.Exchange> waiting = new HashMap<>();
     private final int mostWaiting;
@@ -35,7 +35,7 @@
     private long number;
 
     /** @param mostWaiting reports that may wait for the leader at a time; each holds a connection of its worker */
-    public Relay(Loop loop, PeerNet net, RandomGenerator random, String host, int mostWaiting) {
+    public HeartbeatForwarder(EventLoop loop, PeerTransport net, RandomGenerator random, String host, int mostWaiting) {
         this.mostWaiting = mostWaiting;
         this.loop = loop;
         this.net = net;
@@ -63,7 +63,7 @@
         long mine = ++number;
         waiting.put(mine, exchange);
         waitingBytes += exchange.body().length;
-        net.send(leader, new Message.Report(host, mine, exchange.body()));
+        net.send(leader, new PeerMessage.Heartbeat(host, mine, exchange.body()));
         loop.after(WAIT_MS, () -> {
             if (taken(mine) != null) {
                 redirect(leader, exchange);
@@ -82,7 +82,7 @@
     }
 
     /** The leader's answer. */
-    public void answered(Message.Answer answer) {
+    public void answered(PeerMessage.Answer answer) {
         Http.Exchange exchange = taken(answer.number());
         if (exchange != null) {
             exchange.answer(answer.status(), answer.body());
@@ -90,7 +90,7 @@
     }
 
     /** The leader's side: an exchange whose answer goes back over {@code back}. */
-    public Http.Exchange carried(Message.Report report) {
+    public Http.Exchange carried(PeerMessage.Heartbeat report) {
         return new Http.Exchange() {
             @Override
             public String method() {
@@ -109,7 +109,7 @@
 
             @Override
             public void answer(int status, byte[] json, int retryAfterS) {
-                net.send(report.host(), new Message.Answer(host, report.number(), status, json));
+                net.send(report.host(), new PeerMessage.Answer(host, report.number(), status, json));
             }
         };
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/Message.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -9,10 +9,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.landingridge.controller.jobs.Endings;
+import org.landingridge.controller.jobs.CancellationLog;
 
 /** What controllers say to each other: records of DataOutputStream, a type byte first. */
-public sealed interface Message {
+public sealed interface PeerMessage {
     int MAX_BYTES = 256 * 1024;
 
     /**
@@ -22,14 +22,14 @@
      * @param life     of the asked controller, as the leader knows it; 0 if it does not
      * @param position up to which the leader has what that life came to know
      */
-    record Ask(String host, long token, long number, long since, long life, long position) implements Message {}
+    record Ask(String host, long token, long number, long since, long life, long position) implements PeerMessage {}
 
     /**
      * The promise is given, counted by the leader from when it sent the request of this number.
      *
      * @param word what the giver vouches for; null where it cannot, or is of a version that does not
      */
-    record Grant(String host, long token, long number, Word word) implements Message {}
+    record Grant(String host, long token, long number, Word word) implements PeerMessage {}
 
     /**
      * What a controller's present life knows to be cancelled.
@@ -39,22 +39,22 @@
      * @param to       the position that it reaches
      * @param complete nothing is known there beyond it
      */
-    record Word(long life, long from, long to, boolean complete, List<Endings.Ending> endings) {}
+    record Word(long life, long from, long to, boolean complete, List<CancellationLog.Ending> endings) {}
 
     /** No promise: the refuser can use the state service itself, or leads. */
-    record Refuse(String host, long token, long number) implements Message {}
+    record Refuse(String host, long token, long number) implements PeerMessage {}
 
     /** The leader of this token has stepped down for good: its key may be replaced. */
-    record HandOver(String host, long token) implements Message {}
+    record HandOver(String host, long token) implements PeerMessage {}
 
     /** How many tasks run of each job, for display; and whether the leader comes short of changes in the state service. */
-    record Running(String host, Map<String, Integer> counts, boolean comesShort) implements Message {}
+    record Running(String host, Map<String, Integer> counts, boolean comesShort) implements PeerMessage {}
 
     /** A worker's report, carried to the leader by a controller that the worker can reach. */
-    record Report(String host, long number, byte[] body) implements Message {}
+    record Heartbeat(String host, long number, byte[] body) implements PeerMessage {}
 
     /** The leader's answer to a carried report; status 0 where it has none. */
-    record Answer(String host, long number, int status, byte[] body) implements Message {}
+    record Answer(String host, long number, int status, byte[] body) implements PeerMessage {}
 
     String host();
 
@@ -92,7 +92,7 @@
                     out.writeInt(e.getValue());
                 }
                 out.writeBoolean(m.comesShort);
-            } else if (this instanceof Report m) {
+            } else if (this instanceof Heartbeat m) {
                 head(out, 6, m.host);
                 out.writeLong(m.number);
                 out.writeInt(m.body.length);
@@ -116,7 +116,7 @@
     }
 
     /** Reads one record; anything malformed is an IOException. */
-    static Message decode(DataInputStream in) throws IOException {
+    static PeerMessage decode(DataInputStream in) throws IOException {
         int type = in.readUnsignedByte();
         String host = in.readUTF();
         return switch (type) {
@@ -142,7 +142,7 @@
                 // A leader of a version before 0.3 says nothing of changes.
                 yield new Running(host, counts, in.available() > 0 && in.readBoolean());
             }
-            case 6 -> new Report(host, in.readLong(), body(in));
+            case 6 -> new Heartbeat(host, in.readLong(), body(in));
             case 7 -> new Answer(host, in.readLong(), in.readInt(), body(in));
             default -> throw new IOException("unknown record type " + type);
         };
@@ -154,7 +154,7 @@
         out.writeLong(word.to);
         out.writeBoolean(word.complete);
         out.writeInt(word.endings.size());
-        for (Endings.Ending e : word.endings) {
+        for (CancellationLog.Ending e : word.endings) {
             out.writeLong(e.revision());
             out.writeUTF(e.id());
         }
@@ -169,9 +169,9 @@
         if (n < 0 || n > MAX_BYTES) {
             throw new IOException(n + " cancellations");
         }
-        List<Endings.Ending> endings = new ArrayList<>();
+        List<CancellationLog.Ending> endings = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            endings.add(new Endings.Ending(in.readLong(), in.readUTF()));
+            endings.add(new CancellationLog.Ending(in.readLong(), in.readUTF()));
         }
         return new Word(life, from, to, complete, endings);
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/XnioPeerNet.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.net.Loop;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.net.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
@@ -28,23 +28,23 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /** Frames over TCP on {@code back}: four bytes of length, then one record. Each controller dials every other. */
-public final class XnioPeerNet implements PeerNet {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioPeerNet.class);
+public final class XnioPeerTransport implements PeerTransport {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     /** Bytes that may wait for one controller: the reports of a large fleet in the moment of an election. */
     private static final int MOST_QUEUED = 2 << 20;
 
     private static final long DIAL_MS = 2_000;
     private final XnioWorker worker;
-    private final Loop loop;
-    private final Consumer<Message> receiver;
+    private final EventLoop loop;
+    private final Consumer<PeerMessage> receiver;
     private final Map<String, Link> links = new HashMap<>();
 
-    public XnioPeerNet(
+    public XnioPeerTransport(
             XnioWorker worker,
-            Loop loop,
+            EventLoop loop,
             List<Settings.Peer> peers,
             InetSocketAddress listen,
-            Consumer<Message> receiver)
+            Consumer<PeerMessage> receiver)
             throws IOException {
         this.worker = worker;
         this.loop = loop;
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void send(String host, Message message) {
+    public void send(String host, PeerMessage message) {
         Link link = links.get(host);
         if (link != null) {
             link.send(message.encode());
@@ -110,7 +110,7 @@
             buffer.flip();
             while (buffer.remaining() >= 4) {
                 int length = buffer.getInt(buffer.position());
-                if (length < 1 || length > Message.MAX_BYTES) {
+                if (length < 1 || length > PeerMessage.MAX_BYTES) {
                     throw new IOException("a frame of " + length + " bytes");
                 }
                 if (buffer.remaining() < 4 + length) {
@@ -125,9 +125,9 @@
                 buffer.getInt();
                 byte[] frame = new byte[length];
                 buffer.get(frame);
-                Message message;
+                PeerMessage message;
                 try {
-                    message = Message.decode(new DataInputStream(new ByteArrayInputStream(frame)));
+                    message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(frame)));
                 } catch (IOException e) {
                     // A frame of its own: what follows it can be read all the same.
                     LOG.warn(
--- a/controller/src/main/java/org/landingridge/controller/progress/Cancellations.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/Cancellations.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Document;
-import org.landingridge.controller.store.GroupWriter;
 import org.landingridge.controller.store.Keys;
 
 /**
@@ -14,11 +14,11 @@
  * controller derives such an end from the cancelled job's own key. Once it is written that key may leave for the history.
  */
 public final class Cancellations {
-    private final GroupWriter writer;
+    private final BatchWriter writer;
     private final JobTable table;
     private final Set<Job> marked = new HashSet<>();
 
-    public Cancellations(GroupWriter writer, JobTable table) {
+    public Cancellations(BatchWriter writer, JobTable table) {
         this.writer = writer;
         this.table = table;
     }
--- a/controller/src/main/java/org/landingridge/controller/progress/Progress.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/Progress.java
@@ -8,12 +8,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.landingridge.controller.fleet.LiveJob;
+import org.landingridge.controller.fleet.ActiveJob;
 import org.landingridge.controller.fleet.Task;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Document;
-import org.landingridge.controller.store.GroupWriter;
 import org.landingridge.controller.store.Page;
 import org.landingridge.controller.store.PageTable;
 import org.landingridge.wire.Json;
@@ -25,7 +25,7 @@
  * bits; only then is it called done.
  */
 public final class Progress {
-    /** What the progress tells the rest of the reign. */
+    /** What the progress tells the rest of the leader term. */
     public interface Events {
         void stored(Task task);
 
@@ -40,14 +40,14 @@
     private static final double FILL = 0.85;
 
     private final String jobRoot;
-    private final GroupWriter writer;
+    private final BatchWriter writer;
     private final Events events;
     private final PageTable<ChunkPage> pages;
     /** Finished tasks by chunk, the first of which has the offset 0. */
     private final Map<String, BitSet> chunks = new HashMap<>();
 
     /** @param valueBytes what the state service takes for a value */
-    public Progress(String root, String jobRoot, GroupWriter writer, int valueBytes, Events events) {
+    public Progress(String root, String jobRoot, BatchWriter writer, int valueBytes, Events events) {
         this.jobRoot = jobRoot;
         this.writer = writer;
         this.events = events;
@@ -105,7 +105,7 @@
      * A job all of whose tasks are stored as finished, but not its end: no task will finish any more, so its end is
      * written now or never.
      */
-    public void takeOver(LiveJob job) {
+    public void takeOver(ActiveJob job) {
         if (job.count(Task.State.DONE) == job.size()) {
             writer.mark(new End(job));
         }
@@ -113,7 +113,7 @@
 
     /** A task has finished: it will be stored with the next group. */
     public void finished(Task task) {
-        LiveJob job = task.job();
+        ActiveJob job = task.job();
         int over = job.count(Task.State.FINISHED) + job.count(Task.State.DONE);
         if (over == job.size()) {
             writer.mark(new End(job));
@@ -127,7 +127,7 @@
     }
 
     /** The job is over: its bits are of no use any more, and go with the page's next write. */
-    public void ended(LiveJob job) {
+    public void ended(ActiveJob job) {
         for (int c = 0; c <= job.size() / CHUNK; c++) {
             pages.remove(job.id() + '#' + c);
             chunks.remove(job.id() + '#' + c);
@@ -187,9 +187,9 @@
 
     /** The end of a job all of whose tasks have finished. */
     private final class End implements Document {
-        private final LiveJob job;
+        private final ActiveJob job;
 
-        End(LiveJob job) {
+        End(ActiveJob job) {
             this.job = job;
         }
 
--- a/controller/src/main/java/org/landingridge/controller/recovery/Verdict.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Action.java
@@ -1,7 +1,7 @@
 package org.landingridge.controller.recovery;
 
 /** What is to be done about a machine, an entry of a report or a task. */
-public enum Verdict {
+public enum Action {
     /** It is what the stored state says, or fits into it: it is taken as it is. */
     ADOPT,
     /** Nothing is done until something more is known; the judgement says what, and at most until when. */
--- a/controller/src/main/java/org/landingridge/controller/recovery/Judgement.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
@@ -5,9 +5,9 @@
  *
  * @param cause one of a fixed set, the reason column of the tables in {@code docs/recovery.md}
  */
-public record Judgement(Verdict verdict, Cause cause) {
+public record Decision(Action verdict, Reason cause) {
     /** Why; the text is for people. */
-    public enum Cause {
+    public enum Reason {
         RETURNING("the cloud has been asked to take it back"),
         STOPPED("the cloud lists it as failed"),
         LEASE_OVER("its lease is over, so it holds nothing"),
@@ -46,7 +46,7 @@
 
         private final String text;
 
-        Cause(String text) {
+        Reason(String text) {
             this.text = text;
         }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    public boolean is(Verdict v) {
+    public boolean is(Action v) {
         return verdict == v;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/MachineEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/MachineEvidence.java
@@ -4,7 +4,7 @@
  * What is known of one machine.
  *
  * @param row        what the roster says of it
- * @param word       its newest word in this reign
+ * @param word       its newest word in this leader term
  * @param stopped    the cloud lists it as failed: it stopped on its own
  * @param returning  the cloud has been asked to take it back and has not answered
  * @param leaseOver  nobody can have answered one of its reports for longer than its lease
--- a/controller/src/main/java/org/landingridge/controller/recovery/Picture.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -4,7 +4,7 @@
  * Whether a new leader knows enough of what is there to rent more. Right after an election machines turn up that no list
  * names yet: what is rented for their want is given back unused.
  */
-public final class Picture {
+public final class ObservationWindow {
     /** GATHERING: machines still turn up, or no list was read. COMPLETE: what is up or on its way is known, mostly. */
     public enum State {
         GATHERING,
@@ -21,7 +21,7 @@
     private long newestAt;
 
     /** @param mostMs how long nothing is decided at most, whatever is still missing */
-    public Picture(long beganAt, long mostMs) {
+    public ObservationWindow(long beganAt, long mostMs) {
         this.beganAt = beganAt;
         this.newestAt = beganAt;
         this.mostMs = mostMs;
--- a/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
@@ -1,8 +1,8 @@
 package org.landingridge.controller.recovery;
 
+import org.landingridge.controller.recovery.Decision.Reason;
 import org.landingridge.controller.recovery.EntryEvidence.Known;
 import org.landingridge.controller.recovery.EntryEvidence.Said;
-import org.landingridge.controller.recovery.Judgement.Cause;
 import org.landingridge.controller.recovery.MachineEvidence.Row;
 import org.landingridge.controller.recovery.MachineEvidence.Word;
 
@@ -14,103 +14,103 @@
 public final class Reconciliation {
     private Reconciliation() {}
 
-    public static Judgement machine(MachineEvidence e) {
+    public static Decision machine(MachineEvidence e) {
         if (e.row() != Row.NAMED && e.leaseOver()) {
-            return new Judgement(Verdict.PLACE, Cause.LEASE_OVER);
+            return new Decision(Action.PLACE, Reason.LEASE_OVER);
         }
         if (e.returning()) {
-            return new Judgement(Verdict.WAIT, Cause.RETURNING);
+            return new Decision(Action.WAIT, Reason.RETURNING);
         }
         if (e.silent() && e.stopped()) {
-            return new Judgement(Verdict.GIVE_BACK, Cause.STOPPED);
+            return new Decision(Action.GIVE_BACK, Reason.STOPPED);
         }
         if (e.row() == Row.NAMED) {
             boolean heard = e.word() != Word.NONE;
             if (e.overdue()) {
-                return new Judgement(Verdict.GIVE_BACK, heard ? Cause.SILENT_FOR_LONG : Cause.NEVER_UP);
+                return new Decision(Action.GIVE_BACK, heard ? Reason.SILENT_FOR_LONG : Reason.NEVER_UP);
             }
-            return new Judgement(Verdict.WAIT, heard ? Cause.LEASE_OVER : Cause.BOOTING);
+            return new Decision(Action.WAIT, heard ? Reason.LEASE_OVER : Reason.BOOTING);
         }
         if (e.faulty()) {
-            return new Judgement(Verdict.GIVE_BACK, Cause.FAULTY);
+            return new Decision(Action.GIVE_BACK, Reason.FAULTY);
         }
         return e.silent() ? silent(e) : speaking(e);
     }
 
-    private static Judgement speaking(MachineEvidence e) {
+    private static Decision speaking(MachineEvidence e) {
         return switch (e.word()) {
-            case NONE -> new Judgement(Verdict.WAIT, Cause.REPORT_DUE);
-            case OLD -> new Judgement(Verdict.FENCE, Cause.OLD_TOKEN);
+            case NONE -> new Decision(Action.WAIT, Reason.REPORT_DUE);
+            case OLD -> new Decision(Action.FENCE, Reason.OLD_TOKEN);
             case OURS ->
                 e.row() == Row.REPORTED
-                        ? new Judgement(Verdict.WAIT, Cause.UNWRITTEN)
-                        : new Judgement(Verdict.ADOPT, Cause.KNOWN);
+                        ? new Decision(Action.WAIT, Reason.UNWRITTEN)
+                        : new Decision(Action.ADOPT, Reason.KNOWN);
         };
     }
 
     /** It may hold tasks, and nobody knows whether it still runs them: a silence proves nothing. */
-    private static Judgement silent(MachineEvidence e) {
+    private static Decision silent(MachineEvidence e) {
         if (!e.unanswered()) {
-            return new Judgement(Verdict.ASK, Cause.UNHEARD);
+            return new Decision(Action.ASK, Reason.UNHEARD);
         }
         if (e.crowd()) {
-            return new Judgement(Verdict.WAIT, Cause.CUT_OFF);
+            return new Decision(Action.WAIT, Reason.CUT_OFF);
         }
         return e.worth()
-                ? new Judgement(Verdict.GIVE_BACK, Cause.SETTLED_BY_RETURN)
-                : new Judgement(Verdict.WAIT, Cause.LEASE);
+                ? new Decision(Action.GIVE_BACK, Reason.SETTLED_BY_RETURN)
+                : new Decision(Action.WAIT, Reason.LEASE);
     }
 
-    public static Judgement report(ReportEvidence e) {
+    public static Decision report(ReportEvidence e) {
         if (e.givenBack()) {
-            return new Judgement(Verdict.IGNORE, Cause.GIVEN_BACK);
+            return new Decision(Action.IGNORE, Reason.GIVEN_BACK);
         }
         if (e.token() == ReportEvidence.Token.HIGHER) {
-            return new Judgement(Verdict.ASK, Cause.HIGHER_TOKEN);
+            return new Decision(Action.ASK, Reason.HIGHER_TOKEN);
         }
         if (!e.newer()) {
-            return new Judgement(Verdict.IGNORE, Cause.OLDER);
+            return new Decision(Action.IGNORE, Reason.OLDER);
         }
         return e.token() == ReportEvidence.Token.LOWER
-                ? new Judgement(Verdict.FENCE, Cause.OLD_TOKEN)
-                : new Judgement(Verdict.ADOPT, Cause.KNOWN);
+                ? new Decision(Action.FENCE, Reason.OLD_TOKEN)
+                : new Decision(Action.ADOPT, Reason.KNOWN);
     }
 
-    public static Judgement entry(EntryEvidence e) {
-        Verdict unwanted = e.entry() == Said.ON ? Verdict.STOP : Verdict.CLEAR;
+    public static Decision entry(EntryEvidence e) {
+        Action unwanted = e.entry() == Said.ON ? Action.STOP : Action.CLEAR;
         if (e.job() != EntryEvidence.Stored.LIVE) {
-            return new Judgement(unwanted, e.job() == EntryEvidence.Stored.OVER ? Cause.JOB_OVER : Cause.NO_SUCH_JOB);
+            return new Decision(unwanted, e.job() == EntryEvidence.Stored.OVER ? Reason.JOB_OVER : Reason.NO_SUCH_JOB);
         }
         if (e.task() == Known.NONE) {
-            return new Judgement(unwanted, Cause.NO_SUCH_TASK);
+            return new Decision(unwanted, Reason.NO_SUCH_TASK);
         }
         return switch (e.entry()) {
             case ON ->
                 switch (e.task()) {
-                    case PENDING -> new Judgement(Verdict.ADOPT, Cause.RUNS);
-                    case EARLIER -> new Judgement(Verdict.ADOPT, Cause.LATER);
-                    case ELSEWHERE -> new Judgement(Verdict.STOP, Cause.ELSEWHERE);
-                    default -> new Judgement(Verdict.STOP, Cause.FINISHED);
+                    case PENDING -> new Decision(Action.ADOPT, Reason.RUNS);
+                    case EARLIER -> new Decision(Action.ADOPT, Reason.LATER);
+                    case ELSEWHERE -> new Decision(Action.STOP, Reason.ELSEWHERE);
+                    default -> new Decision(Action.STOP, Reason.FINISHED);
                 };
             case DONE ->
                 switch (e.task()) {
-                    case PENDING, ELSEWHERE, EARLIER -> new Judgement(Verdict.ADOPT, Cause.RESULT);
-                    case FINISHED -> new Judgement(Verdict.WAIT, Cause.UNSTORED);
-                    default -> new Judgement(Verdict.CLEAR, Cause.FINISHED);
+                    case PENDING, ELSEWHERE, EARLIER -> new Decision(Action.ADOPT, Reason.RESULT);
+                    case FINISHED -> new Decision(Action.WAIT, Reason.UNSTORED);
+                    default -> new Decision(Action.CLEAR, Reason.FINISHED);
                 };
-            case ENDED -> new Judgement(Verdict.CLEAR, Cause.ENDED);
+            case ENDED -> new Decision(Action.CLEAR, Reason.ENDED);
         };
     }
 
-    public static Judgement task(TaskEvidence e) {
+    public static Decision task(TaskEvidence e) {
         if (e.own()) {
-            return new Judgement(Verdict.PLACE, Cause.OWN);
+            return new Decision(Action.PLACE, Reason.OWN);
         }
         if (e.accounted()) {
-            return new Judgement(Verdict.PLACE, Cause.SEEN);
+            return new Decision(Action.PLACE, Reason.SEEN);
         }
         return e.held()
-                ? new Judgement(Verdict.WAIT, Cause.MAY_BE_HELD)
-                : new Judgement(Verdict.PLACE, Cause.NOBODY_HOLDS);
+                ? new Decision(Action.WAIT, Reason.MAY_BE_HELD)
+                : new Decision(Action.PLACE, Reason.NOBODY_HOLDS);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/sched/Node.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
 import org.landingridge.wire.MachineType;
 
 /** A machine in one pass of the scheduler. */
-public final class Node {
+public final class CandidateNode {
     /** Something that takes room on the node. */
     public static final class Running {
         public final JobSpec spec;
@@ -63,7 +63,7 @@
     double soonGpus;
     double soonMemory;
 
-    public Node(MachineType type, String zone, boolean spot, Object machine, boolean up, Set<String> images) {
+    public CandidateNode(MachineType type, String zone, boolean spot, Object machine, boolean up, Set<String> images) {
         this.type = type;
         this.zone = zone;
         this.spot = spot;
@@ -100,7 +100,7 @@
         }
     }
 
-    boolean allows(Group g) {
+    boolean allows(TaskGroup g) {
         JobSpec s = g.spec;
         return (!spot || s.spot()) && (s.types() == null || s.types().contains(type.name())) && g.zoneAllowed(zone);
     }
--- a/controller/src/main/java/org/landingridge/controller/sched/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,19 +16,19 @@
     /** A step takes so many processors at least, so that the last of the excess goes too. */
     private static final double LEAST_CPUS = 16;
 
-    private static final Comparator<Node.Running> FIRST_TO_GO = Comparator.comparing(
-                    (Node.Running r) -> r.spec.priority())
-            .thenComparing(
-                    Comparator.comparingLong((Node.Running r) -> r.startedAt).reversed());
+    private static final Comparator<CandidateNode.Running> FIRST_TO_GO = Comparator.comparing(
+                    (CandidateNode.Running r) -> r.spec.priority())
+            .thenComparing(Comparator.comparingLong((CandidateNode.Running r) -> r.startedAt)
+                    .reversed());
 
     private ExcessWork() {}
 
     /** What to stop in one step. */
-    public static List<Node.Running> step(List<Node> nodes, List<Team> teams) {
-        List<Node.Running> stops = new ArrayList<>();
+    public static List<CandidateNode.Running> step(List<CandidateNode> nodes, List<Team> teams) {
+        List<CandidateNode.Running> stops = new ArrayList<>();
         for (int t = 0; t < teams.size(); t++) {
             Team team = teams.get(t);
-            List<Node.Running> running = running(nodes, t);
+            List<CandidateNode.Running> running = running(nodes, t);
             double cpus = team.cpusMax > 0
                     ? running.stream().mapToDouble(r -> r.spec.cpus()).sum() - team.cpusMax
                     : 0;
@@ -47,10 +47,10 @@
         return stops;
     }
 
-    private static List<Node.Running> running(List<Node> nodes, int team) {
-        List<Node.Running> running = new ArrayList<>();
-        for (Node n : nodes) {
-            for (Node.Running r : n.running) {
+    private static List<CandidateNode.Running> running(List<CandidateNode> nodes, int team) {
+        List<CandidateNode.Running> running = new ArrayList<>();
+        for (CandidateNode n : nodes) {
+            for (CandidateNode.Running r : n.running) {
                 if (r.team == team && r.spec != null && !r.stopping) {
                     running.add(r);
                 }
@@ -59,10 +59,11 @@
         return running;
     }
 
-    private static void take(List<Node.Running> running, double cpus, double gpus, List<Node.Running> stops) {
+    private static void take(
+            List<CandidateNode.Running> running, double cpus, double gpus, List<CandidateNode.Running> stops) {
         double freedCpus = 0;
         double freedGpus = 0;
-        for (Node.Running r : running) {
+        for (CandidateNode.Running r : running) {
             boolean enough = freedCpus >= cpus - 1e-6 && freedGpus >= gpus - 1e-6;
             if (enough) {
                 return;
--- a/controller/src/main/java/org/landingridge/controller/sched/GiveBack.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,7 +9,7 @@
  * Give-back when idle. Where nothing waits, machines are also vacated on purpose, dear ones first: at the end of a peak
  * each would otherwise be held for minutes by one long task, although cheaper or fuller machines have room for it.
  */
-final class GiveBack {
+final class ScaleIn {
     /** How long a machine that is not needed stands idle, in milliseconds: the next task may be a report away. */
     private static final long NEEDLESS_MS = 3_000;
     /** Room kept beside what is in use, as a share of it: tasks end and begin all the time. */
@@ -22,21 +22,21 @@
     private static final double GAIN_S = 10;
 
     private final Scheduler.Input in;
-    private final Plan plan;
+    private final SchedulingPlan plan;
     private final Prices prices;
     /** Machines that are up, those first that are best done without: the dear ones, and of these the emptiest. */
-    private final List<Node> up = new ArrayList<>();
+    private final List<CandidateNode> up = new ArrayList<>();
     /** Processors on them, in use on them, and to be kept. */
     private double there;
 
     private double used;
     private double needed;
 
-    GiveBack(Scheduler.Input in, Plan plan) {
+    ScaleIn(Scheduler.Input in, SchedulingPlan plan) {
         this.in = in;
         this.plan = plan;
         prices = new Prices(in.types());
-        for (Node n : in.nodes()) {
+        for (CandidateNode n : in.nodes()) {
             if (n.up) {
                 up.add(n);
                 there += n.type.cpus();
@@ -44,10 +44,10 @@
             }
         }
         needed = Math.max(in.standing(), used * (1 + HEADROOM));
-        up.sort(Comparator.comparing((Node n) -> !dear(n)).thenComparingDouble(n -> n.type.cpus() - n.cpus));
+        up.sort(Comparator.comparing((CandidateNode n) -> !dear(n)).thenComparingDouble(n -> n.type.cpus() - n.cpus));
     }
 
-    private boolean dear(Node n) {
+    private boolean dear(CandidateNode n) {
         return prices.dear(n.type, n.spot);
     }
 
@@ -64,10 +64,10 @@
     private void idle() {
         int room = 0;
         JobSpec like = in.spare() == null ? null : in.spare().like();
-        for (Node n : up) {
-            room += like != null && !n.spot ? Renting.roomFor(n, like) : 0;
+        for (CandidateNode n : up) {
+            room += like != null && !n.spot ? ScaleOut.roomFor(n, like) : 0;
         }
-        for (Node n : up) {
+        for (CandidateNode n : up) {
             boolean empty = n.running.isEmpty() && n.cpus >= n.type.cpus() - 1e-9;
             boolean needless =
                     empty && (dear(n) || n.draining) && n.idleMs >= NEEDLESS_MS && there - n.type.cpus() >= needed;
@@ -75,7 +75,7 @@
                 continue;
             }
             if (like != null && !n.spot) {
-                int here = Renting.roomFor(n, like);
+                int here = ScaleOut.roomFor(n, like);
                 if (room - here < in.spare().tasks()) {
                     continue;
                 }
@@ -92,13 +92,13 @@
      */
     private void vacate() {
         double free = -used * HEADROOM;
-        for (Node n : up) {
+        for (CandidateNode n : up) {
             free += n.soonCpus;
         }
         for (int i = 0; i < up.size() && there - up.get(i).type.cpus() >= needed; i++) {
-            Node n = up.get(i);
+            CandidateNode n = up.get(i);
             free -= n.soonCpus;
-            List<Node.Running> movable = movable(n);
+            List<CandidateNode.Running> movable = movable(n);
             double cpus = movable.stream().mapToDouble(r -> r.spec.cpus()).sum();
             if (movable.isEmpty() || n.draining) {
                 continue;
@@ -113,10 +113,10 @@
     }
 
     /** Finds room for the tasks on the fullest machines where they fit, and stops them; false where there is none. */
-    private boolean move(List<Node.Running> tasks, List<Node> to) {
-        for (Node.Running r : tasks) {
-            Node best = null;
-            for (Node n : to) {
+    private boolean move(List<CandidateNode.Running> tasks, List<CandidateNode> to) {
+        for (CandidateNode.Running r : tasks) {
+            CandidateNode best = null;
+            for (CandidateNode n : to) {
                 plan.steps++;
                 if (!n.draining && n.fitsSoon(r.spec) && (best == null || n.soonCpus < best.soonCpus)) {
                     best = n;
@@ -129,7 +129,7 @@
             best.soonGpus -= r.spec.gpus();
             best.soonMemory -= r.spec.memoryGb();
         }
-        for (Node.Running r : tasks) {
+        for (CandidateNode.Running r : tasks) {
             r.stopping = true;
             plan.stops.add(r);
         }
@@ -137,16 +137,16 @@
     }
 
     /** The tasks whose move sets the machine free sooner: none where something else holds it as long anyway. */
-    private static List<Node.Running> movable(Node n) {
+    private static List<CandidateNode.Running> movable(CandidateNode n) {
         double held = 0;
-        for (Node.Running r : n.running) {
+        for (CandidateNode.Running r : n.running) {
             if (!movable(r)) {
                 held = Math.max(held, r.spec == null || r.spec.service() ? Double.MAX_VALUE : r.leftS);
             }
         }
-        List<Node.Running> longer = new ArrayList<>();
+        List<CandidateNode.Running> longer = new ArrayList<>();
         double last = 0;
-        for (Node.Running r : n.running) {
+        for (CandidateNode.Running r : n.running) {
             double cost = r.spec == null
                     ? 0
                     : r.spec.saveS() + TELLING_S + r.spec.imageGb() / Math.max(0.01, n.type.fetchGbPerS());
@@ -158,7 +158,7 @@
         return last > held + GAIN_S ? longer : List.of();
     }
 
-    private static boolean movable(Node.Running r) {
+    private static boolean movable(CandidateNode.Running r) {
         return !r.stopping
                 && r.spec != null
                 && r.spec.checkpointS() > 0
--- a/controller/src/main/java/org/landingridge/controller/sched/Renting.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * there are any. Dear ones are rented for work within a guarantee and work in a hurry; for what can wait, only as many
  * as the whole queue needs to be in time.
  */
-final class Renting {
+final class ScaleOut {
     /** Estimates err by half: what looks like two rounds may be three. */
     private static final double ROUND_MARGIN = 1.3;
     /** Machines of one request to the cloud; the next round asks for more. */
@@ -35,26 +35,26 @@
     private static final double LEAST_S = 15;
 
     private final Scheduler.Input in;
-    private final Plan plan;
+    private final SchedulingPlan plan;
     private final Prices prices;
     private final Map<String, Integer> perZone = new HashMap<>();
     /** Machines that are on their way, and those that this round adds. */
-    private final List<Node> coming = new ArrayList<>();
+    private final List<CandidateNode> coming = new ArrayList<>();
 
     private final Map<String, Integer> wanted = new LinkedHashMap<>();
     private double bootS;
     /** Processors of dear machines that may still be rented in this round. */
     private double dearBudget = Double.MAX_VALUE;
 
-    Renting(Scheduler.Input in, Plan plan) {
+    ScaleOut(Scheduler.Input in, SchedulingPlan plan) {
         this.in = in;
         this.plan = plan;
         this.prices = new Prices(in.types());
     }
 
     /** Rents for tasks that found no room: those within their team's guarantee, and those beyond. */
-    void run(Map<Group, Integer> within, Map<Group, Integer> beyond) {
-        for (Node n : in.nodes()) {
+    void run(Map<TaskGroup, Integer> within, Map<TaskGroup, Integer> beyond) {
+        for (CandidateNode n : in.nodes()) {
             perZone.merge(n.zone, 1, Integer::sum);
             if (!n.up) {
                 coming.add(n);
@@ -63,8 +63,8 @@
         for (MachineType t : in.types()) {
             bootS = Math.max(bootS, t.bootS() * BOOT_MARGIN);
         }
-        Map<Group, Integer> left = new LinkedHashMap<>();
-        Map<Group, Integer> patient = new LinkedHashMap<>();
+        Map<TaskGroup, Integer> left = new LinkedHashMap<>();
+        Map<TaskGroup, Integer> patient = new LinkedHashMap<>();
         within.forEach((g, count) -> {
             int rest = pack(g, count, false);
             if (rest > 0) {
@@ -84,9 +84,9 @@
             dearBudget = Double.MAX_VALUE;
         }
         if (in.spare() != null && in.spare().like() != null) {
-            Group room = new Group(in.spare().like(), null, Long.MAX_VALUE, 0, 0);
+            TaskGroup room = new TaskGroup(in.spare().like(), null, Long.MAX_VALUE, 0, 0);
             int missing = in.spare().tasks();
-            for (Node n : in.nodes()) {
+            for (CandidateNode n : in.nodes()) {
                 if (!n.spot && n.up && n.allows(room)) {
                     missing -= roomFor(n, room.spec);
                 }
@@ -95,7 +95,7 @@
         }
         wanted.forEach((pool, count) -> {
             String[] p = pool.split("/");
-            plan.rents.add(new Plan.Rent(p[0], p[1], p[2].equals("spot"), count));
+            plan.rents.add(new SchedulingPlan.Rent(p[0], p[1], p[2].equals("spot"), count));
         });
     }
 
@@ -103,7 +103,7 @@
      * Places worth renting for so many waiting tasks: where there is time before the job is due, one place serves
      * several tasks in turn, and the places that its tasks have already serve on.
      */
-    private int slots(Group g, int count) {
+    private int slots(TaskGroup g, int count) {
         if (g.due == Long.MAX_VALUE || g.runS <= 0) {
             return count;
         }
@@ -122,10 +122,10 @@
     }
 
     /** Tasks of this size that the node could take at once, counting what they may preempt. */
-    static int roomFor(Node n, JobSpec s) {
+    static int roomFor(CandidateNode n, JobSpec s) {
         double cpus = n.soonCpus;
         double memory = n.soonMemory;
-        for (Node.Running r : n.running) {
+        for (CandidateNode.Running r : n.running) {
             if (r.spec != null && !r.stopping && r.spec.priority().compareTo(s.priority()) < 0) {
                 cpus += r.spec.cpus();
                 memory += r.spec.memoryGb();
@@ -140,12 +140,12 @@
      * Processors of dear machines that the queue needs beside what is there and on its way: where a job cannot begin
      * within its share of the time it may wait, so many that it can, from when they are up.
      */
-    private double needed(Map<Group, Integer> within, Map<Group, Integer> beyond) {
+    private double needed(Map<TaskGroup, Integer> within, Map<TaskGroup, Integer> beyond) {
         // All that waits takes its turn, also what its team's limit keeps from running now.
-        List<Group> order = new ArrayList<>(in.groups());
+        List<TaskGroup> order = new ArrayList<>(in.groups());
         order.sort(Scheduler.URGENT);
-        List<Node> there = new ArrayList<>(coming);
-        for (Node n : in.nodes()) {
+        List<CandidateNode> there = new ArrayList<>(coming);
+        for (CandidateNode n : in.nodes()) {
             if (n.up) {
                 there.add(n);
             }
@@ -153,7 +153,7 @@
         double processors = Scheduler.processors(there);
         double most = 0;
         double work = 0;
-        for (Group g : order) {
+        for (TaskGroup g : order) {
             int waiting = g.waiting + within.getOrDefault(g, 0) + beyond.getOrDefault(g, 0);
             work += waiting * g.runS * g.spec.cpus();
             if (waiting == 0 || !g.unhurried && !Scheduler.expected(g)) {
@@ -179,7 +179,7 @@
      *
      * @return tasks that found no place
      */
-    private int pack(Group g, int tasks, boolean dear) {
+    private int pack(TaskGroup g, int tasks, boolean dear) {
         int at = 0;
         for (int left = tasks; left > 0; left--) {
             plan.steps++;
@@ -189,7 +189,7 @@
                 at++;
             }
             if (at == coming.size()) {
-                Node fresh = cheapest(g, dear);
+                CandidateNode fresh = cheapest(g, dear);
                 if (fresh == null) {
                     return left;
                 }
@@ -203,7 +203,7 @@
     }
 
     /** The machine to be rented for a task of the group, or null where there is none to be had in this round. */
-    private Node cheapest(Group g, boolean dear) {
+    private CandidateNode cheapest(TaskGroup g, boolean dear) {
         for (boolean spot : g.spec.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
             MachineType bestType = null;
             String bestZone = null;
@@ -233,7 +233,7 @@
             }
             if (bestType != null) {
                 dearBudget -= prices.dear(bestType, spot) ? bestType.cpus() : 0;
-                return new Node(bestType, bestZone, spot, null, false, Set.of());
+                return new CandidateNode(bestType, bestZone, spot, null, false, Set.of());
             }
         }
         return null;
--- a/controller/src/main/java/org/landingridge/controller/sched/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,8 +25,8 @@
      */
     public record Input(
             long now,
-            List<Node> nodes,
-            List<Group> groups,
+            List<CandidateNode> nodes,
+            List<TaskGroup> groups,
             List<Team> teams,
             List<MachineType> types,
             Map<String, Long> noCapacityUntil,
@@ -41,9 +41,9 @@
      * A node for the next task of a group, and what would have to be stopped there for it; the lowest score goes first, then
      * the first in the input.
      */
-    private record Candidate(double score, int index, Node node, List<Node.Running> stops)
+    private record Candidate(double score, int index, CandidateNode node, List<CandidateNode.Running> stops)
             implements Comparable<Candidate> {
-        Candidate(double score, int index, Node node) {
+        Candidate(double score, int index, CandidateNode node) {
             this(score, index, node, List.of());
         }
 
@@ -59,24 +59,24 @@
     /** More work than this, in seconds of its run, is not thrown away for a task that starts in time. */
     private static final double MOST_LOST_S = 60;
 
-    private static final Comparator<Group> FIRST_COME =
-            Comparator.comparing((Group g) -> g.spec.priority()).reversed().thenComparingLong(g -> g.order);
-    static final Comparator<Group> URGENT = Comparator.comparing((Group g) -> g.spec.priority())
+    private static final Comparator<TaskGroup> FIRST_COME =
+            Comparator.comparing((TaskGroup g) -> g.spec.priority()).reversed().thenComparingLong(g -> g.order);
+    static final Comparator<TaskGroup> URGENT = Comparator.comparing((TaskGroup g) -> g.spec.priority())
             .reversed()
             .thenComparingInt(g -> g.missed)
             .thenComparingLong(g -> g.startBy)
             .thenComparingLong(g -> g.order);
 
     private final Input in;
-    private final Plan plan = new Plan();
+    private final SchedulingPlan plan = new SchedulingPlan();
     /** Nodes that may still take tasks now: full ones need not be looked at for every group. */
-    private final List<Node> roomy = new ArrayList<>();
+    private final List<CandidateNode> roomy = new ArrayList<>();
     /** Nodes on which room comes free, since something is stopping there. */
-    private final Set<Node> freeing = new LinkedHashSet<>();
+    private final Set<CandidateNode> freeing = new LinkedHashSet<>();
     /** Nodes that a new leader has not heard yet. */
-    private final List<Node> unheard = new ArrayList<>();
+    private final List<CandidateNode> unheard = new ArrayList<>();
     /** Nodes on which anything could be stopped at all. */
-    private final List<Node> stoppable = new ArrayList<>();
+    private final List<CandidateNode> stoppable = new ArrayList<>();
     /** The least priority of work that could be stopped: nothing is sought for groups that may not stop it. */
     private Priority least;
 
@@ -84,7 +84,7 @@
         this.in = in;
     }
 
-    public static Plan plan(Input in) {
+    public static SchedulingPlan plan(Input in) {
         return new Scheduler(in).run();
     }
 
@@ -93,8 +93,8 @@
         return type + '/' + zone + (spot ? "/spot" : "/ordinary");
     }
 
-    private Plan run() {
-        for (Node n : in.nodes) {
+    private SchedulingPlan run() {
+        for (CandidateNode n : in.nodes) {
             if (n.up && n.roomy()) {
                 roomy.add(n);
             }
@@ -102,7 +102,7 @@
                 unheard.add(n);
             }
             boolean some = false;
-            for (Node.Running r : n.running) {
+            for (CandidateNode.Running r : n.running) {
                 if (n.up
                         && r.spec != null
                         && (least == null || r.spec.priority().compareTo(least) < 0)) {
@@ -117,8 +117,8 @@
                 stoppable.add(n);
             }
         }
-        List<Group> order = new ArrayList<>();
-        for (Group g : in.groups) {
+        List<TaskGroup> order = new ArrayList<>();
+        for (TaskGroup g : in.groups) {
             if (g.waiting > 0 || g.held > 0) {
                 order.add(g);
             }
@@ -129,12 +129,12 @@
             giveWay(order);
             order.sort(URGENT);
         }
-        List<Group> borrowing = new ArrayList<>();
-        Map<Group, Integer> within = new LinkedHashMap<>();
-        Map<Group, Integer> beyond = new LinkedHashMap<>();
+        List<TaskGroup> borrowing = new ArrayList<>();
+        Map<TaskGroup, Integer> within = new LinkedHashMap<>();
+        Map<TaskGroup, Integer> beyond = new LinkedHashMap<>();
         Priority last =
                 order.isEmpty() ? null : order.get(order.size() - 1).spec.priority();
-        for (Group g : order) {
+        for (TaskGroup g : order) {
             if (g.held > 0 && g.spec.priority().compareTo(last) > 0) {
                 reserve(g);
             }
@@ -142,19 +142,19 @@
                 borrowing.add(g);
             }
         }
-        for (Group g : borrowing) {
+        for (TaskGroup g : borrowing) {
             place(g, false, beyond);
         }
-        new Renting(in, plan).run(within, beyond);
-        new GiveBack(in, plan).run();
+        new ScaleOut(in, plan).run(within, beyond);
+        new ScaleIn(in, plan).run();
         return plan;
     }
 
     /** True if first come, first served makes no job late: each begins once the work before it has been taken up. */
-    private boolean inTime(List<Group> order) {
+    private boolean inTime(List<TaskGroup> order) {
         double seconds = 1000 / processors();
         double work = 0;
-        for (Group g : order) {
+        for (TaskGroup g : order) {
             work += work(g);
             if (expected(g) && work * seconds > g.startBy - in.now) {
                 return false;
@@ -168,11 +168,11 @@
         return Math.max(1, processors(in.nodes));
     }
 
-    static double processors(List<Node> nodes) {
+    static double processors(List<CandidateNode> nodes) {
         double processors = 0;
-        for (Node n : nodes) {
+        for (CandidateNode n : nodes) {
             processors += n.type.cpus();
-            for (Node.Running r : n.running) {
+            for (CandidateNode.Running r : n.running) {
                 if (r.spec != null && r.spec.service()) {
                     processors -= r.spec.cpus();
                 }
@@ -181,7 +181,7 @@
         return processors;
     }
 
-    static boolean expected(Group g) {
+    static boolean expected(TaskGroup g) {
         return g.runS > 0 && g.lastDue != Long.MAX_VALUE;
     }
 
@@ -190,19 +190,19 @@
      * late even so, the largest so far gives way, so that as few as possible are late (Moore and Hodgson's rule). Work
      * spent on a job that is late all the same makes the next ones late too, until in a burst hardly any is in time.
      */
-    private void giveWay(List<Group> order) {
+    private void giveWay(List<TaskGroup> order) {
         double seconds = 1000 / processors();
         for (int chance = 0; chance < 2; chance++) {
-            PriorityQueue<Group> largest = new PriorityQueue<>(Comparator.comparingDouble(Scheduler::work)
+            PriorityQueue<TaskGroup> largest = new PriorityQueue<>(Comparator.comparingDouble(Scheduler::work)
                     .reversed()
                     .thenComparing(
-                            Comparator.comparingLong((Group g) -> g.order).reversed()));
+                            Comparator.comparingLong((TaskGroup g) -> g.order).reversed()));
             // Those that gave way wait for all that did not.
             double work = 0;
-            for (Group g : order) {
+            for (TaskGroup g : order) {
                 work += g.missed < chance ? work(g) : 0;
             }
-            for (Group g : order) {
+            for (TaskGroup g : order) {
                 if (g.missed != chance || !expected(g)) {
                     work += g.missed == chance ? work(g) : 0;
                     continue;
@@ -211,7 +211,7 @@
                 largest.add(g);
                 work += work(g);
                 while (g.missed == chance && work * seconds > left) {
-                    Group out = work(g) * seconds > left ? g : largest.poll();
+                    TaskGroup out = work(g) * seconds > left ? g : largest.poll();
                     if (out == g) {
                         largest.remove(g);
                     }
@@ -223,7 +223,7 @@
     }
 
     /** Processor seconds of the tasks that wait. */
-    private static double work(Group g) {
+    private static double work(TaskGroup g) {
         return g.waiting * g.runS * g.spec.cpus();
     }
 
@@ -231,9 +231,9 @@
      * Keeps room for tasks that cannot be placed yet from work of lower priority, which would be stopped for them a few
      * seconds after its start. What unheard machines can hold is most likely there, and needs no room elsewhere.
      */
-    private void reserve(Group g) {
+    private void reserve(TaskGroup g) {
         int held = g.held;
-        for (Node n : unheard) {
+        for (CandidateNode n : unheard) {
             while (held > 0 && n.allows(g) && n.fits(g.spec)) {
                 n.take(g.spec, true);
                 held--;
@@ -249,7 +249,7 @@
     }
 
     /** Places what it can; true if tasks wait that lie beyond the team's guarantee. */
-    private boolean place(Group g, boolean guaranteed, Map<Group, Integer> unplaced) {
+    private boolean place(TaskGroup g, boolean guaranteed, Map<TaskGroup, Integer> unplaced) {
         Team team = in.teams.get(g.team);
         PriorityQueue<Candidate> fitting = null;
         Victims victims = mayStopAny(g, guaranteed) ? new Victims(g, guaranteed) : null;
@@ -262,11 +262,11 @@
                 fitting = fitting(g);
             }
             Candidate best = next(g, fitting);
-            Node node = best == null ? null : best.node;
+            CandidateNode node = best == null ? null : best.node;
             boolean slow = node != null && !timely(g, node);
             // A free machine that must fetch the image first is too slow where a start is expected sooner: then room
             // is made on one that has it.
-            Node made = (node == null || slow) && !g.probing ? makeRoom(g, slow, victims) : null;
+            CandidateNode made = (node == null || slow) && !g.probing ? makeRoom(g, slow, victims) : null;
             if (made != null) {
                 node = made;
                 node.soonCpus -= g.spec.cpus();
@@ -277,7 +277,7 @@
                 }
             } else if (node != null) {
                 node.take(g.spec, true);
-                plan.placements.add(new Plan.Placement(g, node));
+                plan.placements.add(new SchedulingPlan.Placement(g, node));
                 if (node.fits(g.spec)) {
                     fitting.add(new Candidate(score(g, node), best.index, node));
                 }
@@ -300,12 +300,12 @@
     }
 
     /** The nodes on which a task of the group fits now, best first. */
-    private PriorityQueue<Candidate> fitting(Group g) {
+    private PriorityQueue<Candidate> fitting(TaskGroup g) {
         roomy.removeIf(n -> !n.roomy());
         plan.steps += roomy.size();
         PriorityQueue<Candidate> all = new PriorityQueue<>();
         for (int i = 0; i < roomy.size(); i++) {
-            Node n = roomy.get(i);
+            CandidateNode n = roomy.get(i);
             if (n.fits(g.spec) && n.allows(g)) {
                 all.add(new Candidate(score(g, n), i, n));
             }
@@ -314,7 +314,7 @@
     }
 
     /** The best node left; what earlier tasks of the group made forbidden (one zone, spread) is passed over for good. */
-    private static Candidate next(Group g, PriorityQueue<Candidate> fitting) {
+    private static Candidate next(TaskGroup g, PriorityQueue<Candidate> fitting) {
         Candidate c = fitting.poll();
         while (c != null && !c.node.allows(g)) {
             c = fitting.poll();
@@ -323,7 +323,7 @@
     }
 
     /** The node with the image, else the fullest on which the task still fits; cheap nodes first where allowed. */
-    private static double score(Group g, Node n) {
+    private static double score(TaskGroup g, CandidateNode n) {
         double score = n.cpus / n.type.cpus() + (n.spot || !g.spec.spot() ? 0 : 2) + (n.draining ? 4 : 0);
         if (g.spec.image() != null && !n.images.contains(g.spec.image())) {
             score += g.spec.service() ? 4 + n.fetching : 0.5;
@@ -336,7 +336,7 @@
     }
 
     /** False if the task would start late there, since its image must be fetched first. */
-    private static boolean timely(Group g, Node n) {
+    private static boolean timely(TaskGroup g, CandidateNode n) {
         return g.startWithinS <= 0
                 || g.spec.image() == null
                 || n.images.contains(g.spec.image())
@@ -344,7 +344,7 @@
     }
 
     /** False if there is certainly nothing on any node that the group may have stopped. */
-    private boolean mayStopAny(Group g, boolean guaranteed) {
+    private boolean mayStopAny(TaskGroup g, boolean guaranteed) {
         if (least == null) {
             return false;
         }
@@ -360,14 +360,14 @@
         return false;
     }
 
-    private Node makeRoom(Group g, boolean onlyTimely, Victims victims) {
-        Node node = soon(g, onlyTimely);
+    private CandidateNode makeRoom(TaskGroup g, boolean onlyTimely, Victims victims) {
+        CandidateNode node = soon(g, onlyTimely);
         return node != null || victims == null ? node : victims.stop(onlyTimely);
     }
 
-    private Node soon(Group g, boolean onlyTimely) {
+    private CandidateNode soon(TaskGroup g, boolean onlyTimely) {
         plan.steps += freeing.size();
-        for (Node n : freeing) {
+        for (CandidateNode n : freeing) {
             if (n.fitsSoon(g.spec) && !n.fits(g.spec) && n.allows(g) && (!onlyTimely || timely(g, n))) {
                 return n;
             }
@@ -381,18 +381,18 @@
      */
     private final class Victims {
         private static final double UNTIMELY = 1e9;
-        private final Group g;
+        private final TaskGroup g;
         private final boolean guaranteed;
         private PriorityQueue<Candidate> choices;
         private Candidate stoppedOn;
 
-        Victims(Group g, boolean guaranteed) {
+        Victims(TaskGroup g, boolean guaranteed) {
             this.g = g;
             this.guaranteed = guaranteed;
         }
 
         /** Stops what costs least; the node on which that makes room for one task, or null. */
-        Node stop(boolean onlyTimely) {
+        CandidateNode stop(boolean onlyTimely) {
             if (stoppedOn != null) {
                 // Judged only now: until the task that it was for has taken its room, nothing more seems needed there.
                 add(stoppedOn.index, stoppedOn.node);
@@ -426,19 +426,19 @@
             return null;
         }
 
-        private void add(int index, Node n) {
+        private void add(int index, CandidateNode n) {
             Candidate c = choice(index, n);
             if (c != null) {
                 choices.add(c);
             }
         }
 
-        private Candidate choice(int index, Node n) {
+        private Candidate choice(int index, CandidateNode n) {
             if (!n.allows(g)) {
                 return null;
             }
-            List<Node.Running> candidates = List.of();
-            for (Node.Running r : n.running) {
+            List<CandidateNode.Running> candidates = List.of();
+            for (CandidateNode.Running r : n.running) {
                 if (!r.stopping && r.spec != null && mayStop(g, guaranteed, r)) {
                     if (candidates.isEmpty()) {
                         candidates = new ArrayList<>();
@@ -450,15 +450,15 @@
                 return null;
             }
             // Least work lost first: what started last.
-            candidates.sort(
-                    Comparator.comparing((Node.Running r) -> r.spec.priority()).thenComparing(r -> -r.startedAt));
-            List<Node.Running> victims = new ArrayList<>();
+            candidates.sort(Comparator.comparing((CandidateNode.Running r) -> r.spec.priority())
+                    .thenComparing(r -> -r.startedAt));
+            List<CandidateNode.Running> victims = new ArrayList<>();
             double cpus = n.soonCpus;
             double gpus = n.soonGpus;
             double memory = n.soonMemory;
             double cost = 0;
-            for (Node.Running r : candidates) {
-                if (Node.fits(g.spec, cpus, gpus, memory)) {
+            for (CandidateNode.Running r : candidates) {
+                if (CandidateNode.fits(g.spec, cpus, gpus, memory)) {
                     break;
                 }
                 if (!mayStop(g, guaranteed, r)) {
@@ -473,13 +473,13 @@
                 cost += r.spec.cpus() * (in.now - r.startedAt + 1_000);
             }
             victims.forEach(r -> in.teams.get(r.team).goesOn(r.spec));
-            return Node.fits(g.spec, cpus, gpus, memory) && !victims.isEmpty()
+            return CandidateNode.fits(g.spec, cpus, gpus, memory) && !victims.isEmpty()
                     ? new Candidate(cost + (timely(g, n) ? 0 : UNTIMELY), index, n, victims)
                     : null;
         }
 
         private void carryOut(Candidate c) {
-            for (Node.Running r : c.stops) {
+            for (CandidateNode.Running r : c.stops) {
                 r.stopping = true;
                 r.atOnce = g.startWithinS > 0
                         && r.spec.saveS() > g.startWithinS * WAIT_FOR_SAVE
@@ -498,7 +498,7 @@
      * Work of lower priority may be stopped, and what another team has borrowed. No team is brought below its own
      * guarantee for another's: it would take the room back at once, and both would lose their work again and again.
      */
-    private boolean mayStop(Group g, boolean guaranteed, Node.Running r) {
+    private boolean mayStop(TaskGroup g, boolean guaranteed, CandidateNode.Running r) {
         int order = r.spec.priority().compareTo(g.spec.priority());
         if (order < 0 && r.team == g.team) {
             return true;
--- a/controller/src/main/java/org/landingridge/controller/sched/Group.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -1,11 +1,11 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
 import org.landingridge.wire.JobSpec;
 
 /** The waiting tasks of one job, all alike. */
-public final class Group {
+public final class TaskGroup {
     public final JobSpec spec;
     /** Opaque to the scheduler. */
     public final Object job;
@@ -42,7 +42,7 @@
     /** Tasks of the job on machines, by zone, for oneZone and spread. */
     public final Map<String, Integer> perZone = new HashMap<>();
 
-    public Group(JobSpec spec, Object job, long order, int team, int waiting) {
+    public TaskGroup(JobSpec spec, Object job, long order, int team, int waiting) {
         this.spec = spec;
         this.job = job;
         this.order = order;
--- a/controller/src/main/java/org/landingridge/controller/sched/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import org.landingridge.wire.JobSpec;
 
--- a/controller/src/main/java/org/landingridge/controller/sched/Peak.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/WindowedMaximum.java
@@ -1,10 +1,10 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 
 /** The largest value of the last while. */
-public final class Peak {
+public final class WindowedMaximum {
     private record Seen(long at, double value) {}
 
     /** Falling values: each could still become the largest. */
--- a/controller/src/main/java/org/landingridge/controller/config/Policy.java
+++ b/controller/src/main/java/org/landingridge/controller/settings/Policy.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.config;
+package org.landingridge.controller.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -37,14 +37,14 @@
 
     public static final Policy DEFAULT = new Policy(3.0, 20.0, 45.0, 600.0, 0.15, 60.0, 0.15, 0.25);
 
-    public static Policy read(Path file) throws BadSettings {
+    public static Policy read(Path file) throws InvalidSettingsException {
         String text;
         JsonNode root;
         try {
             text = Files.readString(file, StandardCharsets.UTF_8);
             root = new ObjectMapper().readTree(text);
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read as JSON: "
+            throw new InvalidSettingsException(file + ": cannot be read as JSON: "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
         try (InputStream in = Policy.class.getResourceAsStream("operators.schema.json")) {
@@ -54,7 +54,7 @@
                     .map(Object::toString)
                     .collect(Collectors.joining("; "));
             if (!errors.isEmpty()) {
-                throw new BadSettings(file + ": " + errors);
+                throw new InvalidSettingsException(file + ": " + errors);
             }
         } catch (IOException e) {
             throw new IllegalStateException("the schema is part of the program", e);
--- a/controller/src/main/java/org/landingridge/controller/config/Settings.java
+++ b/controller/src/main/java/org/landingridge/controller/settings/Settings.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.config;
+package org.landingridge.controller.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -74,12 +74,12 @@
 
     public record Machine(double cpu, double memoryMb, int maxConnections) {}
 
-    public static Settings read(Path file) throws BadSettings {
+    public static Settings read(Path file) throws InvalidSettingsException {
         JsonNode root;
         try (JsonParser parser = new TomlFactory().createParser(Files.readAllBytes(file))) {
             root = Json.read(parser);
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read as TOML: " + firstLine(e.getMessage()));
+            throw new InvalidSettingsException(file + ": cannot be read as TOML: " + firstLine(e.getMessage()));
         }
         return new Reader(file.toString()).settings(root);
     }
@@ -89,7 +89,7 @@
     }
 
     private record Reader(String file) {
-        Settings settings(JsonNode root) throws BadSettings {
+        Settings settings(JsonNode root) throws InvalidSettingsException {
             List<Peer> peers = new ArrayList<>();
             Set<String> hosts = new HashSet<>(Set.of(text(root, "", "host_name")));
             for (JsonNode p : list(root, "known")) {
@@ -185,18 +185,18 @@
                     machine);
         }
 
-        private void once(Collection<String> names, String name, String field) throws BadSettings {
+        private void once(Collection<String> names, String name, String field) throws InvalidSettingsException {
             if (names.contains(name)) {
                 throw wrong(field, "each name once, but " + name + " stands twice");
             }
             names.add(name);
         }
 
-        private BadSettings wrong(String field, String expected) {
-            return new BadSettings(file + ": field " + field + ": expected " + expected);
+        private InvalidSettingsException wrong(String field, String expected) {
+            return new InvalidSettingsException(file + ": field " + field + ": expected " + expected);
         }
 
-        private JsonNode table(JsonNode parent, String at, String field) throws BadSettings {
+        private JsonNode table(JsonNode parent, String at, String field) throws InvalidSettingsException {
             JsonNode n = parent.get(field);
             if (n == null || !n.isObject()) {
                 throw wrong(at + field, "a table");
@@ -204,7 +204,7 @@
             return n;
         }
 
-        private JsonNode list(JsonNode parent, String field) throws BadSettings {
+        private JsonNode list(JsonNode parent, String field) throws InvalidSettingsException {
             JsonNode n = parent.path(field);
             if (!n.isMissingNode() && !n.isArray()) {
                 throw wrong(field, "a list");
@@ -212,7 +212,7 @@
             return n;
         }
 
-        private String text(JsonNode parent, String at, String field) throws BadSettings {
+        private String text(JsonNode parent, String at, String field) throws InvalidSettingsException {
             JsonNode n = parent.get(field);
             if (n == null || !n.isTextual() || n.textValue().isBlank()) {
                 throw wrong(at + field, "a text");
@@ -220,7 +220,8 @@
             return n.textValue();
         }
 
-        private double number(JsonNode parent, String at, String field, Number otherwise) throws BadSettings {
+        private double number(JsonNode parent, String at, String field, Number otherwise)
+                throws InvalidSettingsException {
             JsonNode n = parent.get(field);
             if (n == null && otherwise != null) {
                 return otherwise.doubleValue();
@@ -231,7 +232,7 @@
             return n.doubleValue();
         }
 
-        private InetSocketAddress address(String text, String field) throws BadSettings {
+        private InetSocketAddress address(String text, String field) throws InvalidSettingsException {
             try {
                 HostAndPort address = HostAndPort.fromString(text);
                 if (address.hasPort() && !address.getHost().isEmpty()) {
--- a/controller/src/main/java/org/landingridge/controller/store/GroupWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.obs.Busy;
+import org.landingridge.controller.observability.ActivityTimer;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Write;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,7 +21,7 @@
  * transaction is conditional on the leader's key and on the current version of each document, so one that arrives
  * late, or from a leader of the past, changes nothing.
  */
-public final class GroupWriter {
+public final class BatchWriter {
     private enum State {
         IDLE,
         WAITING,
@@ -29,7 +29,7 @@
         REREADING
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(GroupWriter.class);
+    private static final Logger LOG = LoggerFactory.getLogger(BatchWriter.class);
     private static final long STARVED_MS = 3_000;
     private static final long REFUSED_PAUSE_MS = 250;
     /** A transaction takes 64 KiB, keys and conditions included. */
@@ -38,13 +38,13 @@
     private static final int OVERHEAD_BYTES = 100;
 
     private final StateClient client;
-    private final Mirror mirror;
-    private final Loop loop;
+    private final WatchCache watchCache;
+    private final EventLoop loop;
     private final int valueBytes;
     private final double msPerWrite;
     private final String leaderKey;
     private final LongSupplier leaderVersion;
-    private final Busy busy;
+    private final ActivityTimer busy;
     private final Set<Document> dirty = new LinkedHashSet<>();
     private State state = State.IDLE;
     private int maxOps;
@@ -57,17 +57,17 @@
      * @param share         of the puts and deletes a second, what the leader may use
      * @param leaderVersion version of the leader's key, or 0 while this process may not write
      */
-    public GroupWriter(
+    public BatchWriter(
             StateClient client,
-            Mirror mirror,
-            Loop loop,
+            WatchCache watchCache,
+            EventLoop loop,
             Settings.State limits,
             double share,
             String leaderKey,
             LongSupplier leaderVersion,
-            Busy busy) {
+            ActivityTimer busy) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.loop = loop;
         this.maxOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
@@ -81,7 +81,8 @@
         dirty.add(document);
         if (state == State.IDLE) {
             to(State.WAITING);
-            loop.after(Math.max(20, nextAllowed - loop.now()), () -> busy.during(Busy.Part.WRITES, this::write));
+            loop.after(
+                    Math.max(20, nextAllowed - loop.now()), () -> busy.during(ActivityTimer.Part.WRITES, this::write));
         }
     }
 
@@ -141,10 +142,10 @@
                 continue;
             }
             bytes += size;
-            long version = mirror.version(d.key());
+            long version = watchCache.version(d.key());
             dirty.remove(d);
             if (value == null && version == 0) {
-                loop.after(0, () -> d.stored(mirror.revision()));
+                loop.after(0, () -> d.stored(watchCache.revision()));
                 continue;
             }
             guards.add(new Guard(d.key(), version));
@@ -166,9 +167,9 @@
                 case OK -> {
                     for (Write w : writes) {
                         if (w.value() == null) {
-                            mirror.deleted(w.key(), answer.revision());
+                            watchCache.deleted(w.key(), answer.revision());
                         } else {
-                            mirror.committed(w.key(), answer.revision());
+                            watchCache.committed(w.key(), answer.revision());
                         }
                     }
                     for (Document d : taken) {
@@ -213,7 +214,7 @@
     }
 
     private void reread(long began) {
-        mirror.barrier(
+        watchCache.barrier(
                 () -> {
                     if (began == epoch) {
                         again(50);
@@ -232,7 +233,7 @@
             to(State.WAITING);
             loop.after(
                     Math.max(atLeast, Math.max(20, nextAllowed - loop.now())),
-                    () -> busy.during(Busy.Part.WRITES, this::write));
+                    () -> busy.during(ActivityTimer.Part.WRITES, this::write));
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/store/Document.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Document.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One stored value that the leader keeps up to date through the {@link GroupWriter}. */
+/** One stored value that the leader keeps up to date through the {@link BatchWriter}. */
 public interface Document {
     String key();
 
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -14,7 +14,7 @@
     private final String prefix;
     private final int pageBytes;
     private final Function<String, P> create;
-    private final GroupWriter writer;
+    private final BatchWriter writer;
     private final List<P> pages = new ArrayList<>();
     private final Map<String, P> pageOf = new HashMap<>();
     /** Numbers that are not free, whatever is known of them here. */
@@ -25,7 +25,7 @@
      * @param pageBytes what the rows of a page may take
      * @param create    makes an empty page of a key
      */
-    public PageTable(String prefix, int pageBytes, Function<String, P> create, GroupWriter writer) {
+    public PageTable(String prefix, int pageBytes, Function<String, P> create, BatchWriter writer) {
         this.prefix = prefix;
         this.pageBytes = pageBytes;
         this.create = create;
--- a/controller/src/main/java/org/landingridge/controller/store/Mirror.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.landingridge.controller.obs.Busy;
+import org.landingridge.controller.observability.ActivityTimer;
 import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.controller.store.StateClient.Status;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -20,7 +20,7 @@
  * versions; what the values mean is its listeners' business. The watch may be wider than what is read at the start: then
  * the listener hears of changes to keys that it has to read by itself.
  */
-public final class Mirror {
+public final class WatchCache {
     /** Told of every change in order; {@code value} is null for a deletion. */
     public interface Listener {
         void changed(String key, JsonNode value, long version);
@@ -34,14 +34,14 @@
         FOLLOWING
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Mirror.class);
+    private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
     private static final long WATCH_MS = 10_000;
     private final StateClient client;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String prefix;
     private final String watched;
     private final long pauseMs;
-    private final Busy busy;
+    private final ActivityTimer busy;
     private final Listener listener;
     private final Map<String, Long> versions = new HashMap<>();
     private State state = State.LOADING;
@@ -62,8 +62,14 @@
      * @param prefix  what is read at the start and kept
      * @param watched a prefix of it: what the listener is told of
      */
-    public Mirror(
-            StateClient client, Loop loop, String prefix, String watched, long pauseMs, Busy busy, Listener listener) {
+    public WatchCache(
+            StateClient client,
+            EventLoop loop,
+            String prefix,
+            String watched,
+            long pauseMs,
+            ActivityTimer busy,
+            Listener listener) {
         this.client = client;
         this.loop = loop;
         this.prefix = prefix;
@@ -191,7 +197,7 @@
             LOG.warn("an answer to a watch was malformed and is dropped");
             return false;
         }
-        busy.during(Busy.Part.MIRROR, () -> apply(events));
+        busy.during(ActivityTimer.Part.MIRROR, () -> apply(events));
         revision = Math.max(revision, to);
         // While everything is read again, what a watch brings is not the whole.
         viewAt = state == State.FOLLOWING ? Math.max(viewAt, sent) : viewAt;
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.TreeSet;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.controller.store.Mirror;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Write;
-import org.landingridge.net.Loop;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,16 +45,16 @@
     private static final long RETRY_MS = 5_000;
     private static final Logger LOG = LoggerFactory.getLogger(Capabilities.class);
     private final StateClient client;
-    private final Mirror mirror;
-    private final Loop loop;
+    private final WatchCache watchCache;
+    private final EventLoop loop;
     private final String host;
     private final TreeSet<String> hosts;
     private final Map<String, Map<Feature, Integer>> announced = new HashMap<>();
 
     /** @param others the other controllers' hosts */
-    public Capabilities(StateClient client, Mirror mirror, Loop loop, String host, List<String> others) {
+    public Capabilities(StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> others) {
         this.client = client;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.loop = loop;
         this.host = host;
         this.hosts = new TreeSet<>(others);
@@ -90,10 +90,10 @@
         if (!missing) {
             return;
         }
-        if (mirror.following()) {
+        if (watchCache.following()) {
             String key = ROOT + host;
             client.commit(
-                    List.of(new Guard(key, mirror.version(key))), List.of(new Write(key, levels, 0)), answer -> {});
+                    List.of(new Guard(key, watchCache.version(key))), List.of(new Write(key, levels, 0)), answer -> {});
         }
         // Until the mirror brings it back: an answer that got lost and a refusal are the same from here.
         loop.after(RETRY_MS, this::announce);
--- a/controller/src/test/java/org/landingridge/controller/users/AdmissionTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.users;
+package org.landingridge.controller.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Seven controllers, 15 changes a second, half of them for submissions. */
-class AdmissionTest {
+class AdmissionControlTest {
     private long now = 1_000;
-    private final Admission admission = new Admission(() -> now, 15, 0.5, 7);
+    private final AdmissionControl admission = new AdmissionControl(() -> now, 15, 0.5, 7);
 
     /** How many of a flood are let in, with the leader's sign of life every second, or none. */
     private int flood(int seconds, Boolean leaderShort) {
--- a/controller/src/test/java/org/landingridge/controller/users/TurnsTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.users;
+package org.landingridge.controller.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A state service that takes so many changes a second stands behind the turns. */
-class TurnsTest {
+class FairQueueTest {
     private long now = 1_000;
-    private final Turns turns = new Turns(() -> now);
+    private final FairQueue turns = new FairQueue(() -> now);
     private int takenInSecond;
     private long second;
     private final Map<String, Integer> asked = new LinkedHashMap<>();
@@ -103,7 +103,7 @@
         play(13, 12, 1_000, Map.of("b", 1.0));
         play(14, 10, 1_000, Map.of("a", 50.0, "b", 1.0));
         assertEquals(asked, taken);
-        Turns alone = new Turns(() -> now);
+        FairQueue alone = new FairQueue(() -> now);
         for (int i = 0; i < 500; i++) {
             assertTrue(alone.admit("a"));
             alone.refused();
--- a/controller/src/test/java/org/landingridge/controller/ops/NextActionTest.java
+++ b/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
@@ -1,11 +1,11 @@
-package org.landingridge.controller.ops;
+package org.landingridge.controller.cloud;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.landingridge.controller.ops.NextAction.Observation.FAILED_TERMINAL;
-import static org.landingridge.controller.ops.NextAction.Observation.IN_PROGRESS;
-import static org.landingridge.controller.ops.NextAction.Observation.NOT_FOUND;
-import static org.landingridge.controller.ops.NextAction.Observation.SUCCEEDED;
-import static org.landingridge.controller.ops.NextAction.Observation.UNAVAILABLE;
+import static org.landingridge.controller.cloud.NextAction.Observation.FAILED_TERMINAL;
+import static org.landingridge.controller.cloud.NextAction.Observation.IN_PROGRESS;
+import static org.landingridge.controller.cloud.NextAction.Observation.NOT_FOUND;
+import static org.landingridge.controller.cloud.NextAction.Observation.SUCCEEDED;
+import static org.landingridge.controller.cloud.NextAction.Observation.UNAVAILABLE;
 
 import org.junit.jupiter.api.Test;
 
--- a/controller/src/test/java/org/landingridge/controller/lead/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.lead;
+package org.landingridge.controller.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.jobs.Endings;
+import org.landingridge.controller.jobs.CancellationLog;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
-import org.landingridge.controller.peer.Message;
+import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.Priority;
@@ -33,7 +33,7 @@
 class PromisesTest {
     private static final List<String> OTHERS = List.of("rig-1", "rig-2");
     private long now = 1_000;
-    private final Loop loop = new Loop() {
+    private final EventLoop loop = new EventLoop() {
         @Override
         public long now() {
             return now;
@@ -59,7 +59,7 @@
             new StateClient((addr, method, path, body, timeoutMs, done) -> done.accept(Http.Reply.NOT_SENT), "state");
 
     private final Map<String, Giver> givers = new LinkedHashMap<>();
-    private final List<Message> toAsker = new ArrayList<>();
+    private final List<PeerMessage> toAsker = new ArrayList<>();
     private int lives;
 
     /** One of the others, with what all lives of its host have told users. */
@@ -140,7 +140,7 @@
     void nothingIsMissing(long seed) {
         Random random = new Random(seed);
         Set<Long> here = new HashSet<>();
-        List<Message> asks = new ArrayList<>();
+        List<PeerMessage> asks = new ArrayList<>();
         Promises asker = new Promises(
                 client,
                 loop,
@@ -149,7 +149,7 @@
                 "rig-0",
                 OTHERS,
                 77,
-                new Endings(),
+                new CancellationLog(),
                 () -> true);
         OTHERS.forEach(h -> givers.put(h, new Giver(h)));
         Map<Long, Long> stored = new LinkedHashMap<>();
@@ -189,8 +189,8 @@
                 asker.ask(5, since);
             } else if (!toAsker.isEmpty()) {
                 int at = random.nextInt(toAsker.size());
-                Message m = random.nextInt(5) == 0 ? toAsker.get(at) : toAsker.remove(at);
-                if (random.nextInt(4) > 0 && m instanceof Message.Grant grant) {
+                PeerMessage m = random.nextInt(5) == 0 ? toAsker.get(at) : toAsker.remove(at);
+                if (random.nextInt(4) > 0 && m instanceof PeerMessage.Grant grant) {
                     asker.heard(grant, e -> here.add(e.revision()));
                 }
                 if (toAsker.size() > 30) {
@@ -213,22 +213,22 @@
     /** Carries an ask to the giver that it is for, by the bytes that go over the wire. */
     private final class Addressed {
         private final String to;
-        private final Message message;
+        private final PeerMessage message;
 
-        Addressed(String to, Message message) {
+        Addressed(String to, PeerMessage message) {
             this.to = to;
             this.message = message;
         }
 
-        Message route() {
-            givers.get(to).promises.asked((Message.Ask) copy(message), () -> false);
+        PeerMessage route() {
+            givers.get(to).promises.asked((PeerMessage.Ask) copy(message), () -> false);
             return message;
         }
     }
 
-    private static Message copy(Message m) {
+    private static PeerMessage copy(PeerMessage m) {
         try {
-            return Message.decode(new DataInputStream(new ByteArrayInputStream(m.encode())));
+            return PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(m.encode())));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -237,26 +237,29 @@
     @Test
     @DisplayName("records of an earlier version have no word, and are no proof of anything; cut off ones are refused")
     void earlierVersionsAndNonsense() throws IOException {
-        byte[] grant = new Message.Grant("rig-1", 3, 4, null).encode();
+        byte[] grant = new PeerMessage.Grant("rig-1", 3, 4, null).encode();
         byte[] before = java.util.Arrays.copyOf(grant, grant.length - 1);
         assertEquals(
-                new Message.Grant("rig-1", 3, 4, null),
-                Message.decode(new DataInputStream(new ByteArrayInputStream(before))));
-        Message.Grant full = new Message.Grant(
+                new PeerMessage.Grant("rig-1", 3, 4, null),
+                PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(before))));
+        PeerMessage.Grant full = new PeerMessage.Grant(
                 "rig-1",
                 3,
                 4,
-                new Message.Word(
+                new PeerMessage.Word(
                         9,
                         0,
                         2,
                         true,
-                        List.of(new Endings.Ending(7, "job-000007"), new Endings.Ending(8, "job-000008"))));
+                        List.of(
+                                new CancellationLog.Ending(7, "job-000007"),
+                                new CancellationLog.Ending(8, "job-000008"))));
         assertEquals(full, copy(full));
         byte[] bytes = full.encode();
         for (int cut = before.length + 1; cut < bytes.length; cut++) {
             byte[] part = java.util.Arrays.copyOf(bytes, cut);
-            assertThrows(IOException.class, () -> Message.decode(new DataInputStream(new ByteArrayInputStream(part))));
+            assertThrows(
+                    IOException.class, () -> PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(part))));
         }
     }
 
@@ -269,7 +272,7 @@
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
         assertEquals(List.of(), table.active());
         assertEquals(
-                List.of(new Endings.Ending(9, "job-000009")),
+                List.of(new CancellationLog.Ending(9, "job-000009")),
                 table.endings().after(0, 0).endings());
         table.changed("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
         assertEquals(1, table.endings().count());
@@ -295,10 +298,10 @@
         for (long revision = 1; revision <= 6_000; revision++) {
             cancel(table, revision);
         }
-        Endings endings = table.endings();
+        CancellationLog endings = table.endings();
         assertEquals(null, endings.after(0, 1_000), "what was stored after 1,000 is not all there any more");
         List<Long> got = new ArrayList<>();
-        Endings.Page page = endings.after(0, 2_000);
+        CancellationLog.Page page = endings.after(0, 2_000);
         for (int pages = 0; !page.complete() && pages < 9; pages++) {
             page.endings().forEach(e -> got.add(e.revision()));
             page = endings.after(page.to(), 2_000);
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.jobs.Ended;
 import org.landingridge.controller.jobs.Job;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
@@ -25,16 +25,16 @@
     /** Against a map, which is the plain model: whatever went in comes out, through the stored form and back. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void holdsWhatAMapHolds(long seed) throws BadMessage {
+    void holdsWhatAMapHolds(long seed) throws InvalidMessageException {
         SplittableRandom random = new SplittableRandom(seed);
-        Map<Integer, Ended> model = new HashMap<>();
+        Map<Integer, TerminatedJob> model = new HashMap<>();
         Segment segment = Segment.EMPTY;
         for (int i = 0; i < 700; i++) {
             int offset = random.nextInt(Segment.JOBS);
-            Ended ended = random.nextInt(4) == 0
-                    ? new Ended(Job.Status.CANCELLED, 0)
-                    : new Ended(Job.Status.DONE, 1 + random.nextInt(1 << random.nextInt(17)));
-            Ended kept = model.putIfAbsent(offset, ended);
+            TerminatedJob ended = random.nextInt(4) == 0
+                    ? new TerminatedJob(Job.Status.CANCELLED, 0)
+                    : new TerminatedJob(Job.Status.DONE, 1 + random.nextInt(1 << random.nextInt(17)));
+            TerminatedJob kept = model.putIfAbsent(offset, ended);
             segment = segment.with(Map.of(offset, kept == null ? ended : kept));
             if (i % 50 == 0) {
                 segment = Segment.read(segment.json());
@@ -50,7 +50,7 @@
     void theLargestFitsTheSmallestValues() {
         Segment segment = Segment.EMPTY;
         for (int i = 0; i < Segment.JOBS; i++) {
-            segment = segment.with(Map.of(i, new Ended(Job.Status.DONE, JobSpec.MAX_TASKS)));
+            segment = segment.with(Map.of(i, new TerminatedJob(Job.Status.DONE, JobSpec.MAX_TASKS)));
         }
         assertTrue(
                 Json.bytes(segment.json()).length <= Segment.MOST_BYTES, "bytes " + Json.bytes(segment.json()).length);
@@ -58,28 +58,29 @@
 
     @Test
     void anEndStaysAsItIs() {
-        Segment segment = Segment.EMPTY.with(Map.of(7, new Ended(Job.Status.DONE, 3)));
-        assertEquals(segment, segment.with(Map.of(7, new Ended(Job.Status.DONE, 3))));
-        assertThrows(IllegalStateException.class, () -> segment.with(Map.of(7, new Ended(Job.Status.CANCELLED, 0))));
+        Segment segment = Segment.EMPTY.with(Map.of(7, new TerminatedJob(Job.Status.DONE, 3)));
+        assertEquals(segment, segment.with(Map.of(7, new TerminatedJob(Job.Status.DONE, 3))));
+        assertThrows(
+                IllegalStateException.class, () -> segment.with(Map.of(7, new TerminatedJob(Job.Status.CANCELLED, 0))));
     }
 
     /** Any single byte that is wrong is noticed: a damaged segment may not be read as one with fewer jobs. */
     @Test
-    void damageIsNoticed() throws BadMessage {
-        Segment segment =
-                Segment.EMPTY.with(Map.of(0, new Ended(Job.Status.DONE, 300), 9, new Ended(Job.Status.CANCELLED, 0)));
+    void damageIsNoticed() throws InvalidMessageException {
+        Segment segment = Segment.EMPTY.with(
+                Map.of(0, new TerminatedJob(Job.Status.DONE, 300), 9, new TerminatedJob(Job.Status.CANCELLED, 0)));
         byte[] whole = Base64.getDecoder().decode(Json.text(segment.json(), "ended"));
         for (int i = 0; i < whole.length; i++) {
             byte[] damaged = whole.clone();
             damaged[i] ^= 0x10;
-            assertThrows(BadMessage.class, () -> Segment.read(value(damaged)));
+            assertThrows(InvalidMessageException.class, () -> Segment.read(value(damaged)));
         }
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = java.util.Arrays.copyOf(whole, length);
-            assertThrows(BadMessage.class, () -> Segment.read(value(cut)));
+            assertThrows(InvalidMessageException.class, () -> Segment.read(value(cut)));
         }
         for (JsonNode odd : new JsonNode[] {null, Json.object(), Json.object().put("ended", "?"), Json.array()}) {
-            assertThrows(BadMessage.class, () -> Segment.read(odd));
+            assertThrows(InvalidMessageException.class, () -> Segment.read(odd));
         }
         assertEquals(segment, Segment.read(segment.json()));
     }
@@ -91,7 +92,7 @@
     /** Names that look alike are different jobs, and none shares a place with another. */
     @Test
     void noTwoIdsShareAPlace() {
-        Set<Place> places = new HashSet<>();
+        Set<SegmentAddress> places = new HashSet<>();
         String[] ids = {
             "job-000412",
             "job-0000412",
@@ -108,13 +109,14 @@
             "job-٠٠٠٤١٢"
         };
         for (String id : ids) {
-            assertTrue(places.add(Place.of(id)), id);
+            assertTrue(places.add(SegmentAddress.of(id)), id);
         }
-        assertEquals(new Place(Place.ROOT + "0", 412), Place.of("job-000412"));
-        assertEquals(new Place(Place.ROOT + "1953", 1_000_412 % 512), Place.of("job-1000412"));
+        assertEquals(new SegmentAddress(SegmentAddress.ROOT + "0", 412), SegmentAddress.of("job-000412"));
+        assertEquals(
+                new SegmentAddress(SegmentAddress.ROOT + "1953", 1_000_412 % 512), SegmentAddress.of("job-1000412"));
         for (int n = 0; n < 3_000; n++) {
-            Place place = Place.of(String.format("job-%06d", n + 998_500));
-            assertEquals((n + 998_500) / 512, Long.parseLong(place.key().substring(Place.ROOT.length())));
+            SegmentAddress place = SegmentAddress.of(String.format("job-%06d", n + 998_500));
+            assertEquals((n + 998_500) / 512, Long.parseLong(place.key().substring(SegmentAddress.ROOT.length())));
             assertEquals((n + 998_500) % 512, place.offset());
         }
         assertNull(Segment.EMPTY.get(5));
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -124,7 +124,7 @@
     /** Looks up what a table does not keep, as the controllers do. */
     private void resolve(JobTable table) {
         for (String id : table.unresolved()) {
-            Ended ended = model.keys.containsKey(id) ? JobTable.ended(model.keys.get(id)) : null;
+            TerminatedJob ended = model.keys.containsKey(id) ? JobTable.ended(model.keys.get(id)) : null;
             table.resolved(id, ended != null ? ended.how() : model.history.get(id), model.revision);
         }
     }
--- a/controller/src/test/java/org/landingridge/controller/configuration/ConfigurationViewTest.java
+++ b/controller/src/test/java/org/landingridge/controller/liveconfig/ConfigurationViewTest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.configuration;
+package org.landingridge.controller.liveconfig;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.Json;
 
 class ConfigurationViewTest {
--- a/controller/src/test/java/org/landingridge/controller/peer/RelayTest.java
+++ b/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
@@ -7,12 +7,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
 
-class RelayTest {
+class HeartbeatForwarderTest {
     /** A clock that stands; nothing that is put off ever happens. */
-    private static final Loop LOOP = new Loop() {
+    private static final EventLoop LOOP = new EventLoop() {
         @Override
         public long now() {
             return 1_000;
@@ -34,11 +34,12 @@
         }
     };
 
-    private final List<Message> sent = new ArrayList<>();
+    private final List<PeerMessage> sent = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
 
-    private Relay life(long seed) {
-        Relay relay = new Relay(LOOP, (host, message) -> sent.add(message), new SplittableRandom(seed), "rig-1", 100);
+    private HeartbeatForwarder life(long seed) {
+        HeartbeatForwarder relay = new HeartbeatForwarder(
+                LOOP, (host, message) -> sent.add(message), new SplittableRandom(seed), "rig-1", 100);
         relay.heard("rig-0");
         return relay;
     }
@@ -71,11 +72,11 @@
     @DisplayName("an answer to a report that the former life carried is not handed to another machine")
     void answerForTheFormerLife() {
         life(1).report("rig-0", report("m-1"));
-        Relay present = life(2);
+        HeartbeatForwarder present = life(2);
         present.report("rig-0", report("m-2"));
-        for (Message m : sent) {
-            Message.Report carried = (Message.Report) m;
-            present.answered(new Message.Answer(
+        for (PeerMessage m : sent) {
+            PeerMessage.Heartbeat carried = (PeerMessage.Heartbeat) m;
+            present.answered(new PeerMessage.Answer(
                     "rig-0", carried.number(), 200, ("that of " + new String(carried.body())).getBytes()));
         }
         assertEquals(List.of("m-2 gets that of m-2"), answers);
--- /dev/null
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -0,0 +1,31 @@
+package org.landingridge.controller.recovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.landingridge.controller.recovery.ObservationWindow.State.COMPLETE;
+import static org.landingridge.controller.recovery.ObservationWindow.State.GATHERING;
+
+import org.junit.jupiter.api.Test;
+
+class ObservationWindowTest {
+    private final ObservationWindow observationWindow = new ObservationWindow(10_000, 7_000);
+
+    @Test
+    void isCompleteOnceAListWasReadAndNobodyUnknownTurnedUpForASecond() {
+        observationWindow.newcomer(10_800);
+        assertEquals(GATHERING, observationWindow.state(11_900), "no list yet");
+        observationWindow.listed();
+        assertEquals(COMPLETE, observationWindow.state(11_900));
+        observationWindow.newcomer(12_000);
+        assertEquals(COMPLETE, observationWindow.state(12_001), "it stays so");
+    }
+
+    @Test
+    void waitsWhileMachinesTurnUpButNotForEver() {
+        observationWindow.listed();
+        for (long at = 10_000; at < 16_000; at += 900) {
+            observationWindow.newcomer(at);
+            assertEquals(GATHERING, observationWindow.state(at + 899));
+        }
+        assertEquals(COMPLETE, observationWindow.state(17_000));
+    }
+}
--- a/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
@@ -70,8 +70,7 @@
         return value instanceof Boolean b ? b ? "yes" : "no" : value.toString();
     }
 
-    private static <R extends Record> void matches(
-            String heading, Class<R> type, Function<R, Judgement> judge, int many)
+    private static <R extends Record> void matches(String heading, Class<R> type, Function<R, Decision> judge, int many)
             throws IOException, ReflectiveOperationException {
         List<String[]> lines = table(heading);
         RecordComponent[] parts = type.getRecordComponents();
@@ -93,10 +92,10 @@
             }
             assertTrue(first != null, () -> "no line for " + evidence);
             used.add(first);
-            Judgement judgement = judge.apply(evidence);
+            Decision decision = judge.apply(evidence);
             assertEquals(
                     first[parts.length] + " " + first[parts.length + 1],
-                    judgement.verdict() + " " + judgement.cause(),
+                    decision.verdict() + " " + decision.cause(),
                     evidence.toString());
         }
         assertEquals(lines.size(), used.size(), "lines of " + heading + " that something fits");
@@ -130,12 +129,12 @@
     @DisplayName("nothing that may be on a machine is placed or given up before its lease or the cloud's word")
     void nothingIsPlacedOnASilence() throws ReflectiveOperationException {
         for (MachineEvidence e : all(MachineEvidence.class)) {
-            if (Reconciliation.machine(e).is(Verdict.PLACE)) {
+            if (Reconciliation.machine(e).is(Action.PLACE)) {
                 assertTrue(e.leaseOver(), e.toString());
             }
         }
         for (TaskEvidence e : all(TaskEvidence.class)) {
-            if (Reconciliation.task(e).is(Verdict.PLACE)) {
+            if (Reconciliation.task(e).is(Action.PLACE)) {
                 assertTrue(e.own() || e.accounted() || !e.held(), e.toString());
             }
         }
--- a/controller/src/test/java/org/landingridge/controller/sched/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.sched;
+package org.landingridge.controller.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -51,9 +51,9 @@
     private static Scheduler.Input world(long seed) {
         Random r = new Random(seed);
         List<Team> teams = List.of(new Team(8, r.nextBoolean() ? 16 : 0, 0, 0), new Team(4, 12, 0, 0));
-        List<Node> nodes = new ArrayList<>();
+        List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < 1 + r.nextInt(8); i++) {
-            Node n = new Node(
+            CandidateNode n = new CandidateNode(
                     T4,
                     r.nextBoolean() ? "a" : "b",
                     r.nextInt(3) == 0,
@@ -63,15 +63,15 @@
             for (int k = r.nextInt(4); n.up && k > 0; k--) {
                 int team = r.nextInt(2);
                 JobSpec s = spec(900 + k, r.nextInt(4) == 0, Priority.values()[r.nextInt(3)], 1, 1, true, false, false);
-                n.add(new Node.Running(s, team, "a" + i + k, r.nextInt(1000), r.nextInt(5) == 0));
+                n.add(new CandidateNode.Running(s, team, "a" + i + k, r.nextInt(1000), r.nextInt(5) == 0));
                 teams.get(team).usedCpus += 1;
             }
             nodes.add(n);
         }
-        List<Group> groups = new ArrayList<>();
+        List<TaskGroup> groups = new ArrayList<>();
         for (int i = 0; i < r.nextInt(6); i++) {
             int tasks = 1 + r.nextInt(6);
-            groups.add(new Group(
+            groups.add(new TaskGroup(
                     spec(
                             i,
                             r.nextInt(3) == 0,
@@ -89,20 +89,20 @@
         return new Scheduler.Input(2_000, nodes, groups, teams, List.of(T4), new HashMap<>(), null, 1_000, 0);
     }
 
-    private static double free(Node n) {
+    private static double free(CandidateNode n) {
         double used = 0;
-        for (Node.Running r : n.running) {
+        for (CandidateNode.Running r : n.running) {
             used += r.spec.cpus();
         }
         return n.type.cpus() - used;
     }
 
     /** The model: everything is recounted from scratch, nothing is kept up to date. */
-    private static void check(Scheduler.Input before, Scheduler.Input in, Plan plan) {
-        Map<Node, Double> taken = new LinkedHashMap<>();
-        Map<Group, Map<String, Integer>> zones = new LinkedHashMap<>();
+    private static void check(Scheduler.Input before, Scheduler.Input in, SchedulingPlan plan) {
+        Map<CandidateNode, Double> taken = new LinkedHashMap<>();
+        Map<TaskGroup, Map<String, Integer>> zones = new LinkedHashMap<>();
         double[] team = {before.teams().get(0).usedCpus, before.teams().get(1).usedCpus};
-        for (Plan.Placement p : plan.placements) {
+        for (SchedulingPlan.Placement p : plan.placements) {
             JobSpec s = p.group().spec;
             taken.merge(p.node(), s.cpus(), Double::sum);
             zones.computeIfAbsent(p.group(), g -> new HashMap<>()).merge(p.node().zone, 1, Integer::sum);
@@ -123,18 +123,18 @@
             assertTrue(max <= 0 || team[t] <= Math.max(max, before.teams().get(t).usedCpus) + 1e-6, "team limit");
         }
         // Nothing is left waiting beside room that it may use at once.
-        Map<Group, Integer> placed = new HashMap<>();
+        Map<TaskGroup, Integer> placed = new HashMap<>();
         plan.placements.forEach(p -> placed.merge(p.group(), 1, Integer::sum));
         if (plan.stops.isEmpty() && plan.unplaced > 0) {
             for (int i = 0; i < in.groups().size(); i++) {
-                Group g = in.groups().get(i);
+                TaskGroup g = in.groups().get(i);
                 int left = before.groups().get(i).waiting - placed.getOrDefault(g, 0);
                 double max = in.teams().get(g.team).cpusMax;
                 boolean limited = max > 0 && in.teams().get(g.team).usedCpus + g.spec.cpus() > max + 1e-6;
                 if (left == 0 || limited || g.spec.oneZone() || g.spec.spread()) {
                     continue;
                 }
-                for (Node n : in.nodes()) {
+                for (CandidateNode n : in.nodes()) {
                     boolean may = n.up
                             && (!n.spot || g.spec.spot())
                             && (g.spec.zone() == null || g.spec.zone().equals(n.zone));
@@ -144,9 +144,9 @@
                 }
             }
         }
-        for (Node.Running r : plan.stops) {
+        for (CandidateNode.Running r : plan.stops) {
             boolean allowed = false;
-            for (Group g : in.groups()) {
+            for (TaskGroup g : in.groups()) {
                 allowed |= r.spec.priority().compareTo(g.spec.priority()) < 0
                         || r.team != g.team && r.spec.priority().compareTo(g.spec.priority()) == 0;
             }
@@ -167,8 +167,8 @@
     @Test
     void theSameInputGivesTheSamePlan() {
         for (long seed = 0; seed < 200; seed++) {
-            Plan a = Scheduler.plan(world(seed));
-            Plan b = Scheduler.plan(world(seed));
+            SchedulingPlan a = Scheduler.plan(world(seed));
+            SchedulingPlan b = Scheduler.plan(world(seed));
             assertEquals(
                     a.placements.stream()
                             .map(p -> p.group().job + "@" + p.node().machine)
@@ -180,7 +180,7 @@
         }
     }
 
-    private static Scheduler.Input one(Group g, List<Node> nodes) {
+    private static Scheduler.Input one(TaskGroup g, List<CandidateNode> nodes) {
         return new Scheduler.Input(
                 1_000_000,
                 nodes,
@@ -195,35 +195,37 @@
 
     @Test
     void tasksThatCanRunInTurnShareAMachine() {
-        Group g = new Group(spec(1, false, Priority.NORMAL, 6, 4, false, false, false), "j", 1, 0, 6);
+        TaskGroup g = new TaskGroup(spec(1, false, Priority.NORMAL, 6, 4, false, false, false), "j", 1, 0, 6);
         g.runS = 30;
         g.due = 1_000_000 + 200_000;
-        Plan plan = Scheduler.plan(one(g, List.of()));
-        int machines = plan.rents.stream().mapToInt(Plan.Rent::count).sum();
+        SchedulingPlan plan = Scheduler.plan(one(g, List.of()));
+        int machines = plan.rents.stream().mapToInt(SchedulingPlan.Rent::count).sum();
         assertEquals(2, machines, "six tasks of 30 s in two rows of three before 200 s are over");
         g.waiting = 6;
         g.due = 1_000_000 + 60_000;
         assertEquals(
                 6,
                 Scheduler.plan(one(g, List.of())).rents.stream()
-                        .mapToInt(Plan.Rent::count)
+                        .mapToInt(SchedulingPlan.Rent::count)
                         .sum());
     }
 
     @Test
     void aServiceMakesRoomWhereItsImageIs() {
-        Group g = new Group(spec(1, true, Priority.HIGH, 1, 1, false, false, false), "j", 1, 0, 1);
+        TaskGroup g = new TaskGroup(spec(1, true, Priority.HIGH, 1, 1, false, false, false), "j", 1, 0, 1);
         g.startWithinS = 1;
-        Node empty = new Node(T4, "a", false, "empty", true, Set.of());
-        Node full = new Node(T4, "a", false, "full", true, Set.of("img-1"));
-        full.add(new Node.Running(spec(9, false, Priority.NORMAL, 1, 4, false, false, false), 0, "victim", 5, false));
-        Plan plan = Scheduler.plan(one(g, List.of(empty, full)));
+        CandidateNode empty = new CandidateNode(T4, "a", false, "empty", true, Set.of());
+        CandidateNode full = new CandidateNode(T4, "a", false, "full", true, Set.of("img-1"));
+        full.add(new CandidateNode.Running(
+                spec(9, false, Priority.NORMAL, 1, 4, false, false, false), 0, "victim", 5, false));
+        SchedulingPlan plan = Scheduler.plan(one(g, List.of(empty, full)));
         assertEquals(List.of("victim"), plan.stops.stream().map(r -> r.attempt).toList());
         assertTrue(plan.placements.isEmpty());
     }
 
-    private static Group due(int n, int tasks, double runS, double dueS) {
-        Group g = new Group(spec(n, false, Priority.NORMAL, tasks, 4, false, false, false), "j" + n, n, 0, tasks);
+    private static TaskGroup due(int n, int tasks, double runS, double dueS) {
+        TaskGroup g =
+                new TaskGroup(spec(n, false, Priority.NORMAL, tasks, 4, false, false, false), "j" + n, n, 0, tasks);
         g.runS = runS;
         g.lastS = runS;
         g.due = Math.round(dueS * 1000);
@@ -232,8 +234,8 @@
         return g;
     }
 
-    private static List<Object> first(Group... groups) {
-        Node n = new Node(T4, "a", false, "m", true, Set.of());
+    private static List<Object> first(TaskGroup... groups) {
+        CandidateNode n = new CandidateNode(T4, "a", false, "m", true, Set.of());
         return Scheduler.plan(new Scheduler.Input(
                         0,
                         List.of(n),
@@ -260,25 +262,25 @@
 
     @Test
     void noTeamIsBroughtBelowItsGuaranteeForAnothers() {
-        List<Node> nodes = new ArrayList<>();
+        List<CandidateNode> nodes = new ArrayList<>();
         Team lender = new Team(8, 0, 0, 0);
         Team owner = new Team(8, 0, 0, 0);
         for (int i = 0; i < 3; i++) {
-            Node n = new Node(T4, "a", false, "m" + i, true, Set.of());
-            n.add(new Node.Running(
+            CandidateNode n = new CandidateNode(T4, "a", false, "m" + i, true, Set.of());
+            n.add(new CandidateNode.Running(
                     spec(900 + i, false, Priority.NORMAL, 1, 4, false, false, false), 0, "a" + i, i, false));
             lender.usedCpus += 4;
             nodes.add(n);
         }
-        Group g = new Group(spec(1, false, Priority.NORMAL, 2, 4, false, false, false), "j", 1, 1, 2);
-        Plan plan = Scheduler.plan(new Scheduler.Input(
+        TaskGroup g = new TaskGroup(spec(1, false, Priority.NORMAL, 2, 4, false, false, false), "j", 1, 1, 2);
+        SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 2_000, nodes, List.of(g), List.of(lender, owner), List.of(T4), new HashMap<>(), null, 60_000, 0));
         assertEquals(1, plan.stops.size(), "twelve processors in use, eight guaranteed: four are borrowed");
         assertEquals(1, plan.unplaced);
     }
 
     /** A task of one processor on a node, {@code ranS} seconds old, that can save if {@code saves}. */
-    private static Node.Running old(int n, double ranS, double leftS, boolean saves) {
+    private static CandidateNode.Running old(int n, double ranS, double leftS, boolean saves) {
         JobSpec s = spec(n, false, Priority.NORMAL, 1, 1, true, false, false);
         JobSpec saving = new JobSpec(
                 s.id(),
@@ -301,16 +303,16 @@
                 saves ? 15 : 0,
                 saves ? 3 : 0,
                 null);
-        Node.Running r = new Node.Running(saving, 0, "a" + n, 0, false);
+        CandidateNode.Running r = new CandidateNode.Running(saving, 0, "a" + n, 0, false);
         r.ranS = ranS;
         r.leftS = leftS;
         return r;
     }
 
-    private static List<Object> vacated(Node.Running onDear, double standing, Group... waiting) {
-        Node dear = new Node(T4, "a", false, "dear", true, Set.of());
+    private static List<Object> vacated(CandidateNode.Running onDear, double standing, TaskGroup... waiting) {
+        CandidateNode dear = new CandidateNode(T4, "a", false, "dear", true, Set.of());
         dear.add(onDear);
-        Node cheap = new Node(T4, "a", true, "cheap", true, Set.of());
+        CandidateNode cheap = new CandidateNode(T4, "a", true, "cheap", true, Set.of());
         cheap.add(old(902, 50, 100, true));
         return Scheduler.plan(new Scheduler.Input(
                         0,
@@ -332,13 +334,14 @@
     @Test
     void oneNodeMakesRoomForSeveralTasks() {
         List<Team> teams = List.of(new Team(8, 0, 0, 0), new Team(0, 0, 0, 0));
-        Node n = new Node(T4, "a", false, "m", true, Set.of());
+        CandidateNode n = new CandidateNode(T4, "a", false, "m", true, Set.of());
         for (int i = 0; i < 4; i++) {
-            n.add(new Node.Running(spec(90 + i, false, Priority.LOW, 1, 1, true, false, false), 1, "a" + i, i, false));
+            n.add(new CandidateNode.Running(
+                    spec(90 + i, false, Priority.LOW, 1, 1, true, false, false), 1, "a" + i, i, false));
             teams.get(1).usedCpus += 1;
         }
-        Group g = new Group(spec(2, false, Priority.HIGH, 2, 2, false, false, false), "j", 1, 0, 2);
-        Plan plan = Scheduler.plan(new Scheduler.Input(
+        TaskGroup g = new TaskGroup(spec(2, false, Priority.HIGH, 2, 2, false, false, false), "j", 1, 0, 2);
+        SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 2_000, List.of(n), List.of(g), teams, List.of(T4), new HashMap<>(), null, 1_000, 0));
         assertEquals(4, plan.stops.size());
         assertEquals(0, plan.unplaced);
@@ -351,19 +354,19 @@
         assertEquals(List.of(), vacated(old(901, 10, 60, true), 0), "it has only just begun");
         assertEquals(List.of(), vacated(old(901, 50, 8, true), 0), "it is nearly over");
         assertEquals(List.of(), vacated(old(901, 50, 60, true), 6), "both machines' room was asked for lately");
-        Group g = new Group(spec(1, false, Priority.NORMAL, 9, 4, false, false, false), "j", 1, 0, 9);
+        TaskGroup g = new TaskGroup(spec(1, false, Priority.NORMAL, 9, 4, false, false, false), "j", 1, 0, 9);
         assertEquals(List.of(), vacated(old(901, 50, 60, true), 0, g), "work waits");
     }
 
     @Test
     void dearIdleMachinesGoFirstUnlessTheirRoomWasAskedForLately() {
         for (boolean spot : new boolean[] {false, true}) {
-            Node idle = new Node(T4, "a", spot, "idle", true, Set.of());
+            CandidateNode idle = new CandidateNode(T4, "a", spot, "idle", true, Set.of());
             idle.idleMs = 5_000;
-            Node other = new Node(T4, "a", true, "other", true, Set.of());
+            CandidateNode other = new CandidateNode(T4, "a", true, "other", true, Set.of());
             other.add(old(902, 50, 100, false));
             for (double standing : new double[] {0, 6}) {
-                Plan plan = Scheduler.plan(new Scheduler.Input(
+                SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                         0,
                         List.of(idle, other),
                         List.of(),
@@ -380,11 +383,11 @@
 
     /** Machines rented for a queue of 20 jobs that can wait, the cheap pool being full or not. */
     private static Map<Boolean, Integer> rented(double dueS, boolean cheapFull) {
-        List<Group> queue = new ArrayList<>();
+        List<TaskGroup> queue = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            Group g = due(10 * i + 1, 4, 20, dueS);
+            TaskGroup g = due(10 * i + 1, 4, 20, dueS);
             JobSpec s = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
-            Group spot = new Group(s, g.job, g.order, 0, 4);
+            TaskGroup spot = new TaskGroup(s, g.job, g.order, 0, 4);
             spot.runS = g.runS;
             spot.lastS = g.lastS;
             spot.due = g.due;
@@ -393,10 +396,11 @@
             spot.patient = true;
             queue.add(spot);
         }
-        List<Node> nodes = new ArrayList<>();
+        List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            Node n = new Node(T4, "a", true, "m" + i, true, Set.of());
-            n.add(new Node.Running(spec(900, false, Priority.NORMAL, 1, 4, true, false, false), 0, i, 0, false));
+            CandidateNode n = new CandidateNode(T4, "a", true, "m" + i, true, Set.of());
+            n.add(new CandidateNode.Running(
+                    spec(900, false, Priority.NORMAL, 1, 4, true, false, false), 0, i, 0, false));
             nodes.add(n);
         }
         Map<String, Long> full = new HashMap<>();
@@ -422,19 +426,21 @@
 
     /** Looks at nodes in a pass over a full fleet, with this many tasks waiting in each of ten jobs. */
     private static long steps(int machines, int tasks) {
-        List<Node> nodes = new ArrayList<>();
+        List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
-            Node n = new Node(T4, "a", false, "m" + i, true, Set.of());
+            CandidateNode n = new CandidateNode(T4, "a", false, "m" + i, true, Set.of());
             if (i % 10 > 0) {
-                n.add(new Node.Running(spec(900, false, Priority.NORMAL, 1, 4, false, false, false), 0, i, 0, false));
+                n.add(new CandidateNode.Running(
+                        spec(900, false, Priority.NORMAL, 1, 4, false, false, false), 0, i, 0, false));
             }
             nodes.add(n);
         }
-        List<Group> groups = new ArrayList<>();
+        List<TaskGroup> groups = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            groups.add(new Group(spec(i, false, Priority.NORMAL, tasks, 4, true, false, false), "j" + i, i, 0, tasks));
+            groups.add(
+                    new TaskGroup(spec(i, false, Priority.NORMAL, tasks, 4, true, false, false), "j" + i, i, 0, tasks));
         }
-        Plan plan = Scheduler.plan(new Scheduler.Input(
+        SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 0, nodes, groups, List.of(new Team(0, 0, 0, 0)), List.of(T4), new HashMap<>(), null, 60_000, 0));
         assertEquals(Math.min(10 * tasks, machines / 10), plan.placements.size());
         assertTrue(plan.rents.stream().allMatch(r -> r.count() <= 50), "a request asks for 50 machines at most");
@@ -450,16 +456,16 @@
     }
 
     /** One free node, or two, a service's task that a census holds up, and an array that would take all of the room. */
-    private static Plan besideHeld(boolean unheard, Priority arrays) {
-        List<Node> nodes = new ArrayList<>(List.of(new Node(T4, "a", false, "up", true, Set.of())));
+    private static SchedulingPlan besideHeld(boolean unheard, Priority arrays) {
+        List<CandidateNode> nodes = new ArrayList<>(List.of(new CandidateNode(T4, "a", false, "up", true, Set.of())));
         if (unheard) {
-            Node n = new Node(T4, "b", false, "unheard", false, Set.of());
+            CandidateNode n = new CandidateNode(T4, "b", false, "unheard", false, Set.of());
             n.unheard = true;
             nodes.add(n);
         }
-        Group service = new Group(spec(1, true, Priority.HIGH, 1, 3, false, false, false), "s", 0, 0, 0);
+        TaskGroup service = new TaskGroup(spec(1, true, Priority.HIGH, 1, 3, false, false, false), "s", 0, 0, 0);
         service.held = 1;
-        Group array = new Group(spec(2, false, arrays, 4, 1, false, false, false), "a", 1, 0, 4);
+        TaskGroup array = new TaskGroup(spec(2, false, arrays, 4, 1, false, false, false), "a", 1, 0, 4);
         return Scheduler.plan(new Scheduler.Input(
                 2_000,
                 nodes,
--- a/controller/src/test/java/org/landingridge/controller/config/SettingsTest.java
+++ b/controller/src/test/java/org/landingridge/controller/settings/SettingsTest.java
@@ -1,4 +1,4 @@
-package org.landingridge.controller.config;
+package org.landingridge.controller.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -70,7 +70,7 @@
     })
     void aWrongFieldIsNamedWithItsFile(String from, String to, String field) throws IOException {
         Path file = file(GOOD.replaceFirst(java.util.regex.Pattern.quote(from), to));
-        BadSettings e = assertThrows(BadSettings.class, () -> Settings.read(file));
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> Settings.read(file));
         assertTrue(e.getMessage().startsWith(file.toString()) && e.getMessage().contains(field), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
     }
@@ -83,7 +83,7 @@
     })
     void whatStandsTwiceIsNamed(String from, String to, String field) throws IOException {
         Path file = file(GOOD.replaceFirst(java.util.regex.Pattern.quote(from), to.replace("\\n", "\n")));
-        BadSettings e = assertThrows(BadSettings.class, () -> Settings.read(file));
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> Settings.read(file));
         assertTrue(e.getMessage().contains(field) && e.getMessage().contains("twice"), e.getMessage());
     }
 
@@ -91,8 +91,8 @@
     void operatorsSettingsAreCheckedAgainstTheSchema() throws Exception {
         assertEquals(12, Policy.read(file("{\"idleS\": 12}")).idleS());
         assertEquals(Policy.DEFAULT.leaderHoldS(), Policy.read(file("{}")).leaderHoldS());
-        assertThrows(BadSettings.class, () -> Policy.read(file("{\"idle\": 12}")));
-        assertThrows(BadSettings.class, () -> Policy.read(file("{\"idleS\": -1}")));
-        assertThrows(BadSettings.class, () -> Policy.read(file("no json")));
+        assertThrows(InvalidSettingsException.class, () -> Policy.read(file("{\"idle\": 12}")));
+        assertThrows(InvalidSettingsException.class, () -> Policy.read(file("{\"idleS\": -1}")));
+        assertThrows(InvalidSettingsException.class, () -> Policy.read(file("no json")));
     }
 }
--- a/emulator/src/main/java/org/landingridge/emulator/Cloud.java
+++ b/emulator/src/main/java/org/landingridge/emulator/EmulatedCloud.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http.Exchange;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.Json;
 
 /** A stand-in for the cloud: rents by booking, lists with a lag, boots workers. */
-public final class Cloud implements Server {
+public final class EmulatedCloud implements Server {
     /** What the one type of machines is, and how the cloud behaves. */
     public record Offer(String type, double cpus, double memoryGb, List<String> zones, long bootMs, long listLagMs) {}
 
@@ -51,11 +51,11 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final RandomGenerator random;
     private final Offer offer;
     private final Machines machines;
-    private final Truth truth;
+    private final GroundTruth truth;
     private final Map<String, List<String>> bookings = new HashMap<>();
     public final TreeMap<String, Box> boxes = new TreeMap<>();
     private final List<Map.Entry<Long, ArrayNode>> lists = new ArrayList<>();
@@ -71,7 +71,7 @@
 
     private int names;
 
-    public Cloud(Loop loop, RandomGenerator random, Offer offer, Machines machines, Truth truth) {
+    public EmulatedCloud(EventLoop loop, RandomGenerator random, Offer offer, Machines machines, GroundTruth truth) {
         this.loop = loop;
         this.random = random;
         this.offer = offer;
@@ -200,8 +200,8 @@
                 }
                 bookings.put(booking, made);
             }
-            made.forEach(id ->
-                    truth.ordered(Truth.Order.RENT, id, null, boxes.get(id).pool(), repeated));
+            made.forEach(id -> truth.ordered(
+                    GroundTruth.Order.RENT, id, null, boxes.get(id).pool(), repeated));
             ObjectNode n = Json.object();
             made.forEach(n.putArray("boxes")::add);
             x.answer(200, Json.bytes(n));
@@ -209,7 +209,7 @@
             body.get("boxes").forEach(b -> {
                 Box box = boxes.get(b.textValue());
                 if (box != null) {
-                    truth.ordered(Truth.Order.GIVE_BACK, box.id, null, box.pool(), box.deleted);
+                    truth.ordered(GroundTruth.Order.GIVE_BACK, box.id, null, box.pool(), box.deleted);
                 }
                 delete(b.textValue());
             });
--- a/emulator/src/main/java/org/landingridge/emulator/StateService.java
+++ b/emulator/src/main/java/org/landingridge/emulator/EmulatedStateService.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http.Exchange;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.Json;
 
 /** A stand-in for the state service, written from its protocol. */
-public final class StateService implements Server {
+public final class EmulatedStateService implements Server {
     /** An answer holds no more entries, and no more bytes, than this. */
     private static final int PAGE_ENTRIES = 1_000;
 
@@ -53,15 +53,15 @@
 
     private record Watch(String client, String prefix, long after, Exchange exchange) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final TreeMap<String, Entry> keys = new TreeMap<>();
     private final List<Change> log = new ArrayList<>();
     private final Map<Long, Long> leases = new HashMap<>();
     private final Map<Long, Long> lives = new HashMap<>();
     /** Open watches, with the timers that end them. */
-    private final Map<Watch, Loop.Timer> watches = new LinkedHashMap<>();
+    private final Map<Watch, EventLoop.Timer> watches = new LinkedHashMap<>();
 
-    private final Shelf shelf;
+    private final FileStore shelf;
     private long revision;
     private long nextLease;
     /** Changes up to this revision are forgotten: a watch from before it is too old. */
@@ -109,12 +109,12 @@
     private double writesLeft;
     private long refilled;
 
-    public StateService(Loop loop) {
+    public EmulatedStateService(EventLoop loop) {
         this(loop, null);
     }
 
     /** @param shelf where everything is kept beyond this process, or null */
-    public StateService(Loop loop, Shelf shelf) {
+    public EmulatedStateService(EventLoop loop, FileStore shelf) {
         this.loop = loop;
         this.shelf = shelf;
         if (shelf != null) {
@@ -157,7 +157,7 @@
 
     /** Ends all watches without an answer, as the death of those who watch would. */
     public void dropWatches() {
-        watches.values().forEach(Loop.Timer::cancel);
+        watches.values().forEach(EventLoop.Timer::cancel);
         watches.clear();
     }
 
--- a/emulator/src/main/java/org/landingridge/emulator/Worker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/EmulatedWorker.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
 import org.landingridge.net.Http.Exchange;
-import org.landingridge.net.Loop;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
 /** A stand-in for a worker: reports, executes commands, keeps its lease. */
-public final class Worker implements Server {
+public final class EmulatedWorker implements Server {
     private static final class Run {
         String status = "pulling";
         String why;
@@ -27,16 +27,17 @@
     }
 
     /** What the worker is told at its start. */
-    public record Config(String addr, String type, double cpus, long reportMs, long leaseMs, List<Node> nodes) {}
+    public record Config(
+            String addr, String type, double cpus, long reportMs, long leaseMs, List<ControllerAddress> nodes) {}
 
     /** A controller, by its name and by the address that it serves on. */
-    public record Node(String host, String addr) {}
+    public record ControllerAddress(String host, String addr) {}
 
     private final Config config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Http http;
-    private final Truth truth;
-    private final Cloud.Box box;
+    private final GroundTruth truth;
+    private final EmulatedCloud.Box box;
     private boolean dead;
     private final Map<String, Run> tasks = new LinkedHashMap<>();
     private final Set<String> images = new HashSet<>();
@@ -52,7 +53,13 @@
     private boolean faulty;
     private final List<Runnable> whileHanging = new ArrayList<>();
 
-    public Worker(Config config, Loop loop, Http http, RandomGenerator random, Truth truth, Cloud.Box box) {
+    public EmulatedWorker(
+            Config config,
+            EventLoop loop,
+            Http http,
+            RandomGenerator random,
+            GroundTruth truth,
+            EmulatedCloud.Box box) {
         this.config = config;
         this.loop = loop;
         this.http = http;
@@ -82,7 +89,7 @@
         return images.size();
     }
 
-    public Cloud.Box box() {
+    public EmulatedCloud.Box box() {
         return box;
     }
 
@@ -240,13 +247,17 @@
             String name = c.get("take").textValue() + "#" + c.get("try").longValue();
             switch (c.get("cue").textValue()) {
                 case "start" -> {
-                    truth.ordered(Truth.Order.START, box.id, name, box.pool(), tasks.containsKey(name));
+                    truth.ordered(GroundTruth.Order.START, box.id, name, box.pool(), tasks.containsKey(name));
                     start(name);
                 }
                 case "halt" -> {
                     Run run = tasks.get(name);
                     truth.ordered(
-                            Truth.Order.STOP, box.id, name, box.pool(), run == null || run.status.equals("ended"));
+                            GroundTruth.Order.STOP,
+                            box.id,
+                            name,
+                            box.pool(),
+                            run == null || run.status.equals("ended"));
                     if (run != null && !run.status.equals("ended")) {
                         save(name, run, c.path("wrapupS").doubleValue());
                         over(name, run, "halted");
@@ -254,7 +265,7 @@
                 }
                 case "clear" -> {
                     Run run = tasks.get(name);
-                    truth.ordered(Truth.Order.CLEAR, box.id, name, box.pool(), run == null);
+                    truth.ordered(GroundTruth.Order.CLEAR, box.id, name, box.pool(), run == null);
                     if (run != null && run.status.equals("ended")) {
                         tasks.remove(name);
                     }
@@ -363,7 +374,7 @@
             token = given;
             changed = true;
         }
-        truth.ordered(Truth.Order.CALL, box.id, null, box.pool(), false);
+        truth.ordered(GroundTruth.Order.CALL, box.id, null, box.pool(), false);
         if (valid) {
             execute(body.get("cues"));
         }
--- a/emulator/src/main/java/org/landingridge/emulator/Shelf.java
+++ b/emulator/src/main/java/org/landingridge/emulator/FileStore.java
@@ -8,7 +8,7 @@
 import org.landingridge.wire.Json;
 
 /** Keeps the stand-in state service in a file (H2's MVStore), so that it goes on where it was after a kill. */
-public final class Shelf implements AutoCloseable {
+public final class FileStore implements AutoCloseable {
     private static final String REVISION = "revision";
     private final MVStore store;
     private final MVMap<String, String> values;
@@ -18,7 +18,7 @@
     private final MVMap<String, Long> meta;
 
     /** @param file created where it is missing; a second process on the same file is refused by the store's lock */
-    public Shelf(Path file) {
+    public FileStore(Path file) {
         // Writes of a stopped process are lost back to the last commit of the store, never half applied.
         store = new MVStore.Builder()
                 .fileName(file.toString())
@@ -32,10 +32,10 @@
     }
 
     /** Fills {@code keys} with what was kept; returns the revision. */
-    long load(SortedMap<String, StateService.Entry> keys) {
+    long load(SortedMap<String, EmulatedStateService.Entry> keys) {
         values.forEach((key, value) -> keys.put(
                 key,
-                new StateService.Entry(
+                new EmulatedStateService.Entry(
                         Json.parse(value.getBytes(StandardCharsets.UTF_8)),
                         versions.get(key),
                         bound.getOrDefault(key, 0L))));
@@ -50,7 +50,7 @@
         lives.put(lease, lifeMs);
     }
 
-    void changed(String key, StateService.Entry entry, long revision) {
+    void changed(String key, EmulatedStateService.Entry entry, long revision) {
         if (entry == null) {
             values.remove(key);
             versions.remove(key);
--- a/emulator/src/main/java/org/landingridge/emulator/Truth.java
+++ b/emulator/src/main/java/org/landingridge/emulator/GroundTruth.java
@@ -3,7 +3,7 @@
 import org.landingridge.wire.JobSpec;
 
 /** What the stand-ins know of jobs beyond what controllers tell them, and whom they tell what truly happens. */
-public interface Truth {
+public interface GroundTruth {
     /** The description that the job's user has uploaded, or null where no such job was submitted. */
     JobSpec spec(String jobId);
 
@@ -40,7 +40,7 @@
     }
 
     /** Whoever counts orders. */
-    interface Orders {
+    interface CommandDispatcher {
         void ordered(Order order, String machine, String attempt, String pool, boolean repeated);
     }
 
--- a/emulator/src/main/java/org/landingridge/emulator/Rules.java
+++ b/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.landingridge.net.Loop;
+import org.landingridge.net.EventLoop;
 import org.landingridge.wire.JobSpec;
 
 /** The checker: sees the truth of the simulated world and notes every broken rule. */
-public final class Rules implements Truth {
+public final class InvariantChecker implements GroundTruth {
     public final List<String> broken = new ArrayList<>();
     public final Map<String, JobSpec> specs = new HashMap<>();
     /** What users were told last: accepted, done or cancelled. */
@@ -43,9 +43,9 @@
     private final Map<String, Integer> completedOf = new HashMap<>();
     public final Map<String, Double> limits = new HashMap<>();
     /** Told of every order that arrives; null where nobody counts them. */
-    public Orders orders;
+    public CommandDispatcher orders;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long cancelMs;
     /** Told of each job, by id, at the moment at which the last of its tasks completes. */
     public Consumer<String> allCompleted = id -> {};
@@ -56,7 +56,7 @@
     /** Starts of tasks that had completed before: no rule forbids them, but they are work done twice. */
     public int repeats;
 
-    public Rules(Loop loop, long cancelMs) {
+    public InvariantChecker(EventLoop loop, long cancelMs) {
         this.loop = loop;
         this.cancelMs = cancelMs;
     }
--- a/emulator/src/main/java/org/landingridge/emulator/Loopback.java
+++ b/emulator/src/main/java/org/landingridge/emulator/LoopbackCluster.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import org.landingridge.net.HttpClient;
 import org.landingridge.net.HttpServer;
-import org.landingridge.net.XnioLoop;
+import org.landingridge.net.XnioEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
@@ -20,8 +20,8 @@
  * State service, cloud and workers on sockets of this machine, the same code that tests run in simulated time. All of
  * them live on one thread.
  */
-public final class Loopback implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Loopback.class);
+public final class LoopbackCluster implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(LoopbackCluster.class);
     private static final String HOST = "127.0.0.1";
     private static final int MAX_BODY = 1 << 20;
 
@@ -31,44 +31,50 @@
      * @param reportMs how often workers report
      * @param leaseMs  the workers' lease
      */
-    public record Config(Cloud.Offer offer, int machines, List<Worker.Node> nodes, long reportMs, long leaseMs) {}
+    public record Config(
+            EmulatedCloud.Offer offer,
+            int machines,
+            List<EmulatedWorker.ControllerAddress> nodes,
+            long reportMs,
+            long leaseMs) {}
 
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final HttpClient client;
     private final RandomGenerator random = new SplittableRandom();
     private final Config config;
-    private final Truth truth;
-    private final StateService state;
-    private final Shelf shelf;
+    private final GroundTruth truth;
+    private final EmulatedStateService state;
+    private final FileStore shelf;
     private final Map<String, Running> workers = new HashMap<>();
     private final String stateAddr = HOST + ":" + freePort();
     private final String cloudAddr = HOST + ":" + freePort();
 
-    private record Running(Worker worker, HttpServer server) {}
+    private record Running(EmulatedWorker worker, HttpServer server) {}
 
     /** @param shelf where the state service keeps its state, or null */
-    public Loopback(Config config, Shelf shelf, java.util.function.Function<StateService, Truth> truthOf)
+    public LoopbackCluster(
+            Config config, FileStore shelf, java.util.function.Function<EmulatedStateService, GroundTruth> truthOf)
             throws IOException {
         this.config = config;
         this.shelf = shelf;
-        worker = XnioLoop.worker();
-        loop = new XnioLoop(worker.getIoThread());
+        worker = XnioEventLoop.worker();
+        loop = new XnioEventLoop(worker.getIoThread());
         client = new HttpClient(worker.getIoThread(), loop, 64);
-        state = new StateService(loop, shelf);
+        state = new EmulatedStateService(loop, shelf);
         truth = truthOf.apply(state);
-        Cloud cloud = new Cloud(
+        EmulatedCloud cloud = new EmulatedCloud(
                 loop,
                 random,
                 config.offer,
-                new Cloud.Machines() {
+                new EmulatedCloud.Machines() {
                     @Override
-                    public String boot(Cloud.Box box) {
+                    public String boot(EmulatedCloud.Box box) {
                         return bootWorker(box);
                     }
 
                     @Override
-                    public void kill(Cloud.Box box) {
+                    public void kill(EmulatedCloud.Box box) {
                         killWorker(box);
                     }
                 },
@@ -89,10 +95,10 @@
         return http;
     }
 
-    private String bootWorker(Cloud.Box box) {
+    private String bootWorker(EmulatedCloud.Box box) {
         String addr = HOST + ":" + freePort();
-        Worker w = new Worker(
-                new Worker.Config(
+        EmulatedWorker w = new EmulatedWorker(
+                new EmulatedWorker.Config(
                         addr, config.offer.type(), config.offer.cpus(), config.reportMs, config.leaseMs, config.nodes),
                 loop,
                 client,
@@ -104,7 +110,7 @@
         return addr;
     }
 
-    private void killWorker(Cloud.Box box) {
+    private void killWorker(EmulatedCloud.Box box) {
         Running gone = workers.remove(box.id);
         if (gone != null) {
             gone.worker.die();
--- a/emulator/src/main/java/org/landingridge/emulator/Sim.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -9,11 +9,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.net.Loop;
 
 /** Simulated time and network. Everything happens on one thread, in an order that the seed decides. */
-public final class Sim {
+public final class Simulation {
     /** Sees all messages, for instance to compare their form with recorded ones. */
     public interface Observer {
         /** A request as it arrives; {@code path} with the query. */
@@ -32,7 +32,7 @@
     private record Event(long at, long order, Host host, int life, Runnable task, boolean[] cancelled) {}
 
     /** A machine with a power switch; timers of an earlier life never fire. */
-    public final class Host implements Loop {
+    public final class Host implements EventLoop {
         public final String name;
         public boolean up = true;
         public int life;
@@ -104,7 +104,7 @@
     /** Share of answers that get lost after the request was carried out, by target host. */
     public final Map<String, Double> lostAnswers = new HashMap<>();
 
-    public Sim(long seed) {
+    public Simulation(long seed) {
         random = new Random(seed);
     }
 
--- a/emulator/src/test/java/org/landingridge/emulator/ShelfTest.java
+++ b/emulator/src/test/java/org/landingridge/emulator/FileStoreTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.landingridge.wire.Json;
 
-class ShelfTest {
-    private final Sim sim = new Sim(1);
+class FileStoreTest {
+    private final Simulation sim = new Simulation(1);
 
-    private JsonNode call(StateService state, String method, String path, String body) {
+    private JsonNode call(EmulatedStateService state, String method, String path, String body) {
         JsonNode[] answer = new JsonNode[1];
-        Sim.Host host = sim.host("client");
+        Simulation.Host host = sim.host("client");
         sim.listen("state", sim.host("state"), state);
         sim.client(host)
                 .call(
@@ -32,9 +32,9 @@
     /** Values, versions and revision go on where they were; a key bound to a lease ends with it, after its full time. */
     @Test
     void goesOnAfterAKill(@TempDir Path dir) {
-        Sim.Host first = sim.host("s");
-        try (Shelf shelf = new Shelf(dir.resolve("state.mv"))) {
-            StateService state = new StateService(first, shelf);
+        Simulation.Host first = sim.host("s");
+        try (FileStore shelf = new FileStore(dir.resolve("state.mv"))) {
+            EmulatedStateService state = new EmulatedStateService(first, shelf);
             long lease = call(state, "POST", "/holds", "{\"lifeMs\":3000}")
                     .get("permit")
                     .longValue();
@@ -44,8 +44,8 @@
             call(state, "POST", "/commit", "{\"writes\":[{\"delete\":\"c\"}]}");
         }
         first.kill();
-        try (Shelf shelf = new Shelf(dir.resolve("state.mv"))) {
-            StateService state = new StateService(sim.host("s2"), shelf);
+        try (FileStore shelf = new FileStore(dir.resolve("state.mv"))) {
+            EmulatedStateService state = new EmulatedStateService(sim.host("s2"), shelf);
             JsonNode a = call(state, "GET", "/store/a", null);
             assertEquals(1, a.get("stamp").longValue());
             assertEquals(1, a.get("data").get("n").intValue());
--- a/emulator/src/test/java/org/landingridge/emulator/SimTest.java
+++ b/emulator/src/test/java/org/landingridge/emulator/SimulationTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SimTest {
+class SimulationTest {
     /** Once it came back, a killed controller got the answer to its watch and led beside its successor. */
     @Test
     void whatAnEarlierProcessAskedIsNotAnsweredToTheNext() {
-        Sim sim = new Sim(1);
-        Sim.Host server = sim.host("server");
-        Sim.Host client = sim.host("client");
+        Simulation sim = new Simulation(1);
+        Simulation.Host server = sim.host("server");
+        Simulation.Host client = sim.host("client");
         List<Integer> answers = new ArrayList<>();
         sim.listen("s", server, x -> server.after(1_000, () -> x.answer(200, new byte[0])));
         sim.client(client).call("s", "GET", "/", null, 5_000, reply -> answers.add(reply.status()));
--- a/experiment/src/main/java/org/landingridge/experiment/Admissions.java
+++ b/experiment/src/main/java/org/landingridge/experiment/AdmissionDelays.java
@@ -7,7 +7,7 @@
  * How long users waited until their submissions were accepted, and what of it nobody could have helped: time in which the
  * state service or every controller was down. Times in simulated milliseconds.
  */
-final class Admissions {
+final class AdmissionDelays {
     /** A submission that took longer is noticed. */
     static final long LATE_MS = 1_000;
 
--- a/experiment/src/main/java/org/landingridge/experiment/CapacityCommand.java
+++ b/experiment/src/main/java/org/landingridge/experiment/CapacityCommand.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.Priority;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -99,12 +99,12 @@
                 o -> o.busyMs().values().stream().mapToLong(Long::longValue).sum() / (double) DURATION_S),
         LEADER_MB("leader's heap, MB", o -> o.leaderKb() / 1024.0),
         REQUESTS("state service, requests a second", o -> o.requests() / (double) DURATION_S),
-        MOST_CHANGES("state service, changes in the busiest second", Play.Outcome::mostWrites);
+        MOST_CHANGES("state service, changes in the busiest second", ExperimentRun.Outcome::mostWrites);
 
         private final String title;
-        private final ToDoubleFunction<Play.Outcome> of;
+        private final ToDoubleFunction<ExperimentRun.Outcome> of;
 
-        Figure(String title, ToDoubleFunction<Play.Outcome> of) {
+        Figure(String title, ToDoubleFunction<ExperimentRun.Outcome> of) {
             this.title = title;
             this.of = of;
         }
@@ -114,9 +114,9 @@
     public Integer call() {
         int broken = 0;
         for (Axis axis : Axis.values()) {
-            Play.Outcome[] outcomes = new Play.Outcome[axis.values.length];
+            ExperimentRun.Outcome[] outcomes = new ExperimentRun.Outcome[axis.values.length];
             for (int i = 0; i < outcomes.length; i++) {
-                outcomes[i] = Play.once(plan(axis, axis.values[i]), seed);
+                outcomes[i] = ExperimentRun.once(plan(axis, axis.values[i]), seed);
                 broken += outcomes[i].broken().size();
             }
             print(System.out, axis, outcomes);
@@ -169,7 +169,7 @@
                 state,
                 state,
                 size.ended / scale,
-                HistoryProbe.Form.SEGMENTS,
+                HistoryBenchmark.Form.SEGMENTS,
                 teams,
                 arrivals,
                 List.of(),
@@ -177,7 +177,7 @@
                 new Experiment.Meetings(0, 0, 0, List.of()));
     }
 
-    private void print(PrintStream out, Axis axis, Play.Outcome[] outcomes) {
+    private void print(PrintStream out, Axis axis, ExperimentRun.Outcome[] outcomes) {
         out.println("\n### " + axis.name().toLowerCase(Locale.ROOT).replace('_', ' ') + "\n");
         out.print("| figure |");
         for (int value : axis.values) {
@@ -192,7 +192,7 @@
             row(out, figure.title, axis.values, measured);
         }
         TreeSet<String> parts = new TreeSet<>();
-        for (Play.Outcome o : outcomes) {
+        for (ExperimentRun.Outcome o : outcomes) {
             parts.addAll(o.busyMs().keySet());
         }
         for (String part : parts) {
