--- a/experiment/src/main/java/org/landingridge/experiment/OrderBook.java
+++ b/experiment/src/main/java/org/landingridge/experiment/CommandAudit.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import org.landingridge.emulator.Truth.Order;
-import org.landingridge.emulator.Truth.Orders;
+import org.landingridge.emulator.GroundTruth.CommandDispatcher;
+import org.landingridge.emulator.GroundTruth.Order;
 
 /**
  * Counts the controllers' orders where they arrive, and which of them nobody needed. Needless are: a command repeated, a
  * start that is stopped within 30 s although its job goes on, a rent that is given back without ever having been given a
  * task, and a live machine given back of which another of its kind is rented within 120 s.
  */
-final class OrderBook implements Orders {
+final class CommandAudit implements CommandDispatcher {
     private static final long STOPPED_MS = 30_000;
     private static final long RENTED_MS = 120_000;
 
@@ -58,7 +58,7 @@
     /** Live machines given back, by pool. */
     private final Map<String, Deque<Long>> back = new HashMap<>();
 
-    OrderBook(LongSupplier clock, Predicate<String> alive, Predicate<String> cancelled) {
+    CommandAudit(LongSupplier clock, Predicate<String> alive, Predicate<String> cancelled) {
         this.clock = clock;
         this.alive = alive;
         this.cancelled = cancelled;
--- a/experiment/src/main/java/org/landingridge/experiment/Experiment.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Experiment.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import org.landingridge.controller.config.BadSettings;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.InvalidSettingsException;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.Priority;
 
 /**
@@ -40,7 +40,7 @@
         Settings.State state,
         Settings.State next,
         int ended,
-        HistoryProbe.Form form,
+        HistoryBenchmark.Form form,
         Map<String, Settings.Team> teams,
         List<Arrivals> arrivals,
         List<Pipelines> pipelines,
@@ -139,12 +139,12 @@
     }
 
     /** Reads and checks a file; what is wrong is said in one line with file, field and expectation. */
-    public static Experiment read(Path file) throws BadSettings {
+    public static Experiment read(Path file) throws InvalidSettingsException {
         JsonNode n;
         try {
             n = new TomlMapper().readTree(Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read as TOML: "
+            throw new InvalidSettingsException(file + ": cannot be read as TOML: "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
         try (InputStream in = Experiment.class.getResourceAsStream("experiment.schema.json")) {
@@ -155,7 +155,7 @@
                     .map(Object::toString)
                     .collect(Collectors.joining("; "));
             if (!errors.isEmpty()) {
-                throw new BadSettings(file + ": " + errors);
+                throw new InvalidSettingsException(file + ": " + errors);
             }
         } catch (IOException e) {
             throw new IllegalStateException("the schema is part of the program", e);
@@ -163,7 +163,7 @@
         return checked(file, n);
     }
 
-    private static Experiment checked(Path file, JsonNode n) throws BadSettings {
+    private static Experiment checked(Path file, JsonNode n) throws InvalidSettingsException {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         for (JsonNode t : n.path("teams")) {
             String name = t.get("name").textValue();
@@ -176,7 +176,8 @@
                                     0,
                                     0))
                     != null) {
-                throw new BadSettings(file + ": teams: " + name + " is there twice, expected one of each name");
+                throw new InvalidSettingsException(
+                        file + ": teams: " + name + " is there twice, expected one of each name");
             }
         }
         List<Arrivals> arrivals = new ArrayList<>();
@@ -203,10 +204,10 @@
                     a.path("cancelled").asDouble(0),
                     Placing.valueOf(a.path("placing").asText("anywhere").toUpperCase(java.util.Locale.ROOT)));
             if (!teams.containsKey(made.team)) {
-                throw new BadSettings(at + ".team: expected a team of this file, got " + made.team);
+                throw new InvalidSettingsException(at + ".team: expected a team of this file, got " + made.team);
             }
             if (made.tasksMax < made.tasksMin) {
-                throw new BadSettings(at + ".tasks_max: expected at least tasks_min, " + made.tasksMin);
+                throw new InvalidSettingsException(at + ".tasks_max: expected at least tasks_min, " + made.tasksMin);
             }
             arrivals.add(made);
         }
@@ -232,7 +233,8 @@
                 m.path("until_s").asDouble(0),
                 kinds);
         if (meetings.count > 0 && meetings.untilS <= meetings.fromS) {
-            throw new BadSettings(file + ": meetings.until_s: expected more than from_s, " + meetings.fromS);
+            throw new InvalidSettingsException(
+                    file + ": meetings.until_s: expected more than from_s, " + meetings.fromS);
         }
         JsonNode c = n.path("cluster");
         JsonNode s = n.path("state");
@@ -240,7 +242,7 @@
         int machines = c.path("machines").asInt(20);
         int up = c.path("up").asInt(0);
         if (up > machines) {
-            throw new BadSettings(file + ": cluster.up: expected at most cluster.machines, " + machines);
+            throw new InvalidSettingsException(file + ": cluster.up: expected at most cluster.machines, " + machines);
         }
         List<Long> seeds = new ArrayList<>();
         n.get("seeds").forEach(x -> seeds.add(x.longValue()));
@@ -254,13 +256,13 @@
                 c.path("boot_s").asDouble(3),
                 c.path("report_s").asDouble(1),
                 c.path("lease_s").asDouble(8),
-                c.path("cancel_s").asDouble(World.CANCEL_MS / 1000.0),
+                c.path("cancel_s").asDouble(SimulatedCluster.CANCEL_MS / 1000.0),
                 state,
                 limits(s.path("next"), state),
                 n.path("history").path("ended").asInt(0),
                 n.path("history").path("form").asText("segments").equals("keys")
-                        ? HistoryProbe.Form.KEYS
-                        : HistoryProbe.Form.SEGMENTS,
+                        ? HistoryBenchmark.Form.KEYS
+                        : HistoryBenchmark.Form.SEGMENTS,
                 teams,
                 arrivals,
                 pipelines,
@@ -276,9 +278,10 @@
                 s.path("txn_ops").asInt(otherwise.txnOps()));
     }
 
-    private static Pipelines pipelines(String at, JsonNode p, Map<String, Settings.Team> teams) throws BadSettings {
+    private static Pipelines pipelines(String at, JsonNode p, Map<String, Settings.Team> teams)
+            throws InvalidSettingsException {
         if (!teams.containsKey(p.get("team").textValue())) {
-            throw new BadSettings(at + ".team: expected a team of this file, got "
+            throw new InvalidSettingsException(at + ".team: expected a team of this file, got "
                     + p.get("team").textValue());
         }
         List<Stage> stages = new ArrayList<>();
@@ -286,7 +289,8 @@
             List<Integer> needs = new ArrayList<>();
             for (JsonNode need : s.path("needs")) {
                 if (need.intValue() >= stages.size()) {
-                    throw new BadSettings(at + ".stages: expected needs to name earlier stages, got " + need);
+                    throw new InvalidSettingsException(
+                            at + ".stages: expected needs to name earlier stages, got " + need);
                 }
                 needs.add(need.intValue());
             }
--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentCommand.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentCommand.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import java.util.stream.LongStream;
-import org.landingridge.controller.config.BadSettings;
-import org.landingridge.controller.obs.Chronicle;
+import org.landingridge.controller.observability.EventLog;
+import org.landingridge.controller.settings.InvalidSettingsException;
 import org.landingridge.wire.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -50,16 +50,16 @@
         Experiment plan;
         try {
             plan = Experiment.read(file);
-        } catch (BadSettings e) {
+        } catch (InvalidSettingsException e) {
             System.err.println("landingridge: " + e.getMessage());
             return 2;
         }
         if (seeds != null) {
             return search(plan);
         }
-        List<Play.Outcome> outcomes = new ArrayList<>();
+        List<ExperimentRun.Outcome> outcomes = new ArrayList<>();
         for (long seed : plan.seeds()) {
-            Play.Outcome o = Play.once(plan, seed);
+            ExperimentRun.Outcome o = ExperimentRun.once(plan, seed);
             outcomes.add(o);
             System.out.printf(
                     "seed %d: %d rules broken, %d of %d jobs done, %d cancelled, %d tasks run again, leader %.1f MB,"
@@ -113,16 +113,16 @@
                             .put("seed", o.seed())
                             .put("worldMs", t.atMs())
                             .put("host", t.host())
-                            .set("event", Json.parse(Chronicle.json(t.event()).getBytes(StandardCharsets.UTF_8)))))));
+                            .set("event", Json.parse(EventLog.json(t.event()).getBytes(StandardCharsets.UTF_8)))))));
             Files.write(events, lines, StandardCharsets.UTF_8);
         }
         if (report != null) {
-            Report.write(report, plan, outcomes);
+            ExperimentReport.write(report, plan, outcomes);
             System.out.println("report: " + report);
         }
         return outcomes.stream()
-                        .allMatch(
-                                o -> o.broken().isEmpty() && o.served().stream().noneMatch(Served.Figure::unserved))
+                        .allMatch(o ->
+                                o.broken().isEmpty() && o.served().stream().noneMatch(ServedDemand.Figure::unserved))
                 ? 0
                 : 1;
     }
@@ -143,13 +143,13 @@
         int bad = LongStream.rangeClosed(first, last)
                 .parallel()
                 .mapToInt(seed -> {
-                    Play.Outcome o = Play.once(plan, seed, false);
+                    ExperimentRun.Outcome o = ExperimentRun.once(plan, seed, false);
                     List<String> wrong =
                             new ArrayList<>(o.broken().stream().limit(5).toList());
-                    o.served().stream().filter(Served.Figure::unserved).forEach(f -> wrong.add("unserved: " + f));
+                    o.served().stream().filter(ServedDemand.Figure::unserved).forEach(f -> wrong.add("unserved: " + f));
                     if (!wrong.isEmpty()) {
                         System.out.println("seed " + seed + ": " + wrong
-                                + Play.meetings(plan, seed).stream()
+                                + ExperimentRun.meetings(plan, seed).stream()
                                         .sorted(Comparator.comparingDouble(Experiment.Fault::atS))
                                         .map(f -> String.format(
                                                 "%n  at %.1f s %s for %.1f s (%d, %.2f)",
--- a/experiment/src/main/java/org/landingridge/experiment/Report.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentReport.java
@@ -22,17 +22,17 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** One HTML page of an experiment: figures in tables, curves as pictures within the page. */
-final class Report {
+final class ExperimentReport {
     private static final int WIDTH = 720;
     private static final int HEIGHT = 260;
     private static final String TEMPLATE = "org/landingridge/experiment/report.peb";
 
-    private Report() {}
+    private ExperimentReport() {}
 
-    static void write(Path file, Experiment plan, List<Play.Outcome> outcomes) throws IOException {
+    static void write(Path file, Experiment plan, List<ExperimentRun.Outcome> outcomes) throws IOException {
         Map<String, Object> context = new LinkedHashMap<>();
         context.put("plan", plan);
-        context.put("outcomes", outcomes.stream().map(Report::row).toList());
+        context.put("outcomes", outcomes.stream().map(ExperimentReport::row).toList());
         context.put(
                 "recoveries",
                 outcomes.stream()
@@ -90,7 +90,7 @@
         charts.add(chart("Requests to the state service, a second", outcomes, s -> s.requests()));
         charts.add(chart("Changes in the state service, a second", outcomes, s -> s.changes()));
         context.put("charts", charts);
-        ClasspathLoader loader = new ClasspathLoader(Report.class.getClassLoader());
+        ClasspathLoader loader = new ClasspathLoader(ExperimentReport.class.getClassLoader());
         PebbleEngine engine = new PebbleEngine.Builder()
                 .loader(loader)
                 .autoEscaping(true)
@@ -103,10 +103,10 @@
     }
 
     /** What the controllers told of their recoveries; of events that come by the hundred the first of each second. */
-    private static List<Map<String, Object>> timeline(Play.Outcome o) {
+    private static List<Map<String, Object>> timeline(ExperimentRun.Outcome o) {
         List<Map<String, Object>> lines = new ArrayList<>();
         Map<String, Map<String, Object>> bySecond = new LinkedHashMap<>();
-        for (World.Told t : o.events()) {
+        for (SimulatedCluster.Told t : o.events()) {
             boolean many = t.event().fields().containsKey("machine");
             String key = many ? t.event().name() + t.host() + t.atMs() / 1_000 : null;
             Map<String, Object> before = key == null ? null : bySecond.get(key);
@@ -133,7 +133,7 @@
         return lines;
     }
 
-    private static Map<String, Object> row(long seed, Recovery.Result r) {
+    private static Map<String, Object> row(long seed, RecoveryTimeline.Result r) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("seed", seed);
         row.put("at", decimal(r.atS()));
@@ -154,7 +154,7 @@
         return seconds < 0 ? "never" : decimal(seconds);
     }
 
-    private static Map<String, Object> row(Play.Outcome o) {
+    private static Map<String, Object> row(ExperimentRun.Outcome o) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("seed", o.seed());
         row.put("broken", o.broken().size());
@@ -174,7 +174,7 @@
     }
 
     /** Milliseconds of the leaders' threads by part, the mean over the seeds, and a second of simulated time. */
-    private static List<Map<String, Object>> busy(Experiment plan, List<Play.Outcome> outcomes) {
+    private static List<Map<String, Object>> busy(Experiment plan, List<ExperimentRun.Outcome> outcomes) {
         Map<String, Long> sums = new LinkedHashMap<>();
         outcomes.forEach(o -> o.busyMs().forEach((part, ms) -> sums.merge(part, ms, Long::sum)));
         List<Map<String, Object>> rows = new ArrayList<>();
@@ -193,7 +193,8 @@
     }
 
     private static Map<String, String> chart(
-            String title, List<Play.Outcome> outcomes, ToDoubleFunction<Play.Sample> value) throws IOException {
+            String title, List<ExperimentRun.Outcome> outcomes, ToDoubleFunction<ExperimentRun.Sample> value)
+            throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
@@ -204,12 +205,12 @@
         chart.getStyler().setMarkerSize(0);
         chart.getStyler().setLegendVisible(outcomes.size() > 1);
         chart.getStyler().setYAxisMin(0.0);
-        for (Play.Outcome o : outcomes) {
+        for (ExperimentRun.Outcome o : outcomes) {
             if (!o.samples().isEmpty()) {
                 chart.addSeries(
                                 "seed " + o.seed(),
                                 o.samples().stream()
-                                        .mapToDouble(Play.Sample::second)
+                                        .mapToDouble(ExperimentRun.Sample::second)
                                         .toArray(),
                                 o.samples().stream().mapToDouble(value).toArray())
                         .setMarker(SeriesMarkers.NONE);
--- a/experiment/src/main/java/org/landingridge/experiment/Play.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.emulator.Truth;
-import org.landingridge.emulator.Worker;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.GroundTruth;
 import org.landingridge.wire.JobSpec;
 
 /** Plays an experiment once, with one seed, and notes what happened. */
-final class Play {
+final class ExperimentRun {
     /** One second of a play. */
     record Sample(int second, int machines, int running, int live, int requests, int changes) {}
 
@@ -32,11 +32,11 @@
             int repeats,
             int refused,
             List<Sample> samples,
-            List<Recovery.Result> recoveries,
-            Map<Truth.Order, OrderBook.Count> orders,
-            List<World.Told> events,
-            Admissions.Result admissions,
-            List<Served.Figure> served,
+            List<RecoveryTimeline.Result> recoveries,
+            Map<GroundTruth.Order, CommandAudit.Count> orders,
+            List<SimulatedCluster.Told> events,
+            AdmissionDelays.Result admissions,
+            List<ServedDemand.Figure> served,
             Map<String, Long> busyMs,
             int requests,
             int mostWrites,
@@ -51,12 +51,12 @@
     private static final int HAND_OVER_EVERY_MS = 4_500;
     private static final int UPGRADE_EVERY_MS = 10_000;
     private final Experiment plan;
-    private final World world;
+    private final SimulatedCluster world;
     private final SplittableRandom random;
     private final List<Sample> samples = new ArrayList<>();
-    private final List<Recovery> recoveries = new ArrayList<>();
-    private final OrderBook orders;
-    private final Served served = new Served();
+    private final List<RecoveryTimeline> recoveries = new ArrayList<>();
+    private final CommandAudit orders;
+    private final ServedDemand served = new ServedDemand();
     private final Map<String, Long> busy = new TreeMap<>();
     /** By process: what its thread has spent. */
     private final Map<Object, Map<String, Long>> busyOf = new LinkedHashMap<>();
@@ -67,10 +67,10 @@
     private int submitted;
     private int requestsBefore;
 
-    private Play(Experiment plan, long seed) {
+    private ExperimentRun(Experiment plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
-        world = new World(new World.Setup(
+        world = new SimulatedCluster(new SimulatedCluster.Setup(
                 seed,
                 plan.controllers(),
                 plan.machines(),
@@ -81,7 +81,7 @@
                 plan.teams(),
                 plan.state()));
         world.sim.measured = true;
-        orders = new OrderBook(
+        orders = new CommandAudit(
                 () -> world.sim.now,
                 id -> world.workers.stream().anyMatch(w -> w.box().id.equals(id) && !w.hangs()),
                 world.rules.cancelAsked::contains);
@@ -95,7 +95,7 @@
 
     /** @param weigh what the leader holds in memory is measured too, which takes a while and wants to be alone */
     static Outcome once(Experiment plan, long seed, boolean weigh) {
-        return new Play(plan, seed).run(seed, weigh);
+        return new ExperimentRun(plan, seed).run(seed, weigh);
     }
 
     /** The meetings of this seed, as troubles with their times. */
@@ -135,10 +135,10 @@
 
     private Outcome run(long seed, boolean weigh) {
         long began = System.nanoTime();
-        if (plan.form() == HistoryProbe.Form.SEGMENTS) {
-            World.past(world.state, FIRST, plan.ended());
+        if (plan.form() == HistoryBenchmark.Form.SEGMENTS) {
+            SimulatedCluster.past(world.state, FIRST, plan.ended());
         } else {
-            HistoryProbe.seed(world.state, plan.form(), plan.ended());
+            HistoryBenchmark.seed(world.state, plan.form(), plan.ended());
         }
         // Up means up: they were rented long before, although the lists, which lag, do not name them yet.
         world.cloud.bootMs = 0;
@@ -153,7 +153,7 @@
         meetings(plan, seed).forEach(f -> world.at(Math.round(f.atS() * 1000), () -> begin(f)));
         world.at((plan.durationS() - LAST_POLL_S) * 1_000L, this::askForAll);
         long end = plan.durationS() * 1000L;
-        Waiting waiting = new Waiting(world);
+        StarvationCheck waiting = new StarvationCheck(world);
         double calmS = plan.meetings().untilS() + plan.cancelS() + CALM_S;
         for (long t = 100; t <= end; t += 100) {
             world.sim.run(t);
@@ -176,7 +176,7 @@
                 world.rules.repeats,
                 world.state.tooMany,
                 samples,
-                recoveries.stream().map(Recovery::result).toList(),
+                recoveries.stream().map(RecoveryTimeline::result).toList(),
                 orders.counts(),
                 List.copyOf(world.events),
                 world.admissions.result(),
@@ -220,7 +220,7 @@
             int jobs = s.jobsMin() + random.nextInt(s.jobsMax() - s.jobsMin() + 1);
             for (int i = 0; i < jobs; i++) {
                 JobSpec spec = new JobSpec(
-                                World.id(number++),
+                                SimulatedCluster.id(number++),
                                 s.jobClass(),
                                 p.team(),
                                 false,
@@ -261,7 +261,7 @@
 
     private void submit(Experiment.Arrivals a, long atMs) {
         JobSpec spec = new JobSpec(
-                World.id(number++),
+                SimulatedCluster.id(number++),
                 a.jobClass(),
                 a.team(),
                 a.service(),
@@ -294,7 +294,7 @@
     }
 
     private void begin(Experiment.Fault f) {
-        World.Node leader = world.leader();
+        SimulatedCluster.ControllerNode leader = world.leader();
         long forMs = Math.round(f.forS() * 1000);
         switch (f.kind()) {
             case CRASH_LEADER -> {
@@ -435,7 +435,7 @@
         for (int i = 0; i < perS / 10.0; i++) {
             world.askOnce(
                     random.nextInt(10) == 0
-                            ? World.id(FIRST / 2 + random.nextInt(FIRST / 4))
+                            ? SimulatedCluster.id(FIRST / 2 + random.nextInt(FIRST / 4))
                             : ids.get(random.nextInt(ids.size())),
                     "poll");
         }
@@ -448,20 +448,20 @@
     }
 
     /** The controllers' hosts, one left out. */
-    private List<String> hosts(World.Node without) {
+    private List<String> hosts(SimulatedCluster.ControllerNode without) {
         return world.nodes.stream()
                 .filter(n -> n != without)
                 .map(n -> n.host.name)
                 .toList();
     }
 
-    private static List<String> names(List<Worker> workers) {
+    private static List<String> names(List<EmulatedWorker> workers) {
         return workers.stream().map(w -> w.box().id).toList();
     }
 
     /** Something befalls one of the controllers that do not lead. */
-    private void other(World.Node leader, Consumer<World.Node> what) {
-        List<World.Node> up =
+    private void other(SimulatedCluster.ControllerNode leader, Consumer<SimulatedCluster.ControllerNode> what) {
+        List<SimulatedCluster.ControllerNode> up =
                 world.nodes.stream().filter(n -> n != leader && n.host.up).toList();
         if (!up.isEmpty()) {
             what.accept(up.get(random.nextInt(up.size())));
@@ -469,13 +469,13 @@
     }
 
     /** The machines of one zone. */
-    private List<Worker> zone() {
+    private List<EmulatedWorker> zone() {
         return world.workers.stream().filter(w -> w.box().zone.equals("b")).toList();
     }
 
-    private List<Worker> some(int count) {
-        List<Worker> left = new ArrayList<>(world.workers);
-        List<Worker> chosen = new ArrayList<>();
+    private List<EmulatedWorker> some(int count) {
+        List<EmulatedWorker> left = new ArrayList<>(world.workers);
+        List<EmulatedWorker> chosen = new ArrayList<>();
         while (chosen.size() < count && !left.isEmpty()) {
             chosen.add(left.remove(random.nextInt(left.size())));
         }
@@ -483,14 +483,14 @@
     }
 
     private void lost() {
-        recoveries.add(new Recovery(world.sim.now / 1000.0, world.rules));
+        recoveries.add(new RecoveryTimeline(world.sim.now / 1000.0, world.rules));
     }
 
     private void watchLeader(long now) {
         if (recoveries.isEmpty() || recoveries.get(recoveries.size() - 1).over()) {
             return;
         }
-        World.Node leader = world.leader();
+        SimulatedCluster.ControllerNode leader = world.leader();
         JsonNode status = leader == null || !leader.host.up ? null : world.status(leader);
         int unknown = status == null || !status.has("machines")
                 ? -1
@@ -508,14 +508,14 @@
                 requests - requestsBefore,
                 world.state.lastWrites()));
         requestsBefore = requests;
-        World.Node leader = world.leader();
+        SimulatedCluster.ControllerNode leader = world.leader();
         if (leader != null && leader.host.up) {
             busyNow(leader);
         }
     }
 
     /** What each process that ever led has spent so far; a process that died keeps its last word. */
-    private void busyNow(World.Node leader) {
+    private void busyNow(SimulatedCluster.ControllerNode leader) {
         busyOf.put(leader.controller, world.busyMs(leader));
         busy.clear();
         busyOf.values().forEach(parts -> parts.forEach((part, ms) -> busy.merge(part, ms, Long::sum)));
@@ -523,7 +523,7 @@
 
     /** What the leader's process holds in memory: the difference that its end makes to this one's heap. */
     private long leaderKb() {
-        World.Node leader = world.leader();
+        SimulatedCluster.ControllerNode leader = world.leader();
         if (leader == null) {
             return 0;
         }
@@ -533,7 +533,7 @@
         return Math.max(0, with - heap()) / 1024;
     }
 
-    private void end(World.Node node) {
+    private void end(SimulatedCluster.ControllerNode node) {
         node.host.kill();
         node.controller = null;
         world.sim.forget(node.host);
--- a/experiment/src/main/java/org/landingridge/experiment/HistoryProbe.java
+++ b/experiment/src/main/java/org/landingridge/experiment/HistoryBenchmark.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.emulator.Cloud;
-import org.landingridge.emulator.Loopback;
-import org.landingridge.emulator.StateService;
-import org.landingridge.emulator.Worker;
+import org.landingridge.emulator.EmulatedCloud;
+import org.landingridge.emulator.EmulatedStateService;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.LoopbackCluster;
 import org.landingridge.wire.Json;
 
 /**
  * What a history of ended jobs costs one controller, as a process of its own with a heap of 64 MB: from its start until it
  * leads and is ready, and what it then answers. The jar may be of any version, so that versions can be compared.
  */
-public final class HistoryProbe {
+public final class HistoryBenchmark {
     /** KEYS: a key for each ended job, as versions before 0.2 left them. SEGMENTS: all moved into the history. */
     public enum Form {
         KEYS,
@@ -50,25 +50,25 @@
 
     /** @param limitS how long the controller has to become ready */
     public Result measure(Path jar, Form form, int ended, int limitS) throws IOException, InterruptedException {
-        StateService[] state = new StateService[1];
-        String serve = "127.0.0.1:" + Loopback.freePort();
+        EmulatedStateService[] state = new EmulatedStateService[1];
+        String serve = "127.0.0.1:" + LoopbackCluster.freePort();
         Path settings = Files.createTempFile("probe", ".toml");
-        try (Loopback loopback = new Loopback(
-                new Loopback.Config(
-                        new Cloud.Offer("t4", 4, 8, List.of("a"), 1_000, 1_000),
+        try (LoopbackCluster loopback = new LoopbackCluster(
+                new LoopbackCluster.Config(
+                        new EmulatedCloud.Offer("t4", 4, 8, List.of("a"), 1_000, 1_000),
                         1,
-                        List.of(new Worker.Node("rig-0", serve)),
+                        List.of(new EmulatedWorker.ControllerAddress("rig-0", serve)),
                         1_000,
                         10_000),
                 null,
                 s -> {
                     state[0] = s;
                     seed(s, form, ended);
-                    return new StoredTruth(s);
+                    return new StoredGroundTruth(s);
                 })) {
             Files.writeString(
                     settings,
-                    String.format(SETTINGS, serve, Loopback.freePort(), loopback.cloud(), loopback.state()),
+                    String.format(SETTINGS, serve, LoopbackCluster.freePort(), loopback.cloud(), loopback.state()),
                     StandardCharsets.UTF_8);
             long began = System.nanoTime();
             // The class-data archive beside the jar, as in deploy/service.toml; without one this says nothing.
@@ -92,7 +92,7 @@
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                     .start();
             try {
-                return watch(process, loopback, state[0], form, ended, serve, began, limitS);
+                return watch(process, state[0], form, ended, serve, began, limitS);
             } finally {
                 process.destroyForcibly();
             }
@@ -102,14 +102,7 @@
     }
 
     private Result watch(
-            Process process,
-            Loopback loopback,
-            StateService state,
-            Form form,
-            int ended,
-            String serve,
-            long began,
-            int limitS)
+            Process process, EmulatedStateService state, Form form, int ended, String serve, long began, int limitS)
             throws InterruptedException {
         long readyMs = -1;
         AtomicInteger requests = new AtomicInteger();
@@ -127,7 +120,12 @@
             failed.add(process.isAlive() ? "not ready within " + limitS + " s" : "ended with " + process.exitValue());
         } else {
             expect(failed, "a new job", 201, "queued", ask("POST", serve, "/api/jobs", job(FIRST + ended + 7)));
-            expect(failed, "an old job", 200, "done", ask("GET", serve, "/api/jobs/" + World.id(FIRST + 1), null));
+            expect(
+                    failed,
+                    "an old job",
+                    200,
+                    "done",
+                    ask("GET", serve, "/api/jobs/" + SimulatedCluster.id(FIRST + 1), null));
             expect(
                     failed,
                     "an old job's retry",
@@ -139,37 +137,37 @@
                     "an old cancelled job",
                     200,
                     "cancelled",
-                    ask("GET", serve, "/api/jobs/" + World.id(FIRST), null));
+                    ask("GET", serve, "/api/jobs/" + SimulatedCluster.id(FIRST), null));
             expect(
                     failed,
                     "nobody's job",
                     404,
                     null,
-                    ask("GET", serve, "/api/jobs/" + World.id(FIRST + ended + 9), null));
+                    ask("GET", serve, "/api/jobs/" + SimulatedCluster.id(FIRST + ended + 9), null));
             expect(
                     failed,
                     "a cancellation",
                     200,
                     "cancelled",
-                    ask("POST", serve, "/api/jobs/" + World.id(FIRST + ended + 7) + "/cancel", ""));
+                    ask("POST", serve, "/api/jobs/" + SimulatedCluster.id(FIRST + ended + 7) + "/cancel", ""));
         }
         return new Result(form, ended, readyMs, requests.get(), peakKb(process), failed);
     }
 
-    static void seed(StateService state, Form form, int ended) {
+    static void seed(EmulatedStateService state, Form form, int ended) {
         if (form == Form.SEGMENTS) {
-            World.past(state, FIRST, ended);
+            SimulatedCluster.past(state, FIRST, ended);
             return;
         }
         JsonNode done = Json.object().put("ended", "DONE").put("takes", 35);
         JsonNode cancelled = Json.object().put("ended", "CANCELLED").put("takes", 35);
         for (int i = 0; i < ended; i++) {
-            state.seed(Keys.JOBS + World.id(FIRST + i), i % 7 == 0 ? cancelled : done);
+            state.seed(Keys.JOBS + SimulatedCluster.id(FIRST + i), i % 7 == 0 ? cancelled : done);
         }
     }
 
     private static String job(int number) {
-        return "{\"id\":\"" + World.id(number)
+        return "{\"id\":\"" + SimulatedCluster.id(number)
                 + "\",\"lane\":\"l\",\"crew\":\"local\",\"shape\":\"sweep\",\"urgency\":\"normal\","
                 + "\"takes\":3,\"cpus\":1.0,\"memoryGb\":1.0,\"reel\":\"i\",\"sizeGb\":0.1,\"runtimeS\":600.0}";
     }
--- a/experiment/src/main/java/org/landingridge/experiment/OddJobs.java
+++ b/experiment/src/main/java/org/landingridge/experiment/InvalidSubmissions.java
@@ -9,7 +9,7 @@
 import org.landingridge.wire.Json;
 
 /** Submissions that no controller may take: each is a lawful job with one thing changed, and the status that it has to get. */
-final class OddJobs {
+final class InvalidSubmissions {
     /** @param status 400 for what is malformed, 422 for what can never run */
     record Odd(String id, ObjectNode body, int status, String what) {}
 
@@ -67,7 +67,7 @@
         {"cards", "1.0", "422"}
     };
 
-    private OddJobs() {}
+    private InvalidSubmissions() {}
 
     /** A job that any controller takes, of team blue, on machines of type t4. */
     static ObjectNode lawful(String id) {
--- a/experiment/src/main/java/org/landingridge/experiment/Recovery.java
+++ b/experiment/src/main/java/org/landingridge/experiment/RecoveryTimeline.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.landingridge.emulator.Rules;
+import org.landingridge.emulator.InvariantChecker;
 import org.landingridge.wire.JobSpec;
 
 /**
@@ -12,7 +12,7 @@
  * until the machines are known, until what was lost meanwhile runs again. Times in seconds after the loss; negative while
  * it has not come to that.
  */
-final class Recovery {
+final class RecoveryTimeline {
     /** Tasks that ran when the leader was lost and ran no more when the next one was there, services or others. */
     private static final class Lost {
         private final Set<String> open = new HashSet<>();
@@ -20,7 +20,7 @@
         private double mostS = -1;
         private double allS = -1;
 
-        void look(Rules rules, double sinceS) {
+        void look(InvariantChecker rules, double sinceS) {
             open.removeIf(t -> rules.places.containsKey(t)
                     || rules.completed.contains(t)
                     || rules.cancelAsked.contains(t.substring(0, t.lastIndexOf('/'))));
@@ -54,7 +54,7 @@
     private double mostS = -1;
     private double allS = -1;
 
-    Recovery(double atS, Rules rules) {
+    RecoveryTimeline(double atS, InvariantChecker rules) {
         this.atS = atS;
         this.ran = new ArrayList<>(rules.places.keySet());
     }
@@ -65,7 +65,7 @@
      * @param unknown  machines that the leader has not accounted for; negative while nobody leads
      * @param machines how many there are
      */
-    void look(double nowS, int unknown, int machines, Rules rules) {
+    void look(double nowS, int unknown, int machines, InvariantChecker rules) {
         if (unknown < 0 && ledS < 0) {
             return;
         }
--- a/experiment/src/main/java/org/landingridge/experiment/Served.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ServedDemand.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.landingridge.emulator.Rules;
+import org.landingridge.emulator.InvariantChecker;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Priority;
 
@@ -14,7 +14,7 @@
  * a service by the share of its replicas that run at the end. Jobs that came too late, were cancelled or carry a mistake do
  * not count. Beside it stands what a plain model could have given: all processors, the whole time, by priority.
  */
-final class Served {
+final class ServedDemand {
     /** @param ideal the share that the plain model serves, at most 1 */
     record Figure(String name, int asked, double served, double ideal) {
         /** Less than half is served where the plain model serves more. */
@@ -53,7 +53,7 @@
     }
 
     /** @param processors what the cloud has of them at most */
-    List<Figure> figures(Rules rules, double endS, double processors) {
+    List<Figure> figures(InvariantChecker rules, double endS, double processors) {
         Map<String, Sum> classes = new TreeMap<>();
         Map<String, Sum> teams = new TreeMap<>();
         Map<String, List<Judged>> arrays = new TreeMap<>();
@@ -107,7 +107,7 @@
     }
 
     /** How a class's largest jobs were served, and how many of them began in time: streams of small ones may not starve them. */
-    private static List<Figure> largest(String jobClass, List<Judged> jobs, Rules rules, double ideal) {
+    private static List<Figure> largest(String jobClass, List<Judged> jobs, InvariantChecker rules, double ideal) {
         List<Judged> largest = jobs.stream()
                 .sorted(Comparator.comparingInt((Judged j) -> j.asked.spec.tasks())
                         .reversed())
--- a/experiment/src/main/java/org/landingridge/experiment/World.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
@@ -14,26 +14,26 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.landingridge.controller.Controller;
-import org.landingridge.controller.config.Policy;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.history.Place;
 import org.landingridge.controller.history.Segment;
-import org.landingridge.controller.jobs.Ended;
+import org.landingridge.controller.history.SegmentAddress;
 import org.landingridge.controller.jobs.Job;
-import org.landingridge.controller.obs.Chronicle;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.controller.observability.EventLog;
+import org.landingridge.controller.settings.Policy;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.emulator.Cloud;
-import org.landingridge.emulator.Rules;
-import org.landingridge.emulator.Sim;
-import org.landingridge.emulator.StateService;
-import org.landingridge.emulator.Worker;
+import org.landingridge.emulator.EmulatedCloud;
+import org.landingridge.emulator.EmulatedStateService;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.InvariantChecker;
+import org.landingridge.emulator.Simulation;
 import org.landingridge.net.Http;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.Priority;
 
 /** Some controllers among stand-ins for state service, cloud, workers and users. */
-public final class World {
+public final class SimulatedCluster {
     static final String TYPE = "t4";
     static final long LAG_MS = 4_000;
     static final long REPORT_MS = 1_000;
@@ -90,30 +90,30 @@
     /** The state service's limits that controllers are told of which begin from now on. */
     Settings.State announced;
 
-    final Sim sim;
-    final StateService state;
-    final Cloud cloud;
-    final Rules rules;
-    final Admissions admissions = new Admissions();
+    final Simulation sim;
+    final EmulatedStateService state;
+    final EmulatedCloud cloud;
+    final InvariantChecker rules;
+    final AdmissionDelays admissions = new AdmissionDelays();
     /** Of machines that are up. */
-    final List<Worker> workers = new ArrayList<>();
+    final List<EmulatedWorker> workers = new ArrayList<>();
 
-    private final Map<String, Sim.Host> workerHosts = new HashMap<>();
-    final List<Node> nodes = new ArrayList<>();
-    private final Sim.Host users;
+    private final Map<String, Simulation.Host> workerHosts = new HashMap<>();
+    final List<ControllerNode> nodes = new ArrayList<>();
+    private final Simulation.Host users;
 
     /** An event that a controller told of, at this time of the world. */
-    record Told(long atMs, String host, Chronicle.Event event) {}
+    record Told(long atMs, String host, EventLog.Event event) {}
 
     final List<Told> events = new ArrayList<>();
 
     /** One controller's host; a restart makes a new controller with no memory. */
-    final class Node {
+    final class ControllerNode {
         final int index;
-        final Sim.Host host;
+        final Simulation.Host host;
         Controller controller;
 
-        Node(int index) {
+        ControllerNode(int index) {
             this.index = index;
             this.host = sim.host("rig-" + index);
             sim.listen(nodeAddr(index), host, x -> {
@@ -172,7 +172,7 @@
                     host,
                     sim.client(host),
                     (to, message) -> {
-                        Node peer = nodes.get(indexOf(to));
+                        ControllerNode peer = nodes.get(indexOf(to));
                         int life = peer.host.life;
                         byte[] bytes = message.encode();
                         if (sim.observer != null) {
@@ -181,7 +181,7 @@
                         sim.deliver(host, peer.host, () -> {
                             if (peer.host.life == life) {
                                 try {
-                                    peer.controller.received(org.landingridge.controller.peer.Message.decode(
+                                    peer.controller.received(org.landingridge.controller.peer.PeerMessage.decode(
                                             new java.io.DataInputStream(new java.io.ByteArrayInputStream(bytes))));
                                 } catch (java.io.IOException e) {
                                     throw new java.io.UncheckedIOException(e);
@@ -192,7 +192,7 @@
                     new SplittableRandom(sim.random.nextLong()),
                     settings,
                     Policy.DEFAULT);
-            controller.chronicle().listener(event -> events.add(new Told(sim.now, host.name, event)));
+            controller.eventLog().listener(event -> events.add(new Told(sim.now, host.name, event)));
             host.after(200, () -> controller.start(() -> {}));
         }
 
@@ -223,7 +223,7 @@
         public void answer(int status, byte[] json, int retryAfterS) {}
     }
 
-    private final Sim.Host stateHost;
+    private final Simulation.Host stateHost;
     private final int controllers;
     /** Machines whose reports are lost, while they hear and answer calls. */
     final Set<String> unheard = new HashSet<>();
@@ -243,37 +243,37 @@
 
     private int odd = ODD;
 
-    World(long seed, double teamLimit) {
+    SimulatedCluster(long seed, double teamLimit) {
         this(seed, teamLimit, 3);
     }
 
-    World(long seed, double teamLimit, int controllers) {
+    SimulatedCluster(long seed, double teamLimit, int controllers) {
         this(Setup.small(seed, teamLimit, controllers));
     }
 
-    World(Setup setup) {
+    SimulatedCluster(Setup setup) {
         this.setup = setup;
         this.announced = setup.state;
         this.controllers = setup.controllers;
-        sim = new Sim(setup.seed);
+        sim = new Simulation(setup.seed);
         users = sim.host("users");
-        rules = new Rules(users, setup.cancelMs);
+        rules = new InvariantChecker(users, setup.cancelMs);
         setup.teams.values().forEach(t -> rules.limits.put(t.name(), t.cpusMax()));
         stateHost = sim.host("state");
-        state = new StateService(stateHost);
-        Sim.Host cloudHost = sim.host("cloud");
-        cloud = new Cloud(
+        state = new EmulatedStateService(stateHost);
+        Simulation.Host cloudHost = sim.host("cloud");
+        cloud = new EmulatedCloud(
                 cloudHost,
                 sim.random,
-                new Cloud.Offer(TYPE, 4, 8, List.of("a", "b"), setup.bootMs, LAG_MS),
-                new Cloud.Machines() {
+                new EmulatedCloud.Offer(TYPE, 4, 8, List.of("a", "b"), setup.bootMs, LAG_MS),
+                new EmulatedCloud.Machines() {
                     @Override
-                    public String boot(Cloud.Box box) {
+                    public String boot(EmulatedCloud.Box box) {
                         return bootWorker(box);
                     }
 
                     @Override
-                    public void kill(Cloud.Box box) {
+                    public void kill(EmulatedCloud.Box box) {
                         killWorker(box.id);
                     }
                 },
@@ -281,7 +281,7 @@
         cloud.capacity = setup.machines;
         sim.listen("cloud", cloudHost, cloud);
         for (int i = 0; i < controllers; i++) {
-            nodes.add(new Node(i));
+            nodes.add(new ControllerNode(i));
         }
         rules.allCompleted = this::allCompleted;
         everySecond();
@@ -290,7 +290,7 @@
 
     /** The controllers end one after the other and are back as a version that is told of other limits. */
     void upgrade(long fromMs, long everyMs, long backAfterMs, Settings.State limits) {
-        for (Node n : nodes) {
+        for (ControllerNode n : nodes) {
             at(fromMs + n.index * everyMs, () -> {
                 announced = limits;
                 if (n.host.up) {
@@ -313,15 +313,15 @@
         state.writeRps = setup.state.writeRps();
     }
 
-    private String bootWorker(Cloud.Box box) {
-        Sim.Host host = sim.host(box.id);
+    private String bootWorker(EmulatedCloud.Box box) {
+        Simulation.Host host = sim.host(box.id);
         String addr = "w-" + box.id;
-        List<Worker.Node> known = new ArrayList<>();
+        List<EmulatedWorker.ControllerAddress> known = new ArrayList<>();
         for (int i = 0; i < controllers; i++) {
-            known.add(new Worker.Node("rig-" + i, nodeAddr(i)));
+            known.add(new EmulatedWorker.ControllerAddress("rig-" + i, nodeAddr(i)));
         }
-        Worker worker = new Worker(
-                new Worker.Config(addr, TYPE, 4, setup.reportMs, setup.leaseMs, known),
+        EmulatedWorker worker = new EmulatedWorker(
+                new EmulatedWorker.Config(addr, TYPE, 4, setup.reportMs, setup.leaseMs, known),
                 host,
                 sim.client(host),
                 sim.random,
@@ -342,8 +342,8 @@
     }
 
     /** The machine stops with all that is on it, and is back under its old name and address: its worker begins anew. */
-    void restart(Worker worker, long backAfterMs) {
-        Cloud.Box box = worker.box();
+    void restart(EmulatedWorker worker, long backAfterMs) {
+        EmulatedCloud.Box box = worker.box();
         killWorker(box.id);
         users.after(backAfterMs, () -> {
             if (!box.deleted) {
@@ -372,7 +372,7 @@
 
     /** An old report comes to every controller, within the first half second of a new leader. */
     private void reachAll(Http.Exchange report) {
-        for (Node n : nodes) {
+        for (ControllerNode n : nodes) {
             users.after(sim.random.nextInt(500), () -> {
                 if (n.host.up) {
                     n.controller.serve(report);
@@ -446,7 +446,7 @@
             }
             return;
         }
-        OddJobs.Odd job = OddJobs.any(id(odd++), sim.random);
+        InvalidSubmissions.Odd job = InvalidSubmissions.any(id(odd++), sim.random);
         rules.unacceptable.put(job.id(), job.status());
         for (int node = 0; node < controllers; node++) {
             int at = node;
@@ -460,7 +460,7 @@
     }
 
     /** The state service refuses this controller alone for so long; null where nobody leads. */
-    void refuse(Node node, long forMs) {
+    void refuse(ControllerNode node, long forMs) {
         if (node != null) {
             state.refuse(node.host.name, true);
             at(sim.now + forMs, () -> state.refuse(node.host.name, false));
@@ -472,7 +472,7 @@
     }
 
     /** The controller that the state service names as the leader, or null. */
-    Node leader() {
+    ControllerNode leader() {
         JsonNode value = state.value(Keys.LEADER);
         return value == null ? null : nodes.get(indexOf(value.get("host").textValue()));
     }
@@ -523,12 +523,12 @@
     }
 
     /** The configuration by which a controller acts, as it shows it. */
-    JsonNode configuration(Node node) {
+    JsonNode configuration(ControllerNode node) {
         return Json.parse(get(node, "/api/config").getBytes(StandardCharsets.UTF_8));
     }
 
     /** The last changes of the configuration, the newest first. */
-    JsonNode configurationLog(Node node) {
+    JsonNode configurationLog(ControllerNode node) {
         return Json.parse(get(node, "/api/config/history").getBytes(StandardCharsets.UTF_8))
                 .get("changes");
     }
@@ -603,14 +603,16 @@
     }
 
     /** Jobs that ended and moved into the history before: their numbers follow each other, every seventh is cancelled. */
-    static void past(StateService state, int first, int count) {
-        Map<Integer, Ended> jobs = new LinkedHashMap<>();
+    static void past(EmulatedStateService state, int first, int count) {
+        Map<Integer, TerminatedJob> jobs = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
             String id = id(first + i);
-            Place place = Place.of(id);
+            SegmentAddress place = SegmentAddress.of(id);
             jobs.put(
                     place.offset(),
-                    i % 7 == 0 ? new Ended(Job.Status.CANCELLED, 0) : new Ended(Job.Status.DONE, 1 + i % 100));
+                    i % 7 == 0
+                            ? new TerminatedJob(Job.Status.CANCELLED, 0)
+                            : new TerminatedJob(Job.Status.DONE, 1 + i % 100));
             if (i == count - 1 || place.offset() == Segment.JOBS - 1) {
                 state.seed(place.key(), Segment.EMPTY.with(jobs).json());
                 jobs.clear();
@@ -649,7 +651,7 @@
     }
 
     /** A counter of a controller, as it serves it. */
-    int metric(Node node, String name) {
+    int metric(ControllerNode node, String name) {
         return get(node, "/metrics")
                 .lines()
                 .filter(l -> l.startsWith(name + " "))
@@ -659,7 +661,7 @@
     }
 
     /** Milliseconds that a controller's thread has spent so far, by part of its work. */
-    Map<String, Long> busyMs(Node node) {
+    Map<String, Long> busyMs(ControllerNode node) {
         String start = "landingridge_busy_ms_";
         Map<String, Long> parts = new LinkedHashMap<>();
         get(node, "/metrics").lines().filter(l -> l.startsWith(start)).forEach(l -> {
@@ -670,12 +672,12 @@
     }
 
     /** What a controller says of itself. */
-    JsonNode status(Node node) {
+    JsonNode status(ControllerNode node) {
         return Json.parse(get(node, "/api/status").getBytes(StandardCharsets.UTF_8));
     }
 
     /** Submits this body to a controller; the status of its answer. */
-    int post(Node node, byte[] body) {
+    int post(ControllerNode node, byte[] body) {
         int[] status = new int[1];
         sim.client(users)
                 .call(nodeAddr(node.index), "POST", "/api/jobs", body, 5_000, reply -> status[0] = reply.status());
@@ -685,7 +687,7 @@
         return status[0];
     }
 
-    private static String get(Node node, String path) {
+    private static String get(ControllerNode node, String path) {
         String[] text = new String[1];
         node.controller.serve(new Http.Exchange() {
             @Override
--- a/experiment/src/main/java/org/landingridge/experiment/Waiting.java
+++ b/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
@@ -2,26 +2,26 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.landingridge.emulator.Rules;
-import org.landingridge.emulator.Worker;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.InvariantChecker;
 import org.landingridge.wire.JobSpec;
 
 /**
  * Once all troubles are over no job may be left waiting while a machine that fits has room and its team is under its limit:
  * looks at the truth once a second.
  */
-final class Waiting {
+final class StarvationCheck {
     private static final int MOST_S = 90;
-    private final World world;
+    private final SimulatedCluster world;
     /** For how many seconds on end there has been room for a waiting task, by job. */
     private final Map<String, Integer> seconds = new HashMap<>();
 
-    Waiting(World world) {
+    StarvationCheck(SimulatedCluster world) {
         this.world = world;
     }
 
     void look() {
-        Rules rules = world.rules;
+        InvariantChecker rules = world.rules;
         rules.told.forEach((id, told) -> {
             JobSpec spec = rules.specs.get(id);
             boolean waits = told.equals("accepted")
@@ -36,7 +36,7 @@
         });
     }
 
-    private static boolean waits(Rules rules, JobSpec spec) {
+    private static boolean waits(InvariantChecker rules, JobSpec spec) {
         for (int i = 0; i < spec.tasks(); i++) {
             String task = spec.id() + "/" + i;
             if (!rules.places.containsKey(task) && !rules.completed.contains(task)) {
@@ -46,14 +46,14 @@
         return false;
     }
 
-    private static boolean fits(Rules rules, JobSpec spec, Worker w) {
+    private static boolean fits(InvariantChecker rules, JobSpec spec, EmulatedWorker w) {
         String zone = w.box().zone;
         Map<String, String> there = rules.placesOf(spec.id());
         long here = there.values().stream().filter(p -> p.endsWith("@" + zone)).count();
         return !w.hangs()
                 && w.free() >= spec.cpus()
                 && (spec.spot() || !w.box().spot)
-                && (spec.types() == null || spec.types().contains(World.TYPE))
+                && (spec.types() == null || spec.types().contains(SimulatedCluster.TYPE))
                 && (spec.zone() == null || spec.zone().equals(zone))
                 && (!spec.oneZone() || there.isEmpty() || here > 0)
                 && (!spec.spread() || here < (spec.tasks() + 1) / 2);
--- a/experiment/src/main/java/org/landingridge/experiment/StoredTruth.java
+++ b/experiment/src/main/java/org/landingridge/experiment/StoredGroundTruth.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.emulator.StateService;
-import org.landingridge.emulator.Truth;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.emulator.EmulatedStateService;
+import org.landingridge.emulator.GroundTruth;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.JobSpec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -17,10 +17,10 @@
  * The truth where there is no test to tell it: users have uploaded no descriptions here, so workers take those that the
  * controllers have stored.
  */
-public final class StoredTruth implements Truth {
-    private static final Logger LOG = LoggerFactory.getLogger(StoredTruth.class);
+public final class StoredGroundTruth implements GroundTruth {
+    private static final Logger LOG = LoggerFactory.getLogger(StoredGroundTruth.class);
     private static final int MOST_SPECS = 10_000;
-    private final StateService state;
+    private final EmulatedStateService state;
     private final Map<String, JobSpec> specs = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobSpec> eldest) {
@@ -29,7 +29,7 @@
     };
     private final Set<String> completed = new HashSet<>();
 
-    public StoredTruth(StateService state) {
+    public StoredGroundTruth(EmulatedStateService state) {
         this.state = state;
     }
 
@@ -44,7 +44,7 @@
             JobSpec spec = JobSpec.read(stored.get("spec"));
             specs.put(jobId, spec);
             return spec;
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             LOG.warn("the stored description of {} cannot be read: {}", jobId, e.getMessage());
             return null;
         }
--- a/experiment/src/test/java/org/landingridge/experiment/AnswersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.crash;
-import static org.landingridge.experiment.Checks.everybodySaysTheSame;
-import static org.landingridge.experiment.Checks.kept;
+import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.everybodySaysTheSame;
+import static org.landingridge.experiment.ClusterAssertions.kept;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.Json;
 
 /** What users are told when they look closely, call off at the worst moment, or ask for odd things; {@code docs/meetings.md}. */
-class AnswersTest {
+class ApiConsistencyTest {
     private static final int FIRST = 100;
     private static final int JOBS = 40;
 
@@ -38,20 +38,20 @@
     }
 
     /** Short jobs of one to three tasks, one each half second; a quarter is called off after a while. */
-    private static List<String> jobs(World w, long fromMs) {
+    private static List<String> jobs(SimulatedCluster w, long fromMs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
             int n = FIRST + i;
-            ids.add(World.id(n));
-            w.at(fromMs + i * 500L, () -> w.submit(World.job(n, "blue", false, 1 + n % 3, 1, 2 + n % 4)));
+            ids.add(SimulatedCluster.id(n));
+            w.at(fromMs + i * 500L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 1 + n % 3, 1, 2 + n % 4)));
             if (i % 4 == 3) {
-                w.at(fromMs + i * 500L + 1_500 + 100 * i, () -> w.cancel(World.id(n)));
+                w.at(fromMs + i * 500L + 1_500 + 100 * i, () -> w.cancel(SimulatedCluster.id(n)));
             }
         }
         return ids;
     }
 
-    private static void befalls(World w, Trouble trouble) {
+    private static void befalls(SimulatedCluster w, Trouble trouble) {
         switch (trouble) {
             case NONE -> {}
             case LEADER_ENDS -> {
@@ -91,7 +91,7 @@
             "asked at all controllers within milliseconds of an acceptance, an end, a cancellation: nobody tells anything older")
     void closeLooks(Trouble trouble) {
         for (int seed = 0; seed < 3; seed++) {
-            World w = new World(700 + 10 * trouble.ordinal() + seed, 0);
+            SimulatedCluster w = new SimulatedCluster(700 + 10 * trouble.ordinal() + seed, 0);
             w.closeLooks = true;
             List<String> ids = jobs(w, 6_000);
             befalls(w, trouble);
@@ -106,7 +106,7 @@
             "called off, asked for and submitted again at the moment at which the last task ends: one of done and cancelled, for good")
     void theLastTaskEnds(Trouble trouble) {
         for (int seed = 0; seed < 3; seed++) {
-            World w = new World(800 + 10 * trouble.ordinal() + seed, 0);
+            SimulatedCluster w = new SimulatedCluster(800 + 10 * trouble.ordinal() + seed, 0);
             w.closeLooks = true;
             w.cancelAtEnd = 0.6;
             List<String> ids = jobs(w, 6_000);
@@ -120,7 +120,7 @@
     @DisplayName(
             "with no trouble a job is called done at every controller three seconds after its last task, and who cancels then hears done")
     void doneInTime() {
-        World w = new World(790, 0);
+        SimulatedCluster w = new SimulatedCluster(790, 0);
         List<String> late = new ArrayList<>();
         w.rules.allCompleted = id -> w.at(
                 w.sim.now + 3_000,
@@ -144,12 +144,12 @@
     @DisplayName(
             "looked at while ended jobs move into the history, at controllers that keep few of them and one that was just started")
     void whileJobsMove(long seed) {
-        World w = new World(880 + seed, 0);
+        SimulatedCluster w = new SimulatedCluster(880 + seed, 0);
         w.ended(3_000, 600, 1);
         w.closeLooks = true;
         List<String> ids = jobs(w, 36_000);
         for (int i = 0; i < 300; i++) {
-            String id = World.id(3_000 + i * 2);
+            String id = SimulatedCluster.id(3_000 + i * 2);
             int node = i % 3;
             w.at(30_000 + i * 100L, () -> {
                 w.askOnce(id, "poll", node);
@@ -162,28 +162,33 @@
         assertTrue(w.state.keys("lr/job/").size() < 560, "some have moved");
         everybodySaysTheSame(w, ids);
         everybodySaysTheSame(
-                w, IntStream.range(0, 600).mapToObj(i -> World.id(3_000 + i)).toList());
+                w,
+                IntStream.range(0, 600)
+                        .mapToObj(i -> SimulatedCluster.id(3_000 + i))
+                        .toList());
     }
 
     @Test
     @DisplayName(
             "what is malformed gets 400 and what can never run 422, at every controller; a known job its state, whatever comes under its id")
     void oddRequests() {
-        World w = new World(890, 0);
+        SimulatedCluster w = new SimulatedCluster(890, 0);
         w.sim.run(5_000);
-        w.rules.specs.put(World.id(1), World.job(1, "blue", false, 1, 1, 5));
-        for (World.Node n : w.nodes) {
+        w.rules.specs.put(SimulatedCluster.id(1), SimulatedCluster.job(1, "blue", false, 1, 1, 5));
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
             assertEquals(
-                    n.index == 0 ? 201 : 200, answer(w, n, OddJobs.lawful(World.id(1))), "a lawful one is accepted");
+                    n.index == 0 ? 201 : 200,
+                    answer(w, n, InvalidSubmissions.lawful(SimulatedCluster.id(1))),
+                    "a lawful one is accepted");
         }
         int number = 2;
-        for (OddJobs.Odd odd : OddJobs.all("")) {
-            String id = World.id(number++);
-            for (World.Node n : w.nodes) {
+        for (InvalidSubmissions.Odd odd : InvalidSubmissions.all("")) {
+            String id = SimulatedCluster.id(number++);
+            for (SimulatedCluster.ControllerNode n : w.nodes) {
                 assertEquals(odd.status(), answer(w, n, odd.body().deepCopy().put("id", id)), odd.what());
                 assertEquals(
                         200,
-                        answer(w, n, odd.body().deepCopy().put("id", World.id(1))),
+                        answer(w, n, odd.body().deepCopy().put("id", SimulatedCluster.id(1))),
                         odd.what() + " of a known job");
             }
         }
@@ -193,7 +198,7 @@
         }
     }
 
-    private static int answer(World w, World.Node node, ObjectNode body) {
+    private static int answer(SimulatedCluster w, SimulatedCluster.ControllerNode node, ObjectNode body) {
         return w.post(node, Json.bytes(body));
     }
 
@@ -202,28 +207,30 @@
     @DisplayName(
             "one-task jobs, four a second for two minutes, a quarter cancelled, on fifteen changes a second; leader and state service go meanwhile")
     void manySmallJobs(long seed, long back) {
-        World w = new World(new World.Setup(
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
                 900 + seed,
                 3,
                 20,
                 3_000,
-                World.REPORT_MS,
-                World.LEASE_MS,
-                World.Setup.small(0, 0, 3).teams(),
+                SimulatedCluster.REPORT_MS,
+                SimulatedCluster.LEASE_MS,
+                SimulatedCluster.Setup.small(0, 0, 3).teams(),
                 new Settings.State(200, 15, 8, 8)));
         w.enforceLimits();
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 480; i++) {
             int n = FIRST + i;
-            ids.add(World.id(n));
-            w.at(8_000 + i * 250L, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1, 0.5, 3)));
+            ids.add(SimulatedCluster.id(n));
+            w.at(
+                    8_000 + i * 250L,
+                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1, 0.5, 3)));
             if (i % 4 == 1) {
-                w.at(8_000 + i * 250L + 2_000 + n % 7 * 300L, () -> w.cancel(World.id(n)));
+                w.at(8_000 + i * 250L + 2_000 + n % 7 * 300L, () -> w.cancel(SimulatedCluster.id(n)));
             }
         }
-        w.at(20_000, () -> w.submit(World.job(50, "blue", false, 30, 1, 8)));
-        w.at(40_000, () -> w.submit(World.job(51, "red", false, 20, 1, 8)));
-        ids.addAll(List.of(World.id(50), World.id(51)));
+        w.at(20_000, () -> w.submit(SimulatedCluster.job(50, "blue", false, 30, 1, 8)));
+        w.at(40_000, () -> w.submit(SimulatedCluster.job(51, "red", false, 20, 1, 8)));
+        ids.addAll(List.of(SimulatedCluster.id(50), SimulatedCluster.id(51)));
         if (back > 0) {
             w.at(50_000, () -> crash(w.leader(), back));
             w.at(70_000, () -> w.state.outage(true));
@@ -237,7 +244,7 @@
             assertEquals(0, w.admissions.result().late(), w.admissions.result().toString());
         }
         assertEquals(482, w.over("done") + w.over("cancelled"));
-        for (World.Node n : w.nodes) {
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
             assertTrue(w.status(n).path("activeJobs").asInt() == 0, "nothing is left");
         }
         kept(w);
@@ -246,7 +253,7 @@
     @Test
     @DisplayName("stored values that cannot be read are named, never taken for empty, and the rest goes on")
     void whatCannotBeRead() {
-        World w = new World(920, 0);
+        SimulatedCluster w = new SimulatedCluster(920, 0);
         List<String> stored = List.of(
                 "{\"at\":1,\"spec\":{\"id\":\"job-000001\"}}",
                 "{\"ended\":\"LOST\",\"takes\":1}",
@@ -254,7 +261,9 @@
                 "[]",
                 "{\"ended\":\"ACCEPTED\"}");
         for (int i = 0; i < stored.size(); i++) {
-            w.state.seed("lr/job/" + World.id(1 + i), Json.parse(stored.get(i).getBytes()));
+            w.state.seed(
+                    "lr/job/" + SimulatedCluster.id(1 + i),
+                    Json.parse(stored.get(i).getBytes()));
         }
         w.state.seed("lr/op/r-1-1", Json.parse("{\"kind\":\"BUY\",\"state\":\"UNKNOWN\",\"request\":{}}".getBytes()));
         w.state.seed("lr/op/b-1-2", Json.parse("7".getBytes()));
@@ -263,9 +272,9 @@
         w.at(15_000, () -> crash(w.leader(), 200));
         w.sim.run(60_000);
         everybodySaysTheSame(w, ids);
-        for (World.Node n : w.nodes) {
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
             for (int i = 0; i < stored.size(); i++) {
-                assertEquals(503, answer(w, n, OddJobs.lawful(World.id(1 + i))), stored.get(i));
+                assertEquals(503, answer(w, n, InvalidSubmissions.lawful(SimulatedCluster.id(1 + i))), stored.get(i));
             }
         }
         assertEquals(
--- a/experiment/src/test/java/org/landingridge/experiment/CapacityTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/CapacityTest.java
@@ -15,7 +15,7 @@
     void theSmallestSizeOfEachAxisPlays(CapacityCommand.Axis axis) {
         CapacityCommand command = new CapacityCommand();
         new CommandLine(command).parseArgs("--scale", "20");
-        Play.Outcome o = Play.once(command.plan(axis, 4), 1, false);
+        ExperimentRun.Outcome o = ExperimentRun.once(command.plan(axis, 4), 1, false);
         assertEquals(java.util.List.of(), o.broken());
         assertTrue(o.submitted() > 2, o.submitted() + " jobs");
     }
--- a/experiment/src/test/java/org/landingridge/experiment/Checks.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /** What several histories begin with, and what all must keep. */
-final class Checks {
-    private Checks() {}
+final class ClusterAssertions {
+    private ClusterAssertions() {}
 
-    static void kept(World w) {
+    static void kept(SimulatedCluster w) {
         assertEquals(List.of(), w.rules.broken);
         assertEquals(0, w.state.tooLarge);
     }
 
     /** Once all troubles are over: nobody waits for 90 s beside room for it, and every one of these jobs finds an answer. */
-    static void settled(World w, List<String> ids) {
-        Waiting waiting = new Waiting(w);
+    static void settled(SimulatedCluster w, List<String> ids) {
+        StarvationCheck waiting = new StarvationCheck(w);
         for (int s = 0; s < 100; s++) {
             w.sim.run(w.sim.now + 1_000);
             waiting.look();
@@ -26,8 +26,8 @@
     }
 
     /** Every controller answers for each of these jobs, and nobody is told anything older. */
-    private static void everybodyAnswers(World w, List<String> ids) {
-        for (World.Node n : w.nodes) {
+    private static void everybodyAnswers(SimulatedCluster w, List<String> ids) {
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
             long from = w.sim.now;
             for (int i = 0; i < ids.size(); i++) {
                 String id = ids.get(i);
@@ -39,7 +39,7 @@
     }
 
     /** All of these jobs are over, and every controller says the same of each. */
-    static void everybodySaysTheSame(World w, List<String> ids) {
+    static void everybodySaysTheSame(SimulatedCluster w, List<String> ids) {
         everybodyAnswers(w, ids);
         kept(w);
         for (String id : ids) {
@@ -49,17 +49,17 @@
     }
 
     /** Services of a whole machine each, all running after 30 s. */
-    static void services(World w, int count) {
+    static void services(SimulatedCluster w, int count) {
         for (int i = 0; i < count; i++) {
             int n = i;
-            w.at(100 + i * 50L, () -> w.submit(World.job(n, "blue", true, 1, 4, 0)));
+            w.at(100 + i * 50L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 4, 0)));
         }
         w.sim.run(30_000);
         assertEquals(count, w.rules.places.size());
     }
 
     /** Ends a controller that is up; null where nobody leads. */
-    static void crash(World.Node node, long back) {
+    static void crash(SimulatedCluster.ControllerNode node, long back) {
         if (node != null && node.host.up) {
             node.crash(back);
         }
--- a/experiment/src/test/java/org/landingridge/experiment/TwoCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -8,58 +8,59 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
 import org.landingridge.controller.history.Compactor;
 import org.landingridge.controller.history.History;
-import org.landingridge.controller.history.Place;
 import org.landingridge.controller.history.Segment;
+import org.landingridge.controller.history.SegmentAddress;
 import org.landingridge.controller.jobs.JobTable;
-import org.landingridge.controller.obs.Metrics;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.controller.store.Mirror;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.WatchCache;
 import org.landingridge.controller.upgrade.Capabilities;
-import org.landingridge.emulator.Sim;
-import org.landingridge.emulator.StateService;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.emulator.EmulatedStateService;
+import org.landingridge.emulator.Simulation;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
 /** Two that both take themselves for the leader, and move different jobs into the same segments at the same time. */
-class TwoCompactorsTest {
+class ConcurrentCompactorsTest {
     private static final int JOBS = 1_000;
 
-    private final Sim sim = new Sim(5);
-    private final StateService state = new StateService(sim.host("state"));
+    private final Simulation sim = new Simulation(5);
+    private final EmulatedStateService state = new EmulatedStateService(sim.host("state"));
 
     /** One of the two; {@code odd} tells which jobs it leaves alone. */
     private void side(String name, boolean odd, long leader) {
-        Sim.Host host = sim.host(name);
+        Simulation.Host host = sim.host(name);
         StateClient client = new StateClient(sim.client(host), "state");
         Metrics metrics = new Metrics(host::nanos);
         History[] history = new History[1];
         Capabilities[] capabilities = new Capabilities[1];
         JobTable table = new JobTable(host::now, id -> {});
-        Mirror mirror = new Mirror(client, host, Keys.ROOT, "lr", 30, metrics.busy, (key, value, version) -> {
-            if (key.startsWith(Keys.JOBS)) {
-                table.changed(key.substring(Keys.JOBS.length()), value, version);
-            } else if (key.startsWith(Place.ROOT)) {
-                history[0].changed(key, value, version);
-            } else if (key.startsWith(Capabilities.ROOT)) {
-                capabilities[0].changed(key, value);
-            }
-        });
-        history[0] = new History(client, mirror, metrics);
-        capabilities[0] = new Capabilities(client, mirror, host, name, List.of("a", "b"));
+        WatchCache watchCache =
+                new WatchCache(client, host, Keys.ROOT, "lr", 30, metrics.busy, (key, value, version) -> {
+                    if (key.startsWith(Keys.JOBS)) {
+                        table.changed(key.substring(Keys.JOBS.length()), value, version);
+                    } else if (key.startsWith(SegmentAddress.ROOT)) {
+                        history[0].changed(key, value, version);
+                    } else if (key.startsWith(Capabilities.ROOT)) {
+                        capabilities[0].changed(key, value);
+                    }
+                });
+        history[0] = new History(client, watchCache, metrics);
+        capabilities[0] = new Capabilities(client, watchCache, host, name, List.of("a", "b"));
         Compactor compactor = new Compactor(
                 client,
-                mirror,
+                watchCache,
                 host,
                 table,
                 history[0],
                 capabilities[0],
                 metrics,
-                new Compactor.Reign() {
+                new Compactor.Owner() {
                     @Override
                     public boolean mayAct() {
                         return true;
@@ -82,7 +83,7 @@
                 () -> leader,
                 new Settings.State(1_000, 400, 4, 8),
                 0.5);
-        mirror.start();
+        watchCache.start();
         compactor.start();
     }
 
@@ -93,11 +94,11 @@
     /** Blind to the condition on the segment, the one's write takes the other's jobs away. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void noMoveIsLost(boolean blind) throws BadMessage {
+    void noMoveIsLost(boolean blind) throws InvalidMessageException {
         ended();
         long leader = JOBS + 3;
         if (blind) {
-            state.blindTo.add(Place.ROOT);
+            state.blindTo.add(SegmentAddress.ROOT);
         }
         side("a", true, leader);
         side("b", false, leader);
@@ -105,7 +106,7 @@
         int past = 0;
         int lost = 0;
         for (int i = 0; i < JOBS; i++) {
-            Place place = Place.of(id(i));
+            SegmentAddress place = SegmentAddress.of(id(i));
             var value = state.value(place.key());
             var ended = value == null ? null : Segment.read(value).get(place.offset());
             boolean there = state.value(Keys.JOBS + id(i)) != null;
@@ -131,10 +132,10 @@
         state.seed(Keys.LEADER, Json.object().put("host", "a"));
     }
 
-    private int moved(int from, int to) throws BadMessage {
+    private int moved(int from, int to) throws InvalidMessageException {
         int moved = 0;
         for (int i = from; i < to; i += 2) {
-            Place place = Place.of(id(i));
+            SegmentAddress place = SegmentAddress.of(id(i));
             var value = state.value(place.key());
             moved += value != null && Segment.read(value).get(place.offset()) != null ? 1 : 0;
         }
@@ -144,7 +145,7 @@
     /** One that does not lead any more, and has not heard of it, moves nothing. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoDoesNotLeadMovesNothing(boolean blind) throws BadMessage {
+    void whoDoesNotLeadMovesNothing(boolean blind) throws InvalidMessageException {
         ended();
         if (blind) {
             state.blindTo.add(Keys.LEADER);
@@ -157,12 +158,12 @@
     /** A job whose key has changed since it was seen stays: what moves is what stands there. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatHasChangedMeanwhileStays(boolean blind) throws BadMessage {
+    void whatHasChangedMeanwhileStays(boolean blind) throws InvalidMessageException {
         ended();
         if (blind) {
             state.blindTo.add(Keys.JOBS);
         }
-        Sim.Host other = sim.host("other");
+        Simulation.Host other = sim.host("other");
         rewrite(other, new StateClient(sim.client(other), "state"));
         side("a", true, JOBS + 3);
         sim.run(60_000);
@@ -170,7 +171,7 @@
     }
 
     /** Somebody writes the first jobs' keys again and again, faster than anybody hears of it. */
-    private static void rewrite(Sim.Host host, StateClient client) {
+    private static void rewrite(Simulation.Host host, StateClient client) {
         for (int i = 0; i < 8; i++) {
             client.commit(
                     List.of(),
--- a/experiment/src/test/java/org/landingridge/experiment/DocumentsOnPagesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/DocumentedExamplesTest.java
@@ -13,13 +13,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
 /** The documents that the pages tell a newcomer to write are taken from the pages, and sent to running controllers. */
-class DocumentsOnPagesTest {
+class DocumentedExamplesTest {
     private static JsonNode document(String page, String file) throws IOException {
         String text = Files.readString(Path.of("..", "docs", page), StandardCharsets.UTF_8);
         Matcher found = Pattern.compile("cat > " + file + " <<'(\\w+)'\n(.*?)\n *\\1\n", Pattern.DOTALL)
@@ -30,19 +30,26 @@
         return document;
     }
 
-    private static World world(String... teams) {
+    private static SimulatedCluster world(String... teams) {
         Map<String, Settings.Team> all = new java.util.LinkedHashMap<>();
         for (String team : teams) {
             all.put(team, new Settings.Team(team, 8, 0, 0, 0));
         }
-        return new World(new World.Setup(
-                1, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, all, new Settings.State(200, 20, 4, 8)));
+        return new SimulatedCluster(new SimulatedCluster.Setup(
+                1,
+                3,
+                20,
+                3_000,
+                SimulatedCluster.REPORT_MS,
+                SimulatedCluster.LEASE_MS,
+                all,
+                new Settings.State(200, 20, 4, 8)));
     }
 
     @Test
-    void theFirstJobRuns() throws IOException, BadMessage {
+    void theFirstJobRuns() throws IOException, InvalidMessageException {
         JsonNode job = document("experiments.md", "job.json");
-        World w = world("local");
+        SimulatedCluster w = world("local");
         JobSpec spec = JobSpec.parse(job);
         w.rules.specs.put(spec.id(), spec);
         w.sim.run(3_000);
@@ -56,7 +63,7 @@
     void theFirstChangeOfTeamsIsMade() throws IOException {
         ObjectNode change = (ObjectNode) document("configuration.md", "teams.json");
         change.put("key", "k").put("by", "ann").put("why", "more room for the launch");
-        World w = world("vision", "old");
+        SimulatedCluster w = world("vision", "old");
         int[] status = new int[1];
         w.at(3_000, () -> w.configure(0, change, reply -> status[0] = reply.status()));
         w.sim.run(6_000);
--- a/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.BadSettings;
-import org.landingridge.emulator.Rules;
-import org.landingridge.emulator.Sim;
+import org.landingridge.controller.settings.InvalidSettingsException;
+import org.landingridge.emulator.InvariantChecker;
+import org.landingridge.emulator.Simulation;
 
 class ExperimentTest {
     private static final String GOOD = """
@@ -48,7 +48,7 @@
     @TempDir
     private Path dir;
 
-    private Experiment read(String text) throws BadSettings, IOException {
+    private Experiment read(String text) throws InvalidSettingsException, IOException {
         return Experiment.read(Files.writeString(dir.resolve("e.toml"), text));
     }
 
@@ -65,17 +65,17 @@
         "seeds = [4],seeds = [,e.toml"
     })
     void whatIsOutOfRangeIsNamed(String good, String bad, String named) {
-        BadSettings e = assertThrows(BadSettings.class, () -> read(GOOD.replace(good, bad)));
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> read(GOOD.replace(good, bad)));
         assertTrue(e.getMessage().contains(named) && e.getMessage().contains("e.toml"), e.getMessage());
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
     }
 
     /** The seed decides all that happens; the report tells it, and cannot be broken by a name. */
     @Test
-    void playsTheSameTwice() throws BadSettings, IOException {
+    void playsTheSameTwice() throws InvalidSettingsException, IOException {
         Experiment plan = read(GOOD);
-        Play.Outcome one = Play.once(plan, 4);
-        Play.Outcome two = Play.once(plan, 4);
+        ExperimentRun.Outcome one = ExperimentRun.once(plan, 4);
+        ExperimentRun.Outcome two = ExperimentRun.once(plan, 4);
         assertEquals(List.of(), one.broken());
         assertEquals(one.samples(), two.samples());
         assertEquals(one.recoveries(), two.recoveries());
@@ -83,7 +83,7 @@
         assertEquals(one.submitted(), one.done());
         assertTrue(one.submitted() >= 4);
         Path page = dir.resolve("r.html");
-        Report.write(page, plan, List.of(one));
+        ExperimentReport.write(page, plan, List.of(one));
         String html = Files.readString(page);
         assertTrue(html.contains("small &lt;one&gt;") && html.contains("No rule was broken"), html.substring(0, 300));
         assertFalse(html.contains("small <one>"));
@@ -93,7 +93,7 @@
     /** Only a wait in which somebody could have accepted counts against the service. */
     @Test
     void lateSubmissionsAreToldApartByWhoCouldHaveHelped() {
-        Admissions a = new Admissions();
+        AdmissionDelays a = new AdmissionDelays();
         a.asked("soon", 0);
         a.asked("slow", 0);
         a.accepted("soon", 1_000);
@@ -104,12 +104,12 @@
         a.accepted("closed", 3_100);
         a.accepted("closed", 9_000);
         a.accepted("after", 3_100);
-        assertEquals(new Admissions.Result(4, 2, 1, 0.1), a.result());
+        assertEquals(new AdmissionDelays.Result(4, 2, 1, 0.1), a.result());
     }
 
     @Test
-    void anOutageMakesSubmissionsLate() throws BadSettings, IOException {
-        Play.Outcome o = Play.once(
+    void anOutageMakesSubmissionsLate() throws InvalidSettingsException, IOException {
+        ExperimentRun.Outcome o = ExperimentRun.once(
                 read(GOOD.replace("per_minute = 6", "per_minute = 60")
                         .replace("crash_leader", "state_outage")
                         .replace("for_s = 2.0", "for_s = 5.0")
@@ -124,8 +124,9 @@
     /** With a seed that the files themselves do not play. */
     @ParameterizedTest
     @ValueSource(strings = {"bad-nights", "wide-fleet"})
-    void badNightsAndTheWideFleetKeepEveryRuleAndServeEverybody(String name) throws BadSettings {
-        Play.Outcome o = Play.once(Experiment.read(Path.of("..", "deploy", "experiments", name + ".toml")), 7);
+    void badNightsAndTheWideFleetKeepEveryRuleAndServeEverybody(String name) throws InvalidSettingsException {
+        ExperimentRun.Outcome o =
+                ExperimentRun.once(Experiment.read(Path.of("..", "deploy", "experiments", name + ".toml")), 7);
         assertEquals(List.of(), o.broken());
         assertTrue(o.served().size() >= 6, o.served().toString());
         o.served().forEach(f -> assertTrue(f.served() > 0.9, f.toString()));
@@ -134,43 +135,43 @@
     /** Unserved is what gets less than half where the plain model gives more; what came too late does not count. */
     @Test
     void whoIsNotServedIsTold() {
-        Rules rules = new Rules(new Sim(1).host("users"), 1_000);
-        Served served = new Served();
+        InvariantChecker rules = new InvariantChecker(new Simulation(1).host("users"), 1_000);
+        ServedDemand served = new ServedDemand();
         for (int i = 0; i < 4; i++) {
-            served.asked(World.job(i, "red", true, 2, 1, 0), 10);
-            served.asked(World.job(10 + i, "blue", false, 2, 1, 20), 10 + i * 60);
+            served.asked(SimulatedCluster.job(i, "red", true, 2, 1, 0), 10);
+            served.asked(SimulatedCluster.job(10 + i, "blue", false, 2, 1, 20), 10 + i * 60);
         }
         rules.places.put("job-000000/0", "m@a");
-        rules.specs.put("job-000010", World.job(10, "blue", false, 2, 1, 20));
+        rules.specs.put("job-000010", SimulatedCluster.job(10, "blue", false, 2, 1, 20));
         for (String task : List.of("job-000010/0", "job-000010/1")) {
             rules.starts(task, "m", "t4", "a", false);
             rules.ends(task, true);
         }
-        List<Served.Figure> figures = served.figures(rules, 200, 100);
+        List<ServedDemand.Figure> figures = served.figures(rules, 200, 100);
         assertEquals(
                 List.of(
-                        new Served.Figure("batch", 2, 0.5, 1),
-                        new Served.Figure("live", 4, 0.125, 1),
-                        new Served.Figure("largest batch", 1, 1, 1),
-                        new Served.Figure("largest batch begun in 240 s", 1, 1, 1),
-                        new Served.Figure("team blue", 2, 0.5, 1),
-                        new Served.Figure("team red", 4, 0.125, 1)),
+                        new ServedDemand.Figure("batch", 2, 0.5, 1),
+                        new ServedDemand.Figure("live", 4, 0.125, 1),
+                        new ServedDemand.Figure("largest batch", 1, 1, 1),
+                        new ServedDemand.Figure("largest batch begun in 240 s", 1, 1, 1),
+                        new ServedDemand.Figure("team blue", 2, 0.5, 1),
+                        new ServedDemand.Figure("team red", 4, 0.125, 1)),
                 figures);
         assertEquals(
                 List.of(false, true, false, false, false, true),
-                figures.stream().map(Served.Figure::unserved).toList());
+                figures.stream().map(ServedDemand.Figure::unserved).toList());
         assertEquals(
                 6,
                 served.figures(rules, 200, 3).stream()
                         .filter(f -> !f.unserved())
                         .count(),
                 "with three processors nobody could serve half of it");
-        served.asked(World.job(20, "blue", false, 9, 1, 20), 10);
+        served.asked(SimulatedCluster.job(20, "blue", false, 9, 1, 20), 10);
         assertEquals(
                 List.of("largest batch", "largest batch begun in 240 s"),
                 served.figures(rules, 200, 100).stream()
                         .filter(f -> f.name().startsWith("largest") && f.unserved())
-                        .map(Served.Figure::name)
+                        .map(ServedDemand.Figure::name)
                         .toList(),
                 "the largest of the class has not begun");
     }
--- a/experiment/src/test/java/org/landingridge/experiment/HistoriesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -4,34 +4,35 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.kept;
+import static org.landingridge.experiment.ClusterAssertions.kept;
 
 import java.util.List;
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.emulator.Worker;
+import org.landingridge.emulator.EmulatedWorker;
 
 /** Whole histories of three controllers among stand-ins, every rule checked throughout. */
-class HistoriesTest {
+class FailoverTest {
     /** A mixed load: services that stay, batch jobs that end, some cancelled. */
-    private static void load(World w) {
+    private static void load(SimulatedCluster w) {
         for (int i = 0; i < 4; i++) {
-            w.submit(World.job(i, "blue", true, 1, 1, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
         }
         for (int i = 10; i < 26; i++) {
             int n = i;
             w.at(
                     500L + (i - 10) * 1_500,
-                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
+                    () -> w.submit(
+                            SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
             if (i % 5 == 0) {
                 w.at(3_000L + (i - 10) * 1_500, () -> w.cancel(String.format("job-%06d", n)));
             }
         }
     }
 
-    private static void allOver(World w) {
+    private static void allOver(SimulatedCluster w) {
         kept(w);
         for (int i = 10; i < 26; i++) {
             String told = w.rules.told.get(String.format("job-%06d", i));
@@ -44,7 +45,7 @@
 
     @Test
     void quietDay() {
-        World w = new World(1, 10);
+        SimulatedCluster w = new SimulatedCluster(1, 10);
         load(w);
         w.sim.run(90_000);
         allOver(w);
@@ -54,7 +55,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void leaderCrashesAgainAndAgain(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         load(w);
         for (int i = 1; i <= 4; i++) {
             w.at(i * 9_000L + seed * 313, () -> {
@@ -70,9 +71,9 @@
     /** A fresh process reads the finished tasks before their jobs: it started all of them again. */
     @Test
     void aFreshLeaderKnowsWhatIsDone() {
-        World w = new World(5, 10);
+        SimulatedCluster w = new SimulatedCluster(5, 10);
         w.cloud.capacity = 1;
-        w.submit(World.job(50, "red", false, 10, 2, 4));
+        w.submit(SimulatedCluster.job(50, "red", false, 10, 2, 4));
         w.at(16_000, () -> w.nodes.forEach(n -> n.crash(4_000)));
         w.at(15_900, () -> assertTrue(w.rules.completed.size() >= 4, w.rules.completed + " by now"));
         w.sim.run(120_000);
@@ -84,7 +85,7 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void allControllersCrashWithinAnOutage(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         load(w);
         w.at(15_000, () -> w.state.outage(true));
         w.at(20_000 + seed * 100, () -> w.nodes.forEach(n -> n.crash(2_000)));
@@ -96,17 +97,17 @@
     @Test
     @DisplayName("an outage of the state service longer than the lease loses no task")
     void outageLongerThanTheLease() {
-        World w = new World(21, 0);
+        SimulatedCluster w = new SimulatedCluster(21, 0);
         for (int i = 0; i < 4; i++) {
-            w.submit(World.job(i, "blue", true, 1, 1, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
         }
         w.sim.run(20_000);
         int starts = w.rules.starts;
         assertEquals(4, w.rules.places.size());
         w.state.outage(true);
-        w.sim.run(20_000 + 3 * World.LEASE_MS);
+        w.sim.run(20_000 + 3 * SimulatedCluster.LEASE_MS);
         w.state.outage(false);
-        w.sim.run(60_000 + 3 * World.LEASE_MS);
+        w.sim.run(60_000 + 3 * SimulatedCluster.LEASE_MS);
         assertEquals(starts, w.rules.starts, "nothing was lost, so nothing was started again");
         kept(w);
     }
@@ -114,12 +115,12 @@
     @Test
     @DisplayName("a leader refused by the state service alone hands over, and no task is lost")
     void refusedAlone() {
-        World w = new World(22, 0);
+        SimulatedCluster w = new SimulatedCluster(22, 0);
         for (int i = 0; i < 4; i++) {
-            w.submit(World.job(i, "blue", true, 1, 1, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
         }
         w.sim.run(20_000);
-        World.Node before = w.leader();
+        SimulatedCluster.ControllerNode before = w.leader();
         int starts = w.rules.starts;
         w.state.refuse(before.host.name, true);
         w.sim.run(26_000);
@@ -133,17 +134,17 @@
     @Test
     @DisplayName("a leader that only the workers cannot reach keeps their leases through the others")
     void cutFromWorkers() {
-        World w = new World(23, 0);
+        SimulatedCluster w = new SimulatedCluster(23, 0);
         for (int i = 0; i < 4; i++) {
-            w.submit(World.job(i, "blue", true, 1, 1, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
         }
         w.sim.run(20_000);
         int starts = w.rules.starts;
         w.workers.forEach(x -> w.sim.cut(w.leader().host.name, x.box().id));
-        w.sim.run(20_000 + 4 * World.LEASE_MS);
+        w.sim.run(20_000 + 4 * SimulatedCluster.LEASE_MS);
         assertEquals(starts, w.rules.starts);
         w.sim.heal();
-        w.sim.run(40_000 + 4 * World.LEASE_MS);
+        w.sim.run(40_000 + 4 * SimulatedCluster.LEASE_MS);
         assertEquals(starts, w.rules.starts);
         kept(w);
     }
@@ -151,10 +152,10 @@
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
     void leaderIsCutOffAndItsMessagesArriveLate(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         load(w);
         w.at(12_000 + seed * 97, () -> {
-            World.Node leader = w.leader();
+            SimulatedCluster.ControllerNode leader = w.leader();
             if (leader != null) {
                 w.sim.cut(leader.host.name, "state");
                 w.nodes.forEach(n -> w.sim.cut(leader.host.name, n.host.name));
@@ -171,7 +172,7 @@
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43, 44})
     void answersOfStateAndCloudGetLost(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.sim.lostAnswers.put("state", 0.1);
         w.sim.lostAnswers.put("cloud", 0.4);
         load(w);
@@ -183,13 +184,13 @@
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54})
     void workersHangAndGoOn(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         load(w);
         for (int i = 0; i < 5; i++) {
             int n = i;
             w.at(9_000 + i * 6_000L, () -> {
                 if (!w.workers.isEmpty()) {
-                    Worker x = w.workers.get((int) ((seed + n) % w.workers.size()));
+                    EmulatedWorker x = w.workers.get((int) ((seed + n) % w.workers.size()));
                     x.hang(true);
                     w.at(w.sim.now + 3_000 + n * 3_500L, () -> x.hang(false));
                 }
@@ -203,9 +204,9 @@
     @ValueSource(longs = {55, 56, 57})
     @DisplayName("what runs on a machine that hangs through a takeover is not started elsewhere")
     void workerHangsThroughATakeover(long seed) {
-        World w = new World(seed, 0);
+        SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
-            w.submit(World.job(i, "blue", true, 1, 2, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 2, 0));
         }
         w.at(20_000, () -> {
             w.workers.stream()
@@ -223,13 +224,13 @@
     @ValueSource(longs = {58, 59, 60})
     @DisplayName("what this leader has seen on a fenced machine is placed again while the census waits for another")
     void censusWaitsOnlyForWhatItDoesNotKnow(long seed) {
-        World w = new World(seed, 24);
+        SimulatedCluster w = new SimulatedCluster(seed, 24);
         for (int i = 0; i < 8; i++) {
-            w.submit(World.job(i, "red", true, 1, 1, 0));
+            w.submit(SimulatedCluster.job(i, "red", true, 1, 1, 0));
         }
         w.sim.run(20_000);
-        Worker silent = w.workers.get(0);
-        Worker failing = w.workers.stream()
+        EmulatedWorker silent = w.workers.get(0);
+        EmulatedWorker failing = w.workers.stream()
                 .filter(x -> x != silent && x.running() != null)
                 .findFirst()
                 .orElseThrow();
@@ -247,7 +248,7 @@
 
     @Test
     void machinesAreTakenInAWaveWhileTheLeaderCrashes() {
-        World w = new World(61, 10);
+        SimulatedCluster w = new SimulatedCluster(61, 10);
         load(w);
         w.at(16_000, () -> {
             List.copyOf(w.cloud.boxes.values()).stream().filter(b -> b.spot).forEach(b -> w.cloud.delete(b.id));
@@ -260,9 +261,9 @@
     @Test
     @DisplayName("a rent whose answer was lost when its leader crashed brings its machines once")
     void crashBetweenRentAndRecord() {
-        World w = new World(71, 0);
+        SimulatedCluster w = new SimulatedCluster(71, 0);
         w.at(3_000, () -> w.sim.lostAnswers.put("cloud", 1.0));
-        w.at(3_000, () -> w.submit(World.job(1, "blue", false, 2, 4, 3)));
+        w.at(3_000, () -> w.submit(SimulatedCluster.job(1, "blue", false, 2, 4, 3)));
         w.at(5_000, () -> {
             w.leader().crash(2_000);
             w.sim.lostAnswers.clear();
@@ -276,18 +277,18 @@
     @Test
     @DisplayName("a start that arrives minutes late, after its job was cancelled and cleared away, starts nothing")
     void lateStartOfACancelledJob() {
-        World w = new World(73, 0);
-        w.submit(World.job(1, "blue", true, 1, 1, 0));
+        SimulatedCluster w = new SimulatedCluster(73, 0);
+        w.submit(SimulatedCluster.job(1, "blue", true, 1, 1, 0));
         w.sim.run(20_000);
         w.workers.forEach(x -> w.sim.cut(w.leader().host.name, x.box().id));
-        w.submit(World.job(2, "blue", true, 1, 1, 0));
+        w.submit(SimulatedCluster.job(2, "blue", true, 1, 1, 0));
         w.sim.run(32_000);
         assertTrue(w.running("job-000002", 1), "it was started by the answer to a carried report");
         w.sim.dropping = true;
         w.cancel("job-000002");
-        w.sim.run(40_000 + 2 * World.CANCEL_MS);
+        w.sim.run(40_000 + 2 * SimulatedCluster.CANCEL_MS);
         w.sim.heal();
-        w.sim.run(60_000 + 2 * World.CANCEL_MS);
+        w.sim.run(60_000 + 2 * SimulatedCluster.CANCEL_MS);
         kept(w);
     }
 
@@ -295,29 +296,29 @@
     @ValueSource(longs = {83, 84, 85})
     @DisplayName("a new leader starts a service where its image is, although nothing with that image runs there")
     void imagesAreKnownAfterATakeover(long seed) {
-        World w = new World(seed, 0);
+        SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 1; i <= 6; i++) {
             int n = i;
-            w.at(100 + i * 10, () -> w.submit(World.job(n, "blue", true, 1, 4, 0)));
+            w.at(100 + i * 10, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 4, 0)));
         }
-        w.at(15_000, () -> w.submit(World.job(9, "blue", true, 1, 4, 0)));
+        w.at(15_000, () -> w.submit(SimulatedCluster.job(9, "blue", true, 1, 4, 0)));
         w.at(24_000, () -> w.cancel("job-000001"));
         w.at(24_000, () -> w.cancel("job-000002"));
         w.at(25_000, () -> w.leader().crash(30_000));
         w.sim.run(31_000);
-        int images = w.workers.stream().mapToInt(Worker::images).sum();
-        w.submit(World.job(10, "blue", true, 1, 4, 0));
-        w.submit(World.job(11, "blue", true, 1, 4, 0));
+        int images = w.workers.stream().mapToInt(EmulatedWorker::images).sum();
+        w.submit(SimulatedCluster.job(10, "blue", true, 1, 4, 0));
+        w.submit(SimulatedCluster.job(11, "blue", true, 1, 4, 0));
         w.sim.run(40_000);
         assertTrue(w.running("job-000010", 1) && w.running("job-000011", 1));
-        assertEquals(images, w.workers.stream().mapToInt(Worker::images).sum(), "no image was fetched again");
+        assertEquals(images, w.workers.stream().mapToInt(EmulatedWorker::images).sum(), "no image was fetched again");
         kept(w);
     }
 
     @Test
     void idleMachinesGoBack() {
-        World w = new World(81, 0);
-        w.submit(World.job(1, "blue", false, 4, 4, 2));
+        SimulatedCluster w = new SimulatedCluster(81, 0);
+        w.submit(SimulatedCluster.job(1, "blue", false, 4, 4, 2));
         w.sim.run(150_000);
         assertEquals("done", w.rules.told.get("job-000001"));
         assertTrue(w.cloud.boxes.values().stream().allMatch(b -> b.deleted));
@@ -327,8 +328,8 @@
     @Test
     @DisplayName("a job of many tasks fits the stored values and the write rate")
     void manyTasks() {
-        World w = new World(91, 0);
-        w.submit(World.job(1, "blue", false, 600, 0.1, 1));
+        SimulatedCluster w = new SimulatedCluster(91, 0);
+        w.submit(SimulatedCluster.job(1, "blue", false, 600, 0.1, 1));
         w.sim.run(120_000);
         assertEquals("done", w.rules.told.get("job-000001"));
         kept(w);
--- a/experiment/src/test/java/org/landingridge/experiment/BadNightsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.kept;
+import static org.landingridge.experiment.ClusterAssertions.kept;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -10,18 +10,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.emulator.Truth;
-import org.landingridge.emulator.Worker;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.GroundTruth;
 
 /** Jobs with a mistake, faulty machines, machines that come up late or never: whose fault it is, and what it costs. */
-class BadNightsTest {
+class FailureAttributionHistoryTest {
     private final Map<String, Integer> starts = new HashMap<>();
     private int rented;
-    private int givenBack;
 
-    private World world(long seed) {
-        World w = new World(new World.Setup(
+    private SimulatedCluster world(long seed) {
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
                 seed,
                 3,
                 40,
@@ -31,18 +30,17 @@
                 Map.of("blue", new Settings.Team("blue", 16, 0, 0, 0), "red", new Settings.Team("red", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
         w.rules.orders = (order, machine, attempt, pool, repeated) -> {
-            if (order == Truth.Order.START && !repeated) {
+            if (order == GroundTruth.Order.START && !repeated) {
                 starts.merge(attempt.substring(0, attempt.indexOf('/')), 1, Integer::sum);
             }
-            rented += order == Truth.Order.RENT && !repeated ? 1 : 0;
-            givenBack += order == Truth.Order.GIVE_BACK && !repeated ? 1 : 0;
+            rented += order == GroundTruth.Order.RENT && !repeated ? 1 : 0;
         };
         return w;
     }
 
-    private static void services(World w) {
+    private static void services(SimulatedCluster w) {
         for (int i = 0; i < 6; i++) {
-            w.submit(World.job(i, "blue", true, 1, 2, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 2, 0));
         }
     }
 
@@ -50,17 +48,17 @@
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("jobs with a mistake cost no sound machine and no sound job anything, until they are cancelled")
     void mistakes(long seed) {
-        World w = world(500 + seed);
+        SimulatedCluster w = world(500 + seed);
         services(w);
         w.sim.run(20_000);
         for (int i = 0; i < 4; i++) {
             int n = 10 + i;
-            w.rules.mistaken.add(World.id(n));
-            w.at(20_000 + i * 5_000L, () -> w.submit(World.job(n, "red", false, 30, 1, 5)));
+            w.rules.mistaken.add(SimulatedCluster.id(n));
+            w.at(20_000 + i * 5_000L, () -> w.submit(SimulatedCluster.job(n, "red", false, 30, 1, 5)));
         }
         for (int i = 0; i < 20; i++) {
             int n = 20 + i;
-            w.at(22_000 + i * 3_000L, () -> w.submit(World.job(n, "blue", false, 4, 1, 4)));
+            w.at(22_000 + i * 3_000L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 4, 1, 4)));
         }
         w.sim.run(110_000);
         assertEquals(
@@ -92,17 +90,17 @@
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("a faulty machine is found beside jobs with a mistake, and goes back")
     void aFaultyMachine(long seed) {
-        World w = world(510 + seed);
+        SimulatedCluster w = world(510 + seed);
         services(w);
         w.sim.run(20_000);
-        Worker faulty = w.workers.get(w.workers.size() - 1);
+        EmulatedWorker faulty = w.workers.get(w.workers.size() - 1);
         faulty.spoil();
         for (int i = 0; i < 30; i++) {
             int n = 20 + i;
             if (i % 6 == 0) {
-                w.rules.mistaken.add(World.id(n));
+                w.rules.mistaken.add(SimulatedCluster.id(n));
             }
-            w.at(20_000 + i * 2_000L, () -> w.submit(World.job(n, "blue", false, 8, 1, 4)));
+            w.at(20_000 + i * 2_000L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 8, 1, 4)));
         }
         w.sim.run(130_000);
         assertEquals(25, w.over("done"));
@@ -114,10 +112,10 @@
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("machines that never come up are replaced once their like are up, without a rent for each wait")
     void neverUp(long seed) {
-        World w = world(520 + seed);
+        SimulatedCluster w = world(520 + seed);
         w.cloud.neverUp = 0.3;
         for (int i = 0; i < 20; i++) {
-            w.submit(World.job(i, "blue", true, 1, 4, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 4, 0));
         }
         w.sim.run(30_000);
         assertTrue(w.rules.places.size() >= 18, "only " + w.rules.places.size() + " of 20 run after four boots");
@@ -130,10 +128,10 @@
     @Test
     @DisplayName("a machine that reports before its rent is answered and before any list names it is used at once")
     void upInNoTime() {
-        World w = world(530);
+        SimulatedCluster w = world(530);
         w.cloud.bootMs = 1;
         for (int i = 0; i < 8; i++) {
-            w.submit(World.job(i, "blue", true, 1, 4, 0));
+            w.submit(SimulatedCluster.job(i, "blue", true, 1, 4, 0));
         }
         w.sim.run(6_000);
         assertEquals(8, w.rules.places.size());
--- a/experiment/src/test/java/org/landingridge/experiment/MeetingsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.crash;
-import static org.landingridge.experiment.Checks.kept;
-import static org.landingridge.experiment.Checks.services;
+import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.services;
 
 import java.util.List;
 import java.util.stream.IntStream;
@@ -12,20 +12,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.emulator.Worker;
+import org.landingridge.emulator.EmulatedWorker;
 
 /** What the operators met when two troubles came together; {@code docs/meetings.md} tells of each. */
-class MeetingsTest {
+class FaultCombinationsTest {
     private static final int FIRST = 40;
     private static final int JOBS = 6;
     private static final int CANCELLED = 4;
 
     /** Arrays that run for minutes, beside services; all are up when this returns. */
-    private static World busy(long seed, int controllers) {
-        World w = new World(seed, 0, controllers);
+    private static SimulatedCluster busy(long seed, int controllers) {
+        SimulatedCluster w = new SimulatedCluster(seed, 0, controllers);
         services(w, 4);
         for (int i = 0; i < JOBS; i++) {
-            w.submit(World.job(FIRST + i, "blue", false, 2, 1, 300));
+            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
         assertEquals(4 + 2 * JOBS, w.rules.places.size());
@@ -33,44 +33,45 @@
     }
 
     /** A user has the jobs cancelled through this controller, which the leader does not hear of. */
-    private static void cancelled(World w, World.Node through, long atMs, int first, int count) {
+    private static void cancelled(
+            SimulatedCluster w, SimulatedCluster.ControllerNode through, long atMs, int first, int count) {
         for (int i = 0; i < count; i++) {
-            String id = World.id(first + i);
+            String id = SimulatedCluster.id(first + i);
             w.at(atMs + i * 20L, () -> w.askOnce(id, "cancel", through.index));
         }
     }
 
-    private static long left(World w) {
+    private static long left(SimulatedCluster w) {
         return w.rules.places.keySet().stream()
                 .filter(t -> "cancelled".equals(w.rules.told.get(t.substring(0, 10))))
                 .count();
     }
 
     /** The leader is refused alone, another confirms cancellations, and after so many milliseconds all are refused for long. */
-    private static World.Node gap(World w, long after) {
-        World.Node leader = w.leader();
-        World.Node other = w.nodes.get((leader.index + 1) % w.nodes.size());
+    private static SimulatedCluster.ControllerNode gap(SimulatedCluster w, long after) {
+        SimulatedCluster.ControllerNode leader = w.leader();
+        SimulatedCluster.ControllerNode other = w.nodes.get((leader.index + 1) % w.nodes.size());
         w.at(46_000, () -> w.state.refuse(leader.host.name, true));
         cancelled(w, other, 46_100, FIRST, CANCELLED);
         w.at(46_000 + after, () -> w.state.outage(true));
-        w.at(46_000 + after + 3 * World.CANCEL_MS, () -> w.state.outage(false));
+        w.at(46_000 + after + 3 * SimulatedCluster.CANCEL_MS, () -> w.state.outage(false));
         return other;
     }
 
-    private static void over(World w) {
-        w.sim.run(46_000 + World.CANCEL_MS);
+    private static void over(SimulatedCluster w) {
+        w.sim.run(46_000 + SimulatedCluster.CANCEL_MS);
         assertEquals(CANCELLED, w.over("cancelled"), "users were told so");
         assertEquals(0, left(w), "tasks of cancelled jobs");
         w.sim.run(150_000);
         kept(w);
-        assertTrue(w.running(World.id(FIRST + CANCELLED), 2), "the others run, or run again");
+        assertTrue(w.running(SimulatedCluster.id(FIRST + CANCELLED), 2), "the others run, or run again");
     }
 
     @ParameterizedTest
     @CsvSource({"1, 3, 900, 60000", "2, 3, 1100, 46950", "3, 7, 900, 120000", "4, 3, 500, 49000", "5, 5, 1200, 48000"})
     @DisplayName("refused alone, cancellations through another, then an outage for longer than a cancellation has")
     void theGap(long seed, int controllers, long after, long servedAgain) {
-        World w = busy(500 + seed, controllers);
+        SimulatedCluster w = busy(500 + seed, controllers);
         int starts = w.rules.starts;
         String leader = w.leader().host.name;
         gap(w, after);
@@ -84,8 +85,8 @@
     @DisplayName(
             "who confirmed it dies right after and is back: its next life cannot vouch, so the lead ends by itself in time")
     void theCancellerBeginsAnew(long seed, long back) {
-        World w = busy(510 + seed, 3);
-        World.Node other = gap(w, 900);
+        SimulatedCluster w = busy(510 + seed, 3);
+        SimulatedCluster.ControllerNode other = gap(w, 900);
         // Nobody else has heard of the cancellations: they would tell of them.
         String third = w.nodes.get(3 - w.leader().index - other.index).host.name;
         w.at(46_000, () -> w.state.refuse(third, true));
@@ -98,11 +99,11 @@
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("told by a poll of a third controller, while the word of the canceller is late or comes twice")
     void toldByAPoll(long seed) {
-        World w = busy(530 + seed, 3);
-        World.Node other = gap(w, 900);
+        SimulatedCluster w = busy(530 + seed, 3);
+        SimulatedCluster.ControllerNode other = gap(w, 900);
         int third = 3 - w.leader().index - other.index;
         for (int i = 0; i < CANCELLED; i++) {
-            String id = World.id(FIRST + i);
+            String id = SimulatedCluster.id(FIRST + i);
             w.at(46_500 + i * 20L, () -> w.askOnce(id, "poll", third));
         }
         w.at(46_800, () -> w.sim.cut(w.leader().host.name, other.host.name));
@@ -116,9 +117,9 @@
     @CsvSource({"1, 300", "2, 5000", "3, 30000"})
     @DisplayName("the leader ends within the gap, and another, or nobody, follows it")
     void theLeaderEnds(long seed, long back) {
-        World w = busy(540 + seed, 3);
+        SimulatedCluster w = busy(540 + seed, 3);
         gap(w, 900);
-        World.Node leader = w.leader();
+        SimulatedCluster.ControllerNode leader = w.leader();
         w.at(48_000, () -> leader.crash(back));
         over(w);
     }
@@ -128,8 +129,8 @@
     @DisplayName(
             "two of five are refused, a third confirms, and the answers of the state service get lost at the worst moment")
     void aSecondIsRefused(long seed) {
-        World w = busy(550 + seed, 5);
-        World.Node other = gap(w, 900);
+        SimulatedCluster w = busy(550 + seed, 5);
+        SimulatedCluster.ControllerNode other = gap(w, 900);
         w.at(46_050, () -> w.state.refuse(w.nodes.get((other.index + 1) % 5).host.name, true));
         w.at(46_800, () -> w.sim.lostAnswers.put(other.host.name, 0.0));
         w.at(52_000, () -> w.sim.copied.put("", 0.2));
@@ -142,15 +143,15 @@
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("a start that was sent straight is held up while its job is cancelled and the state service is down")
     void aStartIsHeldUp(long seed) {
-        World w = busy(560 + seed, 3);
-        World.Node leader = w.leader();
-        World.Node other = w.nodes.get((leader.index + 1) % 3);
+        SimulatedCluster w = busy(560 + seed, 3);
+        SimulatedCluster.ControllerNode leader = w.leader();
+        SimulatedCluster.ControllerNode other = w.nodes.get((leader.index + 1) % 3);
         w.at(46_000, () -> w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id)));
-        w.at(46_050, () -> w.submit(World.job(FIRST + 20, "blue", false, 3, 0.25, 100)));
+        w.at(46_050, () -> w.submit(SimulatedCluster.job(FIRST + 20, "blue", false, 3, 0.25, 100)));
         cancelled(w, other, 46_500, FIRST + 20, 1);
         w.at(46_900, () -> w.state.outage(true));
-        w.at(50_000 + World.CANCEL_MS, w.sim::heal);
-        w.at(46_900 + 3 * World.CANCEL_MS, () -> w.state.outage(false));
+        w.at(50_000 + SimulatedCluster.CANCEL_MS, w.sim::heal);
+        w.at(46_900 + 3 * SimulatedCluster.CANCEL_MS, () -> w.state.outage(false));
         w.sim.run(150_000);
         assertEquals(1, w.over("cancelled"));
         kept(w);
@@ -161,14 +162,14 @@
     @DisplayName(
             "a leader ends while machines are deaf: they report, hear nothing, and what they held runs elsewhere a lease later")
     void machinesAreDeaf(long seed, long back) {
-        World w = busy(570 + seed, 3);
-        List<Worker> deaf =
+        SimulatedCluster w = busy(570 + seed, 3);
+        List<EmulatedWorker> deaf =
                 w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
         w.at(46_000, () -> deaf.forEach(x -> w.sim.deaf.add(x.box().id)));
         w.at(46_300, () -> w.leader().crash(back));
-        w.at(46_300 + 5 * World.LEASE_MS, w.sim.deaf::clear);
+        w.at(46_300 + 5 * SimulatedCluster.LEASE_MS, w.sim.deaf::clear);
         // A hold, a lease, a report that takes 5 s since it waits for its answer, and a boot.
-        w.sim.run(46_300 + 3_500 + World.LEASE_MS + 5_500 + 4_500);
+        w.sim.run(46_300 + 3_500 + SimulatedCluster.LEASE_MS + 5_500 + 4_500);
         kept(w);
         assertEquals(
                 4 + 2 * JOBS, w.rules.places.size(), "everything runs again although the deaf machines still report");
@@ -182,8 +183,8 @@
     @DisplayName(
             "a leader whose hold ended takes the lead again: what it answered itself meanwhile counts as an answer")
     void theLeadComesBackToTheOneThatHadIt(long seed) {
-        World w = busy(520 + seed, 3);
-        World.Node leader = w.leader();
+        SimulatedCluster w = busy(520 + seed, 3);
+        SimulatedCluster.ControllerNode leader = w.leader();
         int starts = w.rules.starts;
         // The others cannot claim: they are refused, and carry reports all the same.
         w.at(46_000, () -> w.nodes.forEach(n -> w.state.refuse(n.host.name, true)));
@@ -202,7 +203,7 @@
     @DisplayName(
             "machines whose reports are lost begin a session, and get starts by calls: its lease counts, not the last one's")
     void aSessionBeginsThatNobodyAnswered(long seed) {
-        World w = busy(580 + seed, 3);
+        SimulatedCluster w = busy(580 + seed, 3);
         w.at(46_000, () -> w.workers.stream().filter(x -> x.running() != null).forEach(x -> w.unheard.add(x.box().id)));
         w.at(46_050, () -> w.leader().crash(20_000));
         w.at(90_000, w.unheard::clear);
@@ -216,10 +217,10 @@
     @DisplayName(
             "a leader stands still while another controller is refused: it carries reports to the new one, which it only hears")
     void aRefusedOneSendsNobodyToTheOldLeader(long seed) {
-        World w = busy(590 + seed, 3);
+        SimulatedCluster w = busy(590 + seed, 3);
         int starts = w.rules.starts;
-        World.Node leader = w.leader();
-        World.Node refused = w.nodes.get((leader.index + 1) % 3);
+        SimulatedCluster.ControllerNode leader = w.leader();
+        SimulatedCluster.ControllerNode refused = w.nodes.get((leader.index + 1) % 3);
         w.at(46_000, () -> w.state.refuse(refused.host.name, true));
         w.at(46_500, () -> leader.host.freeze(20_000));
         w.at(80_000, () -> w.state.refuse(refused.host.name, false));
@@ -235,11 +236,12 @@
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "3, true", "4, true"})
     void theLastWordsOfAnEarlierLife(long seed, boolean afterALapse) {
-        World w = busy(600 + seed, 3);
-        World.Node leader = w.leader();
-        World.Node next = w.nodes.get((leader.index + 1) % 3);
-        World.Node carrier = w.nodes.get((leader.index + 2) % 3);
-        List<Worker> lives = w.workers.stream().filter(x -> x.running() != null).toList();
+        SimulatedCluster w = busy(600 + seed, 3);
+        SimulatedCluster.ControllerNode leader = w.leader();
+        SimulatedCluster.ControllerNode next = w.nodes.get((leader.index + 1) % 3);
+        SimulatedCluster.ControllerNode carrier = w.nodes.get((leader.index + 2) % 3);
+        List<EmulatedWorker> lives =
+                w.workers.stream().filter(x -> x.running() != null).toList();
         List<String> names = lives.stream().map(x -> x.box().id).toList();
         // The carrier cannot lead, and is the only one whom the machines reach; not at first where their leases are to
         // run out.
@@ -263,9 +265,9 @@
     @DisplayName(
             "one task of each pair ends, the leader goes just then, the other ends under its successor: done when both are")
     void endsFarApart(long seed, long after, long back) {
-        World w = busy(620 + seed, 3);
+        SimulatedCluster w = busy(620 + seed, 3);
         for (int i = 0; i < 8; i++) {
-            w.submit(World.job(FIRST + 30 + i, "red", false, 2 + i % 2, 1, 30));
+            w.submit(SimulatedCluster.job(FIRST + 30 + i, "red", false, 2 + i % 2, 1, 30));
         }
         w.sim.run(55_000);
         // The first task of each fails again and again, so that it ends long after the others.
@@ -274,7 +276,7 @@
                     t,
                     () -> w.workers.forEach(x -> {
                         for (int i = 0; i < 8; i++) {
-                            x.fail(World.id(FIRST + 30 + i) + "/0");
+                            x.fail(SimulatedCluster.id(FIRST + 30 + i) + "/0");
                         }
                     }));
         }
@@ -284,9 +286,9 @@
         w.sim.run(260_000);
         kept(w);
         for (int i = 0; i < 8; i++) {
-            assertEquals("done", w.rules.told.get(World.id(FIRST + 30 + i)));
+            assertEquals("done", w.rules.told.get(SimulatedCluster.id(FIRST + 30 + i)));
         }
-        if (back < World.LEASE_MS / 2) {
+        if (back < SimulatedCluster.LEASE_MS / 2) {
             // Where a lease is over meanwhile its machine has forgotten results that nobody had stored.
             assertEquals(0, w.rules.repeats, "what was done was not run again");
         }
@@ -296,11 +298,11 @@
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("the lead goes to another and back, all end, one returns at once; words of former lives come late")
     void handedOverAndBack(long seed) {
-        World w = busy(630 + seed, 3);
+        SimulatedCluster w = busy(630 + seed, 3);
         for (int i = 0; i < 3; i++) {
             int at = 46_000 + i * 6_000;
             w.at(at, () -> {
-                World.Node leader = w.leader();
+                SimulatedCluster.ControllerNode leader = w.leader();
                 if (leader != null) {
                     w.state.refuse(leader.host.name, true);
                     w.at(w.sim.now + 3_500, () -> w.state.refuse(leader.host.name, false));
@@ -322,14 +324,14 @@
     @DisplayName(
             "transactions without an answer come true late, after newer ones: users cancel, tasks end, the leader changes")
     void lateTransactions(long seed, double share) {
-        World w = busy(640 + seed, 3);
+        SimulatedCluster w = busy(640 + seed, 3);
         w.at(46_000, () -> w.state.lateWrites(share, w.sim.random));
         for (int i = 0; i < 14; i++) {
             int n = FIRST + 30 + i;
-            w.at(46_000 + i * 700L, () -> w.submit(World.job(n, "red", false, 1 + n % 3, 1, 3)));
+            w.at(46_000 + i * 700L, () -> w.submit(SimulatedCluster.job(n, "red", false, 1 + n % 3, 1, 3)));
             w.at(50_000 + i * 900L, () -> {
                 if (n % 2 == 0) {
-                    w.cancel(World.id(n));
+                    w.cancel(SimulatedCluster.id(n));
                 }
             });
         }
@@ -340,7 +342,7 @@
         w.sim.run(200_000);
         kept(w);
         for (int i = 0; i < 14; i++) {
-            String told = w.rules.told.get(World.id(FIRST + 30 + i));
+            String told = w.rules.told.get(SimulatedCluster.id(FIRST + 30 + i));
             assertTrue("done".equals(told) || "cancelled".equals(told), told);
         }
     }
@@ -350,11 +352,11 @@
     @DisplayName(
             "reports come again up to two leases late, through restarts of leaders and machines: they end, revive, place nothing")
     void lateReports(long seed) {
-        World w = busy(650 + seed, 3);
+        SimulatedCluster w = busy(650 + seed, 3);
         w.lateReports = 0.5;
         for (int i = 0; i < 12; i++) {
             int n = FIRST + 30 + i;
-            w.at(46_000 + i * 2_000L, () -> w.submit(World.job(n, "red", false, 2, 1, 4)));
+            w.at(46_000 + i * 2_000L, () -> w.submit(SimulatedCluster.job(n, "red", false, 2, 1, 4)));
         }
         w.at(52_000, () -> crash(w.leader(), 200));
         w.at(56_000, () -> w.restart(w.workers.get(0), 150));
@@ -373,36 +375,36 @@
     @DisplayName(
             "a leader reaches workers and users, not the state service nor the others; jobs are cancelled through the new one")
     void cutFromStateAndPeers(long seed, long forMs) {
-        World w = busy(660 + seed, 3);
-        World.Node leader = w.leader();
+        SimulatedCluster w = busy(660 + seed, 3);
+        SimulatedCluster.ControllerNode leader = w.leader();
         w.at(46_000, () -> {
             w.sim.cut(leader.host.name, "state");
             w.nodes.stream().filter(n -> n != leader).forEach(n -> w.sim.cut(leader.host.name, n.host.name));
         });
         cancelled(w, w.nodes.get((leader.index + 1) % 3), 46_500, FIRST, CANCELLED);
         for (long t = 47_000; t < 47_000 + forMs; t += 1_000) {
-            w.at(t, () -> w.askOnce(World.id(FIRST), "poll", leader.index));
+            w.at(t, () -> w.askOnce(SimulatedCluster.id(FIRST), "poll", leader.index));
         }
         w.at(46_000 + forMs, w.sim::heal);
         w.sim.run(150_000);
         assertEquals(CANCELLED, w.over("cancelled"));
         kept(w);
-        assertTrue(w.running(World.id(FIRST + CANCELLED), 2));
+        assertTrue(w.running(SimulatedCluster.id(FIRST + CANCELLED), 2));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     @DisplayName("after any trouble every job finds its answer within seconds, at every controller, also one just back")
     void nobodyIsForgotten(long seed) {
-        World w = busy(670 + seed, 3);
+        SimulatedCluster w = busy(670 + seed, 3);
         w.ended(2_000, 600, 1);
         w.at(46_000, () -> w.state.outage(true));
         w.at(50_000, () -> w.nodes.forEach(n -> crash(n, 100 + n.index * 4_000)));
         w.at(95_000, () -> w.state.outage(false));
         List<String> ids = IntStream.range(0, 60)
-                .mapToObj(i -> World.id(i < JOBS ? FIRST + i : 2_000 + i * 7))
+                .mapToObj(i -> SimulatedCluster.id(i < JOBS ? FIRST + i : 2_000 + i * 7))
                 .toList();
-        for (World.Node n : w.nodes) {
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
             long from = 103_000 + n.index * 5_000;
             for (int i = 0; i < ids.size(); i++) {
                 String id = ids.get(i);
@@ -419,8 +421,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void theLastWordsUnderTheSameToken(long seed) {
-        World w = busy(680 + seed, 3);
-        List<Worker> lives = w.workers.stream().filter(x -> x.running() != null).toList();
+        SimulatedCluster w = busy(680 + seed, 3);
+        List<EmulatedWorker> lives =
+                w.workers.stream().filter(x -> x.running() != null).toList();
         w.at(
                 46_000,
                 () -> lives.forEach(x -> {
@@ -444,15 +447,15 @@
     @DisplayName(
             "a leader renews its hold and can read nothing: it hands over before it is blind for too long, and nothing is lost")
     void theLeaderCannotRead(long seed) {
-        World w = busy(690 + seed, 3);
-        World.Node leader = w.leader();
+        SimulatedCluster w = busy(690 + seed, 3);
+        SimulatedCluster.ControllerNode leader = w.leader();
         int starts = w.rules.starts;
         w.at(46_000, () -> {
             w.state.unread.add(leader.host.name);
             w.state.dropWatches();
         });
         cancelled(w, w.nodes.get((leader.index + 1) % 3), 46_200, FIRST, CANCELLED);
-        w.sim.run(46_000 + World.CANCEL_MS);
+        w.sim.run(46_000 + SimulatedCluster.CANCEL_MS);
         assertEquals(CANCELLED, w.over("cancelled"));
         assertEquals(0, left(w));
         assertTrue(w.leader() != leader, "another leads");
@@ -466,8 +469,8 @@
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("a claim is carried out and its answer is lost: who made it acts as soon as the others follow it")
     void theClaimIsNotAnswered(long seed) {
-        World w = busy(700 + seed, 3);
-        World.Node before = w.leader();
+        SimulatedCluster w = busy(700 + seed, 3);
+        SimulatedCluster.ControllerNode before = w.leader();
         int starts = w.rules.starts;
         w.at(46_000, () -> {
             w.state.lostAnswers(1, w.sim.random);
@@ -477,7 +480,7 @@
             w.sim.run(w.sim.now + 10);
         }
         long named = w.sim.now;
-        World.Node next = w.leader();
+        SimulatedCluster.ControllerNode next = w.leader();
         while (!w.status(next).path("leadership").asText().equals("LEADING")) {
             w.sim.run(w.sim.now + 10);
         }
--- a/experiment/src/test/java/org/landingridge/experiment/FormatRecorder.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FormatRecorder.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.landingridge.emulator.Sim;
+import org.landingridge.emulator.Simulation;
 import org.landingridge.wire.Json;
 
 /**
  * Notes the form of every message and of every stored value of a play: which fields each kind has, with the types of their
  * values, and the first values of each kind byte for byte.
  */
-final class FormatRecorder implements Sim.Observer {
+final class FormatRecorder implements Simulation.Observer {
     /** Values of one kind that are kept byte for byte. */
     private static final int SAMPLES = 2;
 
--- a/experiment/src/test/java/org/landingridge/experiment/RulesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/InvariantCheckerTest.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.landingridge.emulator.Rules;
-import org.landingridge.emulator.Sim;
+import org.landingridge.emulator.InvariantChecker;
+import org.landingridge.emulator.Simulation;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Priority;
 
 /** The checker itself: for each rule, a history that breaks it is caught, and a lawful one is not. */
-class RulesTest {
+class InvariantCheckerTest {
     private static final String ID = "job-000001";
     /** A question that was asked after all that is told here. */
     private static final long LATER = Long.MAX_VALUE;
 
-    private static void caught(String rule, Consumer<Rules> history) {
-        Sim sim = new Sim(1);
-        Rules rules = new Rules(sim.host("rules"), 1_000);
+    private static void caught(String rule, Consumer<InvariantChecker> history) {
+        Simulation sim = new Simulation(1);
+        InvariantChecker rules = new InvariantChecker(sim.host("rules"), 1_000);
         rules.specs.put(
                 ID,
                 new JobSpec(
@@ -51,8 +51,8 @@
 
     @Test
     void aSlowAnswerIsNoOlderOne() {
-        Sim sim = new Sim(1);
-        Rules rules = new Rules(sim.host("rules"), 1_000);
+        Simulation sim = new Simulation(1);
+        InvariantChecker rules = new InvariantChecker(sim.host("rules"), 1_000);
         rules.specs.put(
                 ID,
                 new JobSpec(
@@ -126,14 +126,14 @@
 
     @Test
     void aTaskLongAfterItsCancellationIsCaught() {
-        World w = new World(1, 0);
-        w.rules.specs.put(ID, World.job(1, "blue", false, 1, 1, 5));
+        SimulatedCluster w = new SimulatedCluster(1, 0);
+        w.rules.specs.put(ID, SimulatedCluster.job(1, "blue", false, 1, 1, 5));
         w.rules.cancelAsked.add(ID);
         w.rules.answered(ID, "cancel", LATER, 200, "cancelled");
-        w.sim.run(World.CANCEL_MS - 1_000);
+        w.sim.run(SimulatedCluster.CANCEL_MS - 1_000);
         w.rules.starts(ID + "/0", "m-1", "t4", "a", false);
         assertEquals(List.of(), w.rules.broken);
-        w.sim.run(World.CANCEL_MS + 2_000);
+        w.sim.run(SimulatedCluster.CANCEL_MS + 2_000);
         assertTrue(w.rules.broken.get(0).contains("ran_cancelled"), w.rules.broken.toString());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/EndedJobsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -11,22 +11,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.history.Place;
 import org.landingridge.controller.history.Segment;
+import org.landingridge.controller.history.SegmentAddress;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.upgrade.Capabilities;
-import org.landingridge.wire.BadMessage;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
 /**
  * Ended jobs move into the history while users ask for them, submit them once more and cancel them; every rule is checked
  * throughout, against a model that keeps everything.
  */
-class EndedJobsTest {
+class JobHistoryTest {
     private static final int MANY = 900;
 
-    private static void kept(World w) {
-        Checks.kept(w);
+    private static void kept(SimulatedCluster w) {
+        ClusterAssertions.kept(w);
         // No job is in two places, and none is lost.
         for (String id : w.rules.told.keySet()) {
             boolean over =
@@ -35,24 +35,24 @@
         }
     }
 
-    private static boolean ended(World w, String id) {
+    private static boolean ended(SimulatedCluster w, String id) {
         JsonNode key = w.state.value(Keys.JOBS + id);
         boolean past = past(w, id);
         assertFalse(past && key != null, id + " stands in two places");
         return past || key != null && key.has("ended");
     }
 
-    private static boolean past(World w, String id) {
-        Place place = Place.of(id);
+    private static boolean past(SimulatedCluster w, String id) {
+        SegmentAddress place = SegmentAddress.of(id);
         JsonNode segment = w.state.value(place.key());
         try {
             return segment != null && Segment.read(segment).get(place.offset()) != null;
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             return false;
         }
     }
 
-    private static int moved(World w) {
+    private static int moved(SimulatedCluster w) {
         return MANY
                 - (int) w.state.keys(Keys.JOBS).stream()
                         .filter(k -> w.state.value(k).has("ended"))
@@ -60,7 +60,7 @@
     }
 
     /** A few hundred questions about jobs of the past, in between some about jobs that nobody submitted. */
-    private static void questions(World w, long fromMs, long toMs, int everyMs) {
+    private static void questions(SimulatedCluster w, long fromMs, long toMs, int everyMs) {
         List<String> ids = new ArrayList<>(w.rules.told.keySet());
         String[] kinds = {"poll", "submit", "cancel"};
         for (long t = fromMs; t < toMs; t += everyMs) {
@@ -73,10 +73,10 @@
     @ParameterizedTest
     @CsvSource({"1,1", "2,1", "3,700"})
     void moveWhileUsersAsk(long seed, int step) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.ended(100_000, MANY, step);
         questions(w, 2_000, 240_000, 150);
-        w.submit(World.job(7, "red", false, 3, 2, 4));
+        w.submit(SimulatedCluster.job(7, "red", false, 3, 2, 4));
         w.sim.run(400_000);
         kept(w);
         assertEquals("done", w.rules.told.get("job-000007"));
@@ -88,7 +88,7 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
     void leadersDieInBetween(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.ended(100_000, MANY, 1);
         questions(w, 2_000, 290_000, 200);
         for (int i = 0; i < 12; i++) {
@@ -107,7 +107,7 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
     void answersGetLost(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.ended(100_000, MANY, 1);
         questions(w, 2_000, 290_000, 300);
         w.sim.lostAnswers.put("state", 0.2);
@@ -121,7 +121,7 @@
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33})
     void movesArriveLate(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.ended(100_000, MANY, 1);
         questions(w, 2_000, 290_000, 300);
         for (int i = 0; i < 5; i++) {
@@ -141,7 +141,7 @@
     @ParameterizedTest
     @ValueSource(longs = {41, 42})
     void readAgainWhileJobsMove(long seed) {
-        World w = new World(seed, 10);
+        SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.ended(100_000, MANY, 1);
         w.state.keptChanges = 8;
         questions(w, 2_000, 290_000, 200);
@@ -160,7 +160,7 @@
     /** What an earlier version left is more than a controller keeps: it is found by its keys, and moved. */
     @Test
     void moreThanIsKept() {
-        World w = new World(51, 10);
+        SimulatedCluster w = new SimulatedCluster(51, 10);
         int all = 3_000;
         w.ended(100_000, all, 1);
         questions(w, 2_000, 100_000, 200);
@@ -175,7 +175,7 @@
     /** Nothing moves while one controller runs a version that would take a late retry for a new job. */
     @Test
     void nothingMovesBeforeAllKnow() {
-        World w = new World(61, 10);
+        SimulatedCluster w = new SimulatedCluster(61, 10);
         w.ended(100_000, MANY, 1);
         w.nodes.get(2).crash(1_000_000);
         w.sim.run(1);
@@ -191,13 +191,13 @@
     /** A segment that makes no sense is never overwritten or taken for empty; its jobs get 503, all others go on. */
     @Test
     void aDamagedSegmentStays() {
-        World w = new World(71, 10);
+        SimulatedCluster w = new SimulatedCluster(71, 10);
         w.ended(100_000, MANY, 1);
-        String key = Place.of("job-100300").key();
+        String key = SegmentAddress.of("job-100300").key();
         var damaged = Json.object().put("ended", "AAAA");
         w.state.seed(key, damaged);
-        w.submit(World.job(7, "red", false, 3, 2, 4));
-        w.rules.specs.put("job-100500", World.job(100_500, "blue", false, 1, 1, 1));
+        w.submit(SimulatedCluster.job(7, "red", false, 3, 2, 4));
+        w.rules.specs.put("job-100500", SimulatedCluster.job(100_500, "blue", false, 1, 1, 1));
         w.sim.run(300_000);
         assertEquals(damaged, w.state.value(key));
         assertTrue(moved(w) > 100, "jobs of other segments moved");
@@ -208,9 +208,9 @@
     /** More jobs than the scan keeps stand in a segment that cannot be read: the others move all the same. */
     @Test
     void aDamagedSegmentHoldsUpNoOther() {
-        World w = new World(72, 10);
+        SimulatedCluster w = new SimulatedCluster(72, 10);
         w.ended(100_000, 3_000, 1);
-        w.state.seed(Place.of("job-100400").key(), Json.object().put("ended", "AAAA"));
+        w.state.seed(SegmentAddress.of("job-100400").key(), Json.object().put("ended", "AAAA"));
         w.sim.run(1_200_000);
         kept(w);
         int left = w.state.keys(Keys.JOBS).size();
@@ -224,28 +224,28 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aLateRetryOfAMovedJob(boolean blind) {
-        World w = new World(81, 10);
+        SimulatedCluster w = new SimulatedCluster(81, 10);
         String id = "job-100001";
         w.sim.run(20_000);
-        World.Node behind =
+        SimulatedCluster.ControllerNode behind =
                 w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
         // It knows that the history is empty, and then hears of nothing any more.
         w.askOnce("job-900000", "poll", behind.index);
         w.sim.run(25_000);
         w.sim.cut(behind.host.name, "state");
-        w.submit(World.job(100_001, "blue", false, 1, 1, 1));
+        w.submit(SimulatedCluster.job(100_001, "blue", false, 1, 1, 1));
         w.sim.run(27_000);
         w.askOnce(id, "submit", behind.index);
         // So many end after it that its turn to move comes.
         for (int i = 0; i < 320; i++) {
             int n = 200_000 + 700 * i;
-            w.at(30_000 + 100 * i, () -> w.submit(World.job(n, "blue", false, 1, 1, 0.5)));
+            w.at(30_000 + 100 * i, () -> w.submit(SimulatedCluster.job(n, "blue", false, 1, 1, 0.5)));
         }
         w.sim.run(140_000);
         assertEquals("done", w.rules.told.get(id));
         assertTrue(past(w, id), "it has moved");
         if (blind) {
-            w.state.blindTo.add(Place.ROOT);
+            w.state.blindTo.add(SegmentAddress.ROOT);
         }
         w.sim.heal();
         w.sim.run(200_000);
--- a/experiment/src/test/java/org/landingridge/experiment/ConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.net.Http;
 import org.landingridge.wire.Json;
 
 /** The configuration of teams changes while everything runs and fails; a plain model keeps what each change made. */
-class ConfigurationTest {
+class LiveConfigurationTest {
     /** Within so long a change is in force everywhere. */
     private static final long IN_FORCE_MS = 7_000;
 
@@ -39,7 +39,7 @@
     }
 
     /** Asks until the change is known to be made, with the same key throughout. */
-    private void ask(World w, ObjectNode change, int tries) {
+    private void ask(SimulatedCluster w, ObjectNode change, int tries) {
         String key = change.get("key").textValue();
         w.configure(w.sim.random.nextInt(w.nodes.size()), change, reply -> {
             if (reply.outcome() == Http.Outcome.ANSWERED && reply.status() == 200) {
@@ -53,7 +53,7 @@
     }
 
     /** Every change that was acknowledged is in the log once, and every controller shows what all of them make together. */
-    private void agrees(World w) {
+    private void agrees(SimulatedCluster w) {
         Map<String, double[]> model = new TreeMap<>();
         JsonNode first = w.configuration(w.nodes.get(0));
         first.get("teams").properties().forEach(e -> model.put(e.getKey(), new double[] {NONE, NONE}));
@@ -74,7 +74,7 @@
         }
         acknowledged.forEach((key, number) -> assertEquals(key, numbers.get(number)));
         assertEquals(numbers.size(), first.get("number").intValue());
-        for (World.Node n : w.nodes) {
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
             JsonNode shown = w.configuration(n);
             assertEquals(first.get("number"), shown.get("number"));
             model.forEach((team, limits) -> {
@@ -94,8 +94,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void everyChangeIsMadeOnce(long seed) {
-        World w = new World(seed, 0);
-        w.submit(World.job(1, "blue", false, 40, 1, 20));
+        SimulatedCluster w = new SimulatedCluster(seed, 0);
+        w.submit(SimulatedCluster.job(1, "blue", false, 40, 1, 20));
         for (int i = 0; i < 40; i++) {
             ObjectNode change =
                     limit("k-" + i, i % 2 == 0 ? "red" : "blue", w.sim.random.nextInt(8), 8 + w.sim.random.nextInt(20));
@@ -105,23 +105,23 @@
         w.at(40_000, () -> w.sim.lostAnswers.clear());
         w.at(40_000, () -> w.state.lateWrites(0.2, w.sim.random));
         w.at(60_000, () -> w.state.lateWrites(0, null));
-        w.at(25_000 + seed * 71, () -> Checks.crash(w.leader(), 700));
-        w.at(62_000, () -> w.nodes.forEach(n -> Checks.crash(n, 900)));
+        w.at(25_000 + seed * 71, () -> ClusterAssertions.crash(w.leader(), 700));
+        w.at(62_000, () -> w.nodes.forEach(n -> ClusterAssertions.crash(n, 900)));
         w.sim.run(180_000);
         assertEquals(40, acknowledged.size());
         agrees(w);
-        Checks.kept(w);
+        ClusterAssertions.kept(w);
     }
 
     /** No start beyond a lowered limit from the moment in force, and the excess is gone within half a minute. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void aLoweredLimitHolds(long seed) {
-        World w = new World(seed, 0);
+        SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
-            w.submit(World.job(10 + i, "blue", false, 12, 1, 500));
+            w.submit(SimulatedCluster.job(10 + i, "blue", false, 12, 1, 500));
         }
-        w.submit(World.job(1, "blue", true, 4, 2, 0));
+        w.submit(SimulatedCluster.job(1, "blue", true, 4, 2, 0));
         w.sim.run(30_000);
         assertTrue(used(w) > 20, used(w) + " used before");
         ask(w, limit("lower", "blue", 4, 12), 5);
@@ -129,12 +129,12 @@
         w.at(60_000, () -> w.rules.limits.put("blue", 12.0));
         w.sim.run(60_000);
         assertTrue(used(w) <= 12, used(w) + " used 30 s after");
-        assertTrue(w.running(World.id(1), 4), "of the least priority first: the service keeps its replicas");
+        assertTrue(w.running(SimulatedCluster.id(1), 4), "of the least priority first: the service keeps its replicas");
         w.sim.run(90_000);
-        Checks.kept(w);
+        ClusterAssertions.kept(w);
     }
 
-    private static double used(World w) {
+    private static double used(SimulatedCluster w) {
         return w.rules.places.keySet().stream()
                 .mapToDouble(t ->
                         w.rules.specs.get(t.substring(0, t.lastIndexOf('/'))).cpus())
@@ -146,29 +146,30 @@
     @ValueSource(booleans = {true, false})
     void aLeaderThatCannotReadStartsNothingForbidden(boolean refused) {
         // A cancellation may take so long here that it would let the leader go on for far longer without news.
-        World w = new World(new World.Setup(
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
                 21,
                 3,
                 20,
                 3_000,
-                World.REPORT_MS,
-                World.LEASE_MS,
+                SimulatedCluster.REPORT_MS,
+                SimulatedCluster.LEASE_MS,
                 60_000,
                 Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
         ask(w, limit("first", "blue", 4, 60), 5);
         for (int i = 0; i < 30; i++) {
             int n = i;
-            w.at(8_000 + i * 1_000L, () -> w.submit(World.job(10 + n, "blue", false, 2, 1, 4)));
+            w.at(8_000 + i * 1_000L, () -> w.submit(SimulatedCluster.job(10 + n, "blue", false, 2, 1, 4)));
         }
         w.sim.run(15_000);
-        World.Node leader = w.leader();
+        SimulatedCluster.ControllerNode leader = w.leader();
         if (refused) {
             w.refuse(leader, 20_000);
         } else {
             w.state.unread.add(leader.host.name);
         }
-        World.Node other = w.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
+        SimulatedCluster.ControllerNode other =
+                w.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
         w.at(15_500, () -> w.configure(other.index, limit("none", "blue", 0, 1), reply -> {}));
         long[] startsThen = new long[1];
         w.at(15_500 + IN_FORCE_MS, () -> startsThen[0] = w.rules.starts);
@@ -184,12 +185,12 @@
     /** A team that is added may submit; one that is removed may not, and what it had runs to its end. */
     @Test
     void teamsComeAndGo() {
-        World w = new World(31, 0);
+        SimulatedCluster w = new SimulatedCluster(31, 0);
         ObjectNode add = change("add");
         add.putObject("add").putObject("green").put("cpus", 4).put("cpusMax", 8);
         ask(w, add, 5);
         w.rules.limits.put("green", 8.0);
-        w.at(5_000, () -> w.submit(World.job(1, "green", false, 30, 1, 3)));
+        w.at(5_000, () -> w.submit(SimulatedCluster.job(1, "green", false, 30, 1, 3)));
         w.sim.run(12_000);
         ObjectNode remove = change("remove");
         remove.putArray("remove").add("green");
@@ -199,23 +200,25 @@
                 422,
                 w.post(
                         w.nodes.get(1),
-                        Json.bytes(World.job(2, "green", false, 1, 1, 1).json())));
+                        Json.bytes(
+                                SimulatedCluster.job(2, "green", false, 1, 1, 1).json())));
         w.sim.run(60_000);
-        assertEquals("done", w.rules.told.get(World.id(1)));
+        assertEquals("done", w.rules.told.get(SimulatedCluster.id(1)));
         ask(w, change("back").put("rollback", 0), 5);
         w.sim.run(65_000);
         assertEquals(
                 422,
                 w.post(
                         w.nodes.get(2),
-                        Json.bytes(World.job(2, "green", false, 1, 1, 1).json())));
-        Checks.kept(w);
+                        Json.bytes(
+                                SimulatedCluster.job(2, "green", false, 1, 1, 1).json())));
+        ClusterAssertions.kept(w);
     }
 
     /** Bad input changes nothing and names the field. */
     @Test
     void badInputIsNamed() {
-        World w = new World(41, 0);
+        SimulatedCluster w = new SimulatedCluster(41, 0);
         w.sim.run(5_000);
         Map<ObjectNode, String> bad = new HashMap<>();
         bad.put(change("k"), "expected either");
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.obs.Metrics;
-import org.landingridge.controller.store.GroupWriter;
-import org.landingridge.controller.store.Mirror;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Page;
 import org.landingridge.controller.store.PageTable;
 import org.landingridge.controller.store.StateClient;
-import org.landingridge.emulator.Sim;
-import org.landingridge.emulator.StateService;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.emulator.EmulatedStateService;
+import org.landingridge.emulator.Simulation;
 import org.landingridge.wire.Json;
 
 /** Pages that were filled up to a larger limit, written under the smaller one: at every revision each row stands somewhere. */
@@ -28,16 +28,17 @@
     private static final int ROW = 20;
     private static final String LEADER = "lr/leader";
 
-    private final Sim sim = new Sim(1);
-    private final StateService state = new StateService(sim.host("state"));
-    private final Sim.Host host = sim.host("leader");
+    private final Simulation sim = new Simulation(1);
+    private final EmulatedStateService state = new EmulatedStateService(sim.host("state"));
+    private final Simulation.Host host = sim.host("leader");
     private final StateClient client;
-    private final Mirror mirror;
+    private final WatchCache watchCache;
 
     PageTableTest() {
         sim.listen("state", sim.host("state"), state);
         client = new StateClient(sim.client(host), "state");
-        mirror = new Mirror(client, host, "lr/", "lr", 20, new Metrics(host::nanos).busy, (key, value, version) -> {});
+        watchCache = new WatchCache(
+                client, host, "lr/", "lr", 20, new Metrics(host::nanos).busy, (key, value, version) -> {});
     }
 
     private static final class TextPage extends Page {
@@ -74,16 +75,16 @@
         int count = 90;
         state.seed(LEADER, Json.object());
         state.seed("lr/page/0", filled(count));
-        mirror.start();
+        watchCache.start();
         sim.run(500);
-        GroupWriter writer = new GroupWriter(
+        BatchWriter writer = new BatchWriter(
                 client,
-                mirror,
+                watchCache,
                 host,
                 new Settings.State(100, 10, 1, writesToATransaction),
                 1.0,
                 LEADER,
-                () -> mirror.version(LEADER),
+                () -> watchCache.version(LEADER),
                 new Metrics(host::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
         TextPage page = table.open("lr/page/0");
@@ -110,16 +111,16 @@
         state.seed(LEADER, Json.object());
         state.txnOps = 2;
         state.valueBytes = 600;
-        mirror.start();
+        watchCache.start();
         sim.run(500);
-        GroupWriter writer = new GroupWriter(
+        BatchWriter writer = new BatchWriter(
                 client,
-                mirror,
+                watchCache,
                 host,
                 new Settings.State(100, 10, 1, 8),
                 1.0,
                 LEADER,
-                () -> mirror.version(LEADER),
+                () -> watchCache.version(LEADER),
                 new Metrics(host::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
         for (int p = 0; p < 4; p++) {
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.upgrade.Capabilities;
 import org.landingridge.wire.JobSpec;
@@ -28,13 +28,14 @@
     private int number = FIRST;
 
     private JobSpec stage(int tasks, List<String> awaits) {
-        JobSpec spec = World.job(number++, "blue", false, tasks, 1, 3).awaiting(awaits);
+        JobSpec spec =
+                SimulatedCluster.job(number++, "blue", false, tasks, 1, 3).awaiting(awaits);
         ids.add(spec.id());
         return spec;
     }
 
     /** One pipeline: a first job, two or three that need it, one that needs these; its user may call one of them off. */
-    private void pipeline(World w, long atMs) {
+    private void pipeline(SimulatedCluster w, long atMs) {
         JobSpec first = stage(3, List.of());
         List<String> middle = new ArrayList<>();
         List<JobSpec> all = new ArrayList<>(List.of(first));
@@ -51,7 +52,7 @@
         }
     }
 
-    private static void cancelOnceAccepted(World w, String id) {
+    private static void cancelOnceAccepted(SimulatedCluster w, String id) {
         if (w.rules.told.containsKey(id)) {
             w.cancel(id);
         } else {
@@ -59,17 +60,17 @@
         }
     }
 
-    private World world(long seed, int pipelines, long everyMs) {
-        World w = new World(seed, 0);
+    private SimulatedCluster world(long seed, int pipelines, long everyMs) {
+        SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 0; i < pipelines; i++) {
             pipeline(w, 2_000 + i * everyMs);
         }
         return w;
     }
 
-    private void allOver(World w, long untilMs) {
+    private void allOver(SimulatedCluster w, long untilMs) {
         w.sim.run(untilMs);
-        Checks.everybodySaysTheSame(w, ids);
+        ClusterAssertions.everybodySaysTheSame(w, ids);
         assertTrue(w.over("done") > ids.size() / 3, w.over("done") + " of " + ids.size() + " done");
         assertTrue(w.over("cancelled") > 0, "some are cancelled");
         for (String id : w.state.keys(Keys.JOBS)) {
@@ -80,7 +81,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void stagesFollowEachOther(long seed) {
-        World w = world(seed, 20, 4_000);
+        SimulatedCluster w = world(seed, 20, 4_000);
         allOver(w, 240_000);
     }
 
@@ -88,11 +89,11 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
     void leadersEndInBetween(long seed) {
-        World w = world(seed, 20, 4_000);
+        SimulatedCluster w = world(seed, 20, 4_000);
         for (int i = 0; i < 9; i++) {
             w.at(
                     9_000 + i * 9_000L + seed * 131 + i * 17L,
-                    () -> Checks.crash(w.leader(), 500 + w.sim.random.nextInt(3_000)));
+                    () -> ClusterAssertions.crash(w.leader(), 500 + w.sim.random.nextInt(3_000)));
         }
         allOver(w, 300_000);
     }
@@ -101,10 +102,10 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23})
     void outagesAndCrashesOfAll(long seed) {
-        World w = world(seed, 20, 4_000);
-        w.at(14_000 + seed * 100, () -> w.nodes.forEach(n -> Checks.crash(n, 1_500)));
+        SimulatedCluster w = world(seed, 20, 4_000);
+        w.at(14_000 + seed * 100, () -> w.nodes.forEach(n -> ClusterAssertions.crash(n, 1_500)));
         w.at(32_000, () -> w.state.outage(true));
-        w.at(32_000 + World.CANCEL_MS + 6_000, () -> w.state.outage(false));
+        w.at(32_000 + SimulatedCluster.CANCEL_MS + 6_000, () -> w.state.outage(false));
         w.at(70_000, () -> w.refuse(w.leader(), 9_000));
         allOver(w, 300_000);
     }
@@ -113,12 +114,12 @@
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33})
     void lateWritesAndLostAnswers(long seed) {
-        World w = world(seed, 16, 5_000);
+        SimulatedCluster w = world(seed, 16, 5_000);
         w.at(5_000, () -> w.state.lateWrites(0.15, w.sim.random));
         w.at(60_000, () -> w.state.lateWrites(0, null));
         w.at(60_000, () -> w.sim.lostAnswers.put("state", 0.2));
         w.at(95_000, () -> w.sim.lostAnswers.clear());
-        w.at(50_000, () -> Checks.crash(w.leader(), 800));
+        w.at(50_000, () -> ClusterAssertions.crash(w.leader(), 800));
         allOver(w, 360_000);
     }
 
@@ -126,10 +127,11 @@
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
     void limitsFallAfterAnUpgrade(long seed) {
-        World w = new World(new World.Setup(seed, 3, 160, 3_000, World.REPORT_MS, World.LEASE_MS, TEAMS, BEFORE));
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+                seed, 3, 160, 3_000, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS, TEAMS, BEFORE));
         w.enforceLimits();
         for (int i = 0; i < 40; i++) {
-            JobSpec service = World.job(i, "blue", true, 3, 4, 0);
+            JobSpec service = SimulatedCluster.job(i, "blue", true, 3, 4, 0);
             w.at(200 + i * 100L, () -> w.submit(service));
         }
         w.sim.run(39_000);
@@ -141,12 +143,12 @@
         for (int i = 0; i < 10; i++) {
             pipeline(w, 75_000 + i * 4_000L);
         }
-        w.at(62_000 + seed * 37, () -> Checks.crash(w.leader(), 1_500));
+        w.at(62_000 + seed * 37, () -> ClusterAssertions.crash(w.leader(), 1_500));
         w.at(70_000, () -> w.limitsFall(AFTER));
-        w.at(90_000, () -> Checks.crash(w.leader(), 1_500));
-        w.at(110_000, () -> w.nodes.forEach(n -> Checks.crash(n, 1_000)));
+        w.at(90_000, () -> ClusterAssertions.crash(w.leader(), 1_500));
+        w.at(110_000, () -> w.nodes.forEach(n -> ClusterAssertions.crash(n, 1_000)));
         w.sim.run(260_000);
-        Checks.everybodySaysTheSame(w, ids);
+        ClusterAssertions.everybodySaysTheSame(w, ids);
         assertEquals(120, w.rules.places.size(), "every replica runs");
         for (String key : w.state.keys(Keys.ROOT)) {
             assertTrue(Json.bytes(w.state.value(key)).length <= AFTER.valueBytes(), key + " fits");
@@ -156,7 +158,7 @@
     /** Until every controller is known to heed what a job awaits, no such job is accepted; all others are. */
     @Test
     void noPipelinesBeforeAllKnowThem() {
-        World w = new World(51, 0);
+        SimulatedCluster w = new SimulatedCluster(51, 0);
         w.state.seed(Capabilities.ROOT + "rig-2", Json.object().put("history", 1));
         w.nodes.get(2).crash(60_000);
         JobSpec first = stage(1, List.of());
@@ -168,39 +170,39 @@
         assertTrue(w.state.value(Keys.JOBS + second.id()) == null, "not accepted yet");
         w.sim.run(120_000);
         assertEquals("done", w.rules.told.get(second.id()));
-        Checks.kept(w);
+        ClusterAssertions.kept(w);
     }
 
     /** What a submission names: nothing known, itself, a service, a cancelled job, one that is done and in the history. */
     @Test
     void whatMayBeNamed() {
-        World w = new World(61, 0);
-        World.past(w.state, 500_000, 8);
-        JobSpec service = World.job(1, "blue", true, 1, 1, 0);
-        JobSpec called = World.job(2, "blue", false, 1, 1, 60);
+        SimulatedCluster w = new SimulatedCluster(61, 0);
+        SimulatedCluster.past(w.state, 500_000, 8);
+        JobSpec service = SimulatedCluster.job(1, "blue", true, 1, 1, 0);
+        JobSpec called = SimulatedCluster.job(2, "blue", false, 1, 1, 60);
         w.at(1_000, () -> w.submit(service));
         w.at(1_000, () -> w.submit(called));
         w.at(9_000, () -> w.cancel(called.id()));
         w.sim.run(20_000);
-        assertEquals(422, post(w, 3, World.id(99)));
-        assertEquals(422, post(w, 4, World.id(4)));
+        assertEquals(422, post(w, 3, SimulatedCluster.id(99)));
+        assertEquals(422, post(w, 4, SimulatedCluster.id(4)));
         assertEquals(422, post(w, 5, service.id()));
-        w.rules.cancelAsked.add(World.id(6));
+        w.rules.cancelAsked.add(SimulatedCluster.id(6));
         assertEquals(201, post(w, 6, called.id()));
-        assertEquals(201, post(w, 7, World.id(500_001)));
-        w.rules.cancelAsked.add(World.id(8));
-        assertEquals(201, post(w, 8, World.id(500_000)));
+        assertEquals(201, post(w, 7, SimulatedCluster.id(500_001)));
+        w.rules.cancelAsked.add(SimulatedCluster.id(8));
+        assertEquals(201, post(w, 8, SimulatedCluster.id(500_000)));
         // Known by now: 200, whatever it names.
-        assertEquals(200, post(w, 7, World.id(99)));
+        assertEquals(200, post(w, 7, SimulatedCluster.id(99)));
         w.sim.run(40_000);
         for (int i = 6; i <= 8; i++) {
-            w.poll(World.id(i));
+            w.poll(SimulatedCluster.id(i));
         }
         w.sim.run(43_000);
-        assertEquals("cancelled", w.rules.told.get(World.id(6)));
-        assertEquals("done", w.rules.told.get(World.id(7)));
-        assertEquals("cancelled", w.rules.told.get(World.id(8)));
-        Checks.kept(w);
+        assertEquals("cancelled", w.rules.told.get(SimulatedCluster.id(6)));
+        assertEquals("done", w.rules.told.get(SimulatedCluster.id(7)));
+        assertEquals("cancelled", w.rules.told.get(SimulatedCluster.id(8)));
+        ClusterAssertions.kept(w);
     }
 
     /**
@@ -209,9 +211,10 @@
      */
     @Test
     void whatATableDoesNotKeepIsLookedUpBeforeAnAnswer() {
-        World w = new World(71, 0);
-        World.past(w.state, 500_000, 8);
-        JobSpec waiting = World.job(9, "blue", false, 1, 1, 1).awaiting(List.of(World.id(500_000)));
+        SimulatedCluster w = new SimulatedCluster(71, 0);
+        SimulatedCluster.past(w.state, 500_000, 8);
+        JobSpec waiting =
+                SimulatedCluster.job(9, "blue", false, 1, 1, 1).awaiting(List.of(SimulatedCluster.id(500_000)));
         w.state.seed(Keys.JOBS + waiting.id(), JobTable.accepted(waiting, 0));
         w.rules.specs.put(waiting.id(), waiting);
         w.rules.cancelAsked.add(waiting.id());
@@ -222,11 +225,11 @@
         }
         w.sim.run(10_000);
         assertEquals("cancelled", w.rules.told.get(waiting.id()));
-        Checks.kept(w);
+        ClusterAssertions.kept(w);
     }
 
-    private static int post(World w, int number, String awaited) {
-        JobSpec spec = World.job(number, "blue", false, 1, 1, 1);
+    private static int post(SimulatedCluster w, int number, String awaited) {
+        JobSpec spec = SimulatedCluster.job(number, "blue", false, 1, 1, 1);
         w.rules.specs.putIfAbsent(spec.id(), spec);
         return w.post(
                 w.nodes.get(number % 3),
--- a/experiment/src/test/java/org/landingridge/experiment/PlacesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.crash;
-import static org.landingridge.experiment.Checks.kept;
-import static org.landingridge.experiment.Checks.services;
-import static org.landingridge.experiment.Checks.settled;
+import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.services;
+import static org.landingridge.experiment.ClusterAssertions.settled;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -16,23 +16,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.emulator.Worker;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.emulator.EmulatedWorker;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Priority;
 
 /** Where work may be, and how much of it, when troubles meet that the operators named later; {@code docs/meetings.md}. */
-class PlacesTest {
+class PlacementUnderFaultsTest {
     private static final int FIRST = 40;
 
     private static List<String> ids(int first, int count) {
-        return IntStream.range(first, first + count).mapToObj(World::id).toList();
+        return IntStream.range(first, first + count)
+                .mapToObj(SimulatedCluster::id)
+                .toList();
     }
 
     private static JobSpec bound(
             int number, int tasks, double cpus, double seconds, String zone, boolean oneZone, boolean spread) {
         return new JobSpec(
-                World.id(number),
+                SimulatedCluster.id(number),
                 "bound",
                 "blue",
                 false,
@@ -54,7 +56,7 @@
                 null);
     }
 
-    private static Worker holder(World w, String task) {
+    private static EmulatedWorker holder(SimulatedCluster w, String task) {
         String place = w.rules.places.get(task);
         return place == null
                 ? null
@@ -69,13 +71,13 @@
     @DisplayName(
             "kept reports reach every controller as a leader begins, again and again: they move, end, stop nothing")
     void keptReports(long seed, double share) {
-        World w = new World(1_020 + seed, 8);
+        SimulatedCluster w = new SimulatedCluster(1_020 + seed, 8);
         services(w, 4);
         for (int i = 0; i < 10; i++) {
             int n = FIRST + i;
             w.at(
                     31_000 + i * 2_500L,
-                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
+                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
         }
         w.keptReports = share;
         for (long t = 38_000; t < 75_000; t += 6_000) {
@@ -104,7 +106,7 @@
     @ParameterizedTest
     @CsvSource({"1, true", "2, true", "3, false", "4, false", "5, true", "6, false"})
     void boundJobsLoseMachines(long seed, boolean oneZone) {
-        World w = new World(1_040 + seed, 0);
+        SimulatedCluster w = new SimulatedCluster(1_040 + seed, 0);
         services(w, 2);
         int tasks = oneZone ? 2 : 3;
         for (int i = 0; i < 4; i++) {
@@ -114,13 +116,13 @@
         w.submit(bound(FIRST + 10, 6, 3, 12, "a", false, false));
         w.submit(bound(FIRST + 11, 6, 3, 12, "b", false, false));
         w.sim.run(47_000);
-        World.Node leader = w.leader();
-        List<Worker> heard = new ArrayList<>();
+        SimulatedCluster.ControllerNode leader = w.leader();
+        List<EmulatedWorker> heard = new ArrayList<>();
         w.at(47_000, () -> {
             for (int i = 0; i < 4; i++) {
-                heard.add(holder(w, World.id(FIRST + i) + "/0"));
+                heard.add(holder(w, SimulatedCluster.id(FIRST + i) + "/0"));
                 for (int t = 1; t < tasks; t++) {
-                    Worker other = holder(w, World.id(FIRST + i) + "/" + t);
+                    EmulatedWorker other = holder(w, SimulatedCluster.id(FIRST + i) + "/" + t);
                     w.nodes.forEach(n -> w.sim.cut(n.host.name, other.box().id));
                 }
             }
@@ -128,13 +130,15 @@
         });
         for (int i = 0; i < 4; i++) {
             int of = i;
-            w.at(51_500 + i * 500L, () -> heard.get(of).fail(World.id(FIRST + of) + "/0"));
+            w.at(51_500 + i * 500L, () -> heard.get(of).fail(SimulatedCluster.id(FIRST + of) + "/0"));
         }
         w.at(56_000, w.sim::heal);
         w.sim.run(75_000);
         kept(w);
         settled(w, ids(FIRST, 4));
-        assertTrue(IntStream.range(0, 4).allMatch(i -> w.running(World.id(FIRST + i), tasks)), "all of them run");
+        assertTrue(
+                IntStream.range(0, 4).allMatch(i -> w.running(SimulatedCluster.id(FIRST + i), tasks)),
+                "all of them run");
     }
 
     @ParameterizedTest
@@ -142,19 +146,19 @@
     @DisplayName(
             "machines that reach no controller while calls reach them hold nothing beyond their lease, and get no more")
     void machinesAreMute(long seed) {
-        World w = new World(1_060 + seed, 0);
+        SimulatedCluster w = new SimulatedCluster(1_060 + seed, 0);
         services(w, 4);
         for (int i = 0; i < 6; i++) {
-            w.submit(World.job(FIRST + i, "blue", false, 2, 1, 300));
+            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
-        List<Worker> mute =
+        List<EmulatedWorker> mute =
                 w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
         w.at(46_000, () -> mute.forEach(x -> w.unheard.add(x.box().id)));
         if (seed == 2) {
             w.at(47_000, () -> crash(w.leader(), 300));
         }
-        w.sim.run(46_000 + World.LEASE_MS + 8_000);
+        w.sim.run(46_000 + SimulatedCluster.LEASE_MS + 8_000);
         kept(w);
         for (long t = w.sim.now; t < 110_000; t += 500) {
             w.sim.run(t);
@@ -172,10 +176,12 @@
     @DisplayName(
             "teams at their limits; users cancel, the machines concerned hang or are cut off, the leader goes: never above, not held up")
     void atTheLimit(long seed, long forMs, boolean cut) {
-        World w = new World(limited(1_080 + seed));
+        SimulatedCluster w = new SimulatedCluster(limited(1_080 + seed));
         for (int i = 0; i < 24; i++) {
             int n = FIRST + i;
-            w.at(1_000 + i * 400L, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 4, 1, 60)));
+            w.at(
+                    1_000 + i * 400L,
+                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 4, 1, 60)));
         }
         w.sim.run(30_000);
         for (int round = 0; round < 2; round++) {
@@ -196,7 +202,9 @@
             // No earlier leader has started what comes now: only what others may hold keeps it back.
             for (int i = 0; i < 8; i++) {
                 int n = FIRST + 24 + 8 * round + i;
-                w.at(at + 500 + i * 1_500L, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 2, 1, 20)));
+                w.at(
+                        at + 500 + i * 1_500L,
+                        () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 2, 1, 20)));
             }
         }
         w.sim.run(100_000);
@@ -208,12 +216,19 @@
     }
 
     /** Both teams have limits, and there are more machines than they may use. */
-    private static World.Setup limited(long seed) {
+    private static SimulatedCluster.Setup limited(long seed) {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("red", new Settings.Team("red", 4, 8, 0, 0));
         teams.put("blue", new Settings.Team("blue", 4, 9, 0, 0));
-        return new World.Setup(
-                seed, 3, 20, 3_000, World.REPORT_MS, World.LEASE_MS, teams, new Settings.State(200, 20, 4, 8));
+        return new SimulatedCluster.Setup(
+                seed,
+                3,
+                20,
+                3_000,
+                SimulatedCluster.REPORT_MS,
+                SimulatedCluster.LEASE_MS,
+                teams,
+                new Settings.State(200, 20, 4, 8));
     }
 
     @ParameterizedTest
@@ -221,14 +236,14 @@
     @DisplayName(
             "machines are up at once and get work, while writes lag and the leader ends: nothing runs twice, nothing is kept for nothing")
     void upAtOnce(long seed, boolean atOnce, double share) {
-        World w = new World(new World.Setup(
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
                 1_100 + seed,
                 3,
                 20,
                 300,
-                World.REPORT_MS,
-                World.LEASE_MS,
-                World.Setup.small(0, 0, 3).teams(),
+                SimulatedCluster.REPORT_MS,
+                SimulatedCluster.LEASE_MS,
+                SimulatedCluster.Setup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
         services(w, 2);
         for (int round = 0; round < 4; round++) {
@@ -243,7 +258,7 @@
             });
             for (int i = 0; i < 8; i++) {
                 int n = first + i;
-                w.at(at + i * 60L, () -> w.submit(World.job(n, "blue", false, 2, 2, 5)));
+                w.at(at + i * 60L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 2, 2, 5)));
             }
             w.at(at + 1_200 + 300 * round, () -> crash(w.leader(), 250));
             w.at(at + 5_000, () -> w.state.lateWrites(0, null));
@@ -261,10 +276,10 @@
     @DisplayName(
             "users call off while work changes hands, at the old leader, the new one and a third; the machines hang, the state service goes")
     void cancelledInTheHandOver(long seed, long spread) {
-        World w = new World(1_120 + seed, 0);
+        SimulatedCluster w = new SimulatedCluster(1_120 + seed, 0);
         services(w, 2);
         for (int i = 0; i < 14; i++) {
-            w.submit(World.job(FIRST + i, "blue", false, 2, 1, 300));
+            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
         for (int round = 0; round < 3; round++) {
@@ -272,7 +287,7 @@
             int first = FIRST + round * 4;
             w.at(at, () -> w.refuse(w.leader(), 9_000));
             for (int i = 0; i < 4; i++) {
-                String id = World.id(first + i);
+                String id = SimulatedCluster.id(first + i);
                 w.at(at + i * spread, () -> w.cancel(id));
             }
             w.at(
@@ -282,11 +297,11 @@
                             .limit(4)
                             .forEach(x -> {
                                 x.hang(true);
-                                w.at(at + 300 + World.LEASE_MS - 1_500, () -> x.hang(false));
+                                w.at(at + 300 + SimulatedCluster.LEASE_MS - 1_500, () -> x.hang(false));
                             }));
             if (round == 1) {
                 w.at(at + 1_000, () -> w.state.outage(true));
-                w.at(at + 1_000 + World.CANCEL_MS + 4_000, () -> w.state.outage(false));
+                w.at(at + 1_000 + SimulatedCluster.CANCEL_MS + 4_000, () -> w.state.outage(false));
             }
             if (round == 2) {
                 w.at(at + 500, () -> crash(w.leader(), 200));
@@ -302,18 +317,18 @@
     @CsvSource({"1, false", "2, true", "3, true"})
     @DisplayName("leaders change ten times in two minutes, also within an outage; users look closely and cancel")
     void tenLeaders(long seed, boolean outage) {
-        World w = new World(1_140 + seed, 8);
+        SimulatedCluster w = new SimulatedCluster(1_140 + seed, 8);
         services(w, 3);
         w.closeLooks = true;
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             int n = FIRST + i;
-            ids.add(World.id(n));
+            ids.add(SimulatedCluster.id(n));
             w.at(
                     31_000 + i * 4_000L,
-                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
+                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
             if (n % 4 == 0) {
-                w.at(34_000 + i * 4_000L, () -> w.cancel(World.id(n)));
+                w.at(34_000 + i * 4_000L, () -> w.cancel(SimulatedCluster.id(n)));
             }
         }
         for (int i = 0; i < 10; i++) {
@@ -328,10 +343,10 @@
         }
         if (outage) {
             w.at(70_000, () -> w.state.outage(true));
-            w.at(70_000 + World.CANCEL_MS + 3_000, () -> w.state.outage(false));
+            w.at(70_000 + SimulatedCluster.CANCEL_MS + 3_000, () -> w.state.outage(false));
         }
         w.sim.run(200_000);
-        Checks.everybodySaysTheSame(w, ids);
+        ClusterAssertions.everybodySaysTheSame(w, ids);
         settled(w, ids);
     }
 
@@ -340,13 +355,13 @@
     @DisplayName(
             "a zone with machines and a controller is cut off for longer than a lease, the leader within or without; jobs are cancelled outside")
     void aZoneWithAController(long seed) {
-        World w = new World(1_160 + seed, 0);
+        SimulatedCluster w = new SimulatedCluster(1_160 + seed, 0);
         services(w, 4);
         for (int i = 0; i < 6; i++) {
-            w.submit(World.job(FIRST + i, "blue", false, 3, 1, 200));
+            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 3, 1, 200));
         }
         w.sim.run(45_000);
-        World.Node inside = seed == 1 ? w.leader() : w.nodes.get((w.leader().index + 1) % 3);
+        SimulatedCluster.ControllerNode inside = seed == 1 ? w.leader() : w.nodes.get((w.leader().index + 1) % 3);
         w.at(46_000, () -> {
             w.workers.forEach(x -> w.nodes.forEach(n -> {
                 if (x.box().zone.equals("b") != (n == inside)) {
@@ -358,13 +373,13 @@
                 w.sim.cut(inside.host.name, "state");
             }
         });
-        World.Node outside =
+        SimulatedCluster.ControllerNode outside =
                 w.nodes.stream().filter(n -> n != inside).findFirst().orElseThrow();
         for (int i = 0; i < 3; i++) {
-            String id = World.id(FIRST + i);
+            String id = SimulatedCluster.id(FIRST + i);
             w.at(47_000 + i * 900L, () -> w.askOnce(id, "cancel", outside.index));
         }
-        w.at(46_000 + 2 * World.LEASE_MS, w.sim::heal);
+        w.at(46_000 + 2 * SimulatedCluster.LEASE_MS, w.sim::heal);
         w.sim.run(110_000);
         assertEquals(3, w.over("cancelled"));
         kept(w);
@@ -376,24 +391,24 @@
     @DisplayName(
             "a cancelled job that a fresh leader has no room to remember still runs on machines that cannot report: its team's limit holds")
     void nobodyRemembersTheJob(long seed) {
-        World w = new World(1_180 + seed, 8);
+        SimulatedCluster w = new SimulatedCluster(1_180 + seed, 8);
         services(w, 2);
-        w.submit(World.job(FIRST, "red", false, 8, 1, 300));
+        w.submit(SimulatedCluster.job(FIRST, "red", false, 8, 1, 300));
         // Its machines are free when the limit is all that keeps the next job back.
-        w.submit(World.job(FIRST + 2, "blue", false, 8, 1, 7));
+        w.submit(SimulatedCluster.job(FIRST + 2, "blue", false, 8, 1, 7));
         w.sim.run(45_000);
-        w.submit(World.job(FIRST + 1, "red", false, 8, 1, 5));
-        List<Worker> mute = IntStream.range(0, 8)
-                .mapToObj(i -> holder(w, World.id(FIRST) + "/" + i))
+        w.submit(SimulatedCluster.job(FIRST + 1, "red", false, 8, 1, 5));
+        List<EmulatedWorker> mute = IntStream.range(0, 8)
+                .mapToObj(i -> holder(w, SimulatedCluster.id(FIRST) + "/" + i))
                 .distinct()
                 .toList();
         w.at(46_000, () -> mute.forEach(x -> w.unheard.add(x.box().id)));
         // The leader that could act on it has just ended.
-        World.Node other = w.nodes.get((w.leader().index + 1) % 3);
+        SimulatedCluster.ControllerNode other = w.nodes.get((w.leader().index + 1) % 3);
         w.at(46_500, () -> w.leader().crash(300));
-        w.at(46_510, () -> w.askOnce(World.id(FIRST), "cancel", other.index));
+        w.at(46_510, () -> w.askOnce(SimulatedCluster.id(FIRST), "cancel", other.index));
         w.at(46_700, () -> {
-            assertEquals("cancelled", w.rules.told.get(World.id(FIRST)));
+            assertEquals("cancelled", w.rules.told.get(SimulatedCluster.id(FIRST)));
             w.ended(2_000, 2_300, 1);
             w.nodes.forEach(n -> crash(n, 200));
         });
@@ -401,7 +416,7 @@
         w.sim.run(90_000);
         kept(w);
         settled(w, ids(FIRST, 2));
-        assertEquals("done", w.rules.told.get(World.id(FIRST + 1)));
+        assertEquals("done", w.rules.told.get(SimulatedCluster.id(FIRST + 1)));
     }
 
     @ParameterizedTest
@@ -409,20 +424,20 @@
     @DisplayName(
             "more work than room, urgent and not, over slow links, through a change of leader: the largest begin, all is served in the end")
     void moreWorkThanRoom(long seed) {
-        World w = new World(new World.Setup(
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
                 1_200 + seed,
                 3,
                 3,
                 3_000,
-                World.REPORT_MS,
-                World.LEASE_MS,
-                World.Setup.small(0, 0, 3).teams(),
+                SimulatedCluster.REPORT_MS,
+                SimulatedCluster.LEASE_MS,
+                SimulatedCluster.Setup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
         w.nodes.forEach(n -> w.sim.slow.put(n.host.name, 600L));
         services(w, 2);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            JobSpec small = World.job(FIRST + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
+            JobSpec small = SimulatedCluster.job(FIRST + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
             ids.add(small.id());
             w.at(
                     31_000 + i * 3_000L,
@@ -449,7 +464,7 @@
                             null)));
         }
         for (int i = 0; i < 3; i++) {
-            JobSpec large = World.job(FIRST + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
+            JobSpec large = SimulatedCluster.job(FIRST + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
             ids.add(large.id());
             w.at(40_000 + i * 15_000L, () -> w.submit(large));
         }
@@ -460,9 +475,9 @@
         kept(w);
         for (int i = 0; i < 3; i++) {
             assertTrue(
-                    w.rules.firstStart(World.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
+                    w.rules.firstStart(SimulatedCluster.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
                     "a large one has begun in time");
         }
-        Checks.everybodySaysTheSame(w, ids);
+        ClusterAssertions.everybodySaysTheSame(w, ids);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/QuickReturnTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.crash;
-import static org.landingridge.experiment.Checks.kept;
-import static org.landingridge.experiment.Checks.services;
+import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.services;
 
 import java.util.List;
 import java.util.Map;
@@ -14,17 +14,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.controller.peer.Message;
-import org.landingridge.emulator.Truth;
-import org.landingridge.emulator.Worker;
+import org.landingridge.controller.peer.PeerMessage;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.GroundTruth;
 
 /** Processes and machines that are back within a fraction of a second, late copies of what was sent, pauses. */
-class QuickReturnTest {
+class RapidRestartTest {
     private static final long LEASE_MS = 20_000;
 
-    private static World world(long seed, int controllers) {
-        return new World(new World.Setup(
+    private static SimulatedCluster world(long seed, int controllers) {
+        return new SimulatedCluster(new SimulatedCluster.Setup(
                 seed,
                 controllers,
                 40,
@@ -36,14 +36,15 @@
     }
 
     /** Arrays that come, end, fail and are cancelled all the time, beside the services. */
-    private static void load(World w) {
+    private static void load(SimulatedCluster w) {
         for (int i = 20; i < 60; i++) {
             int n = i;
             w.at(
                     1_000L + (i - 20) * 2_000,
-                    () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
+                    () -> w.submit(
+                            SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
             if (i % 4 == 0) {
-                w.at(4_000L + (i - 20) * 2_000, () -> w.cancel(World.id(n)));
+                w.at(4_000L + (i - 20) * 2_000, () -> w.cancel(SimulatedCluster.id(n)));
             }
         }
     }
@@ -52,9 +53,9 @@
     @ValueSource(longs = {50, 300, 2_500})
     @DisplayName("a machine that is back under its old name is not taken for the one that held the tasks")
     void aMachineBeginsAnew(long back) {
-        World w = world(401, 3);
+        SimulatedCluster w = world(401, 3);
         services(w, 12);
-        Worker lost =
+        EmulatedWorker lost =
                 w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
         w.restart(lost, back);
         w.sim.run(30_000 + back + 8_000);
@@ -68,7 +69,7 @@
     @Test
     @DisplayName("the same machine five times in a row, in the middle of a takeover too")
     void aMachineAgainAndAgain() {
-        World w = world(402, 3);
+        SimulatedCluster w = world(402, 3);
         services(w, 12);
         String id = w.workers.stream()
                 .filter(x -> x.running() != null)
@@ -94,7 +95,7 @@
     @CsvSource({"1, 3, 50", "2, 3, 300", "3, 7, 120", "4, 7, 500", "5, 3, 80", "6, 7, 50"})
     @DisplayName("controllers end and are back before anybody notices: one, the leader, all, in elections and outages")
     void controllersAreBackAtOnce(long seed, int controllers, long back) {
-        World w = world(410 + seed, controllers);
+        SimulatedCluster w = world(410 + seed, controllers);
         services(w, 8);
         load(w);
         for (int i = 0; i < 5; i++) {
@@ -110,7 +111,7 @@
         w.sim.run(180_000);
         kept(w);
         for (int i = 20; i < 60; i++) {
-            String told = w.rules.told.get(World.id(i));
+            String told = w.rules.told.get(SimulatedCluster.id(i));
             assertTrue("done".equals(told) || "cancelled".equals(told), "job " + i + " is " + told);
         }
     }
@@ -120,7 +121,7 @@
     @DisplayName(
             "a third of all messages comes again late, between any two parties, with takeovers and lost machines beside")
     void lateCopiesOfEverything(long seed) {
-        World w = world(420 + seed, 3);
+        SimulatedCluster w = world(420 + seed, 3);
         w.sim.copied.put("", 0.3);
         w.sim.copied.put("users", 0.0);
         services(w, 8);
@@ -141,15 +142,15 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aStartComesAgainAfterItsClear(long seed) {
-        World w = world(430 + seed, 3);
+        SimulatedCluster w = world(430 + seed, 3);
         services(w, 4);
         w.workers.forEach(x -> w.sim.copied.put(x.box().id, 1.0));
         w.sim.copiedWithinMs = 40_000;
         for (int i = 0; i < 16; i++) {
-            w.submit(World.job(60 + i, "blue", false, 1, 1, 60));
+            w.submit(SimulatedCluster.job(60 + i, "blue", false, 1, 1, 60));
         }
         for (int i = 0; i < 16; i++) {
-            String task = World.id(60 + i) + "/0";
+            String task = SimulatedCluster.id(60 + i) + "/0";
             w.at(36_000 + i * 300L, () -> w.workers.forEach(x -> x.fail(task)));
         }
         w.sim.run(140_000);
@@ -160,13 +161,14 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     @DisplayName("late reports of a machine's earlier life say nothing of what its present life runs")
     void lateReportsOfAnEarlierLife(long seed) {
-        World w = world(440 + seed, 3);
+        SimulatedCluster w = world(440 + seed, 3);
         services(w, 12);
         w.nodes.forEach(n -> w.sim.copied.put(n.host.name, 1.0));
         w.sim.copiedWithinMs = 12_000;
-        List<Worker> busy = w.workers.stream().filter(x -> x.running() != null).toList();
+        List<EmulatedWorker> busy =
+                w.workers.stream().filter(x -> x.running() != null).toList();
         for (int i = 0; i < busy.size(); i++) {
-            Worker x = busy.get(i);
+            EmulatedWorker x = busy.get(i);
             w.at(42_000 + i * 1_500L, () -> w.restart(x, 100));
         }
         w.sim.run(120_000);
@@ -177,16 +179,16 @@
     @Test
     @DisplayName("a refusal that comes late does not cost the lead in an outage that all have promised to wait out")
     void aRefusalComesLate() {
-        World w = world(445, 3);
+        SimulatedCluster w = world(445, 3);
         services(w, 12);
         int starts = w.rules.starts;
-        World.Node leader = w.leader();
+        SimulatedCluster.ControllerNode leader = w.leader();
         w.state.outage(true);
         String other = w.nodes.get((leader.index + 1) % 3).host.name;
         w.at(
                 40_000,
-                () -> leader.controller.received(
-                        new Message.Refuse(other, w.status(leader).path("token").asLong(), 1)));
+                () -> leader.controller.received(new PeerMessage.Refuse(
+                        other, w.status(leader).path("token").asLong(), 1)));
         w.at(30_000 + 3 * LEASE_MS, () -> w.state.outage(false));
         w.sim.run(60_000 + 3 * LEASE_MS);
         kept(w);
@@ -196,13 +198,13 @@
     @Test
     @DisplayName("signs of life of a leader of the past do not hide the present one: reports are still carried to it")
     void aSignOfLifeOfThePast() {
-        World w = world(446, 3);
+        SimulatedCluster w = world(446, 3);
         services(w, 12);
         int starts = w.rules.starts;
-        World.Node leader = w.leader();
+        SimulatedCluster.ControllerNode leader = w.leader();
         w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id));
         w.nodes.stream().filter(n -> n != leader).forEach(n -> {
-            Message late = new Message.Running(
+            PeerMessage late = new PeerMessage.Running(
                     w.nodes.stream()
                             .filter(o -> o != n && o != leader)
                             .findFirst()
@@ -223,11 +225,12 @@
     @Test
     @DisplayName("a leader that stood still for less than its hold takes nobody for silent")
     void aLeaderStandsStill() {
-        World w = world(450, 3);
+        SimulatedCluster w = world(450, 3);
         services(w, 12);
         int starts = w.rules.starts;
         int[] asked = new int[1];
-        w.rules.orders = (order, machine, attempt, pool, repeated) -> asked[0] += order == Truth.Order.CALL ? 1 : 0;
+        w.rules.orders =
+                (order, machine, attempt, pool, repeated) -> asked[0] += order == GroundTruth.Order.CALL ? 1 : 0;
         for (int i = 0; i < 6; i++) {
             w.at(31_000 + i * 5_290L, () -> w.leader().host.freeze(2_300));
         }
@@ -243,7 +246,7 @@
     @DisplayName(
             "a leader that stood still for longer than its hold, and others too, gives nothing from its former right")
     void longerThanTheHold(long ms) {
-        World w = world(451, 3);
+        SimulatedCluster w = world(451, 3);
         services(w, 8);
         load(w);
         w.at(33_300, () -> w.leader().host.freeze(ms));
