--- a/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.TestInstance;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.peer.Message;
+import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.store.Keys;
-import org.landingridge.emulator.Sim;
+import org.landingridge.emulator.Simulation;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
@@ -46,31 +46,33 @@
     @BeforeAll
     void play() {
         recorder = new FormatRecorder();
-        World w = scenario(recorder);
+        SimulatedCluster w = scenario(recorder);
         w.sim.run(CRASH_AT - 1);
         storedAtCrash = recorder.stored();
         w.sim.run(END_AT);
-        Checks.kept(w);
+        ClusterAssertions.kept(w);
     }
 
     /** Services, arrays, a pipeline, cancellations, a lost machine, an outage, a failover, the history, a change of teams. */
-    static World scenario(FormatRecorder recorder) {
-        World w = new World(7, 0);
+    static SimulatedCluster scenario(FormatRecorder recorder) {
+        SimulatedCluster w = new SimulatedCluster(7, 0);
         w.sim.observer = recorder;
-        Sim.Host visitor = w.sim.host("visitor");
+        Simulation.Host visitor = w.sim.host("visitor");
         w.ended(100_000, 300, 1);
         for (int i = 0; i < 4; i++) {
-            w.submit(World.job(i, "blue", true, 2, 2, 0));
-            w.submit(World.job(10 + i, "red", false, 6, 1, 8 + i));
+            w.submit(SimulatedCluster.job(i, "blue", true, 2, 2, 0));
+            w.submit(SimulatedCluster.job(10 + i, "red", false, 6, 1, 8 + i));
         }
-        w.submit(World.job(20, "blue", false, 3, 1, 10));
-        w.submit(World.job(21, "red", false, 2, 1, 60));
+        w.submit(SimulatedCluster.job(20, "blue", false, 3, 1, 10));
+        w.submit(SimulatedCluster.job(21, "red", false, 2, 1, 60));
         w.at(
                 12_000,
-                () -> w.submitWhenAwaitedAreAccepted(following(World.job(22, "blue", false, 2, 1, 5), "job-000020")));
+                () -> w.submitWhenAwaitedAreAccepted(
+                        following(SimulatedCluster.job(22, "blue", false, 2, 1, 5), "job-000020")));
         w.at(
                 14_000,
-                () -> w.submitWhenAwaitedAreAccepted(following(World.job(23, "blue", false, 2, 1, 5), "job-000021")));
+                () -> w.submitWhenAwaitedAreAccepted(
+                        following(SimulatedCluster.job(23, "blue", false, 2, 1, 5), "job-000021")));
         w.at(25_000, () -> w.cancel("job-000021"));
         w.at(30_000, () -> w.workers.get(0).hang(true));
         w.at(35_000, () -> w.cancel("job-000001"));
@@ -155,7 +157,7 @@
                 records.toString());
         for (String line : records) {
             byte[] bytes = HexFormat.of().parseHex(line.substring(line.indexOf('\t') + 1));
-            Message message = Message.decode(new DataInputStream(new ByteArrayInputStream(bytes)));
+            PeerMessage message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(bytes)));
             assertArrayEquals(bytes, message.encode(), line);
         }
     }
@@ -177,7 +179,7 @@
                         l.substring(0, l.indexOf('\t')),
                         Json.parse(l.substring(l.indexOf('\t') + 1).getBytes(StandardCharsets.UTF_8))));
         assertFalse(before.isEmpty(), name);
-        World w = new World(9, 0);
+        SimulatedCluster w = new SimulatedCluster(9, 0);
         before.forEach((key, value) -> {
             if (!key.equals(Keys.LEADER)) {
                 w.state.seed(key, value);
@@ -210,7 +212,7 @@
     }
 
     /** What the first controller answers to a poll. */
-    private static JsonNode show(World w, String id) {
+    private static JsonNode show(SimulatedCluster w, String id) {
         JsonNode[] shown = new JsonNode[1];
         w.sim.client(w.sim.host("visitor"))
                 .call(
@@ -242,7 +244,7 @@
         return done;
     }
 
-    private static int tasksDone(World w, Map<String, JsonNode> stored) {
+    private static int tasksDone(SimulatedCluster w, Map<String, JsonNode> stored) {
         int done = 0;
         for (Map.Entry<String, JsonNode> row : liveChunks(stored)) {
             done += show(w, job(row)).path("done").asInt();
--- a/experiment/src/test/java/org/landingridge/experiment/AtSizeTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
-import org.landingridge.controller.config.Settings;
+import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
 
 /** What a history of a million jobs costs: nothing that grows with it. */
-class AtSizeTest {
+class ScaleTest {
     /** Three controllers and everything around them, in a process whose heap is that of one controller. */
     public static void main(String[] args) {
         int ended = Integer.parseInt(args[0]);
-        World w = new World(1, 10);
-        World.past(w.state, 0, ended);
-        World.Node leader = null;
+        SimulatedCluster w = new SimulatedCluster(1, 10);
+        SimulatedCluster.past(w.state, 0, ended);
+        SimulatedCluster.ControllerNode leader = null;
         while (leader == null || w.metric(leader, "landingridge_takeovers") != 1) {
             w.sim.run(w.sim.now + 10);
             leader = w.leader();
@@ -31,8 +31,8 @@
         // Old jobs, at the ends of the history and within: asked for, submitted once more, cancelled.
         for (int n : new int[] {0, 6, 7, 511, 512, ended / 2, ended - 2, ended - 1}) {
             boolean cancelled = n % 7 == 0;
-            String id = World.id(n);
-            w.rules.specs.put(id, World.job(n, "blue", false, 1 + n % 100, 1, 1));
+            String id = SimulatedCluster.id(n);
+            w.rules.specs.put(id, SimulatedCluster.job(n, "blue", false, 1 + n % 100, 1, 1));
             w.rules.told.put(id, cancelled ? "cancelled" : "done");
             if (cancelled) {
                 w.rules.cancelAsked.add(id);
@@ -48,15 +48,16 @@
             }
         }
         // New ones, and one that nobody submitted.
-        w.submit(World.job(ended + 10, "red", false, 5, 1, 2));
-        w.submit(World.job(ended + 20_000, "blue", true, 2, 1, 0));
-        w.at(20_000, () -> w.cancel(World.id(ended + 20_000)));
-        w.poll(World.id(ended + 30_000));
+        w.submit(SimulatedCluster.job(ended + 10, "red", false, 5, 1, 2));
+        w.submit(SimulatedCluster.job(ended + 20_000, "blue", true, 2, 1, 0));
+        w.at(20_000, () -> w.cancel(SimulatedCluster.id(ended + 20_000)));
+        w.poll(SimulatedCluster.id(ended + 30_000));
         w.sim.run(40_000);
         if (!w.rules.broken.isEmpty()) {
             throw new AssertionError(w.rules.broken.toString());
         }
-        for (var expected : List.of(World.id(ended + 10) + "=done", World.id(ended + 20_000) + "=cancelled")) {
+        for (var expected : List.of(
+                SimulatedCluster.id(ended + 10) + "=done", SimulatedCluster.id(ended + 20_000) + "=cancelled")) {
             String[] parts = expected.split("=");
             if (!parts[1].equals(w.rules.told.get(parts[0]))) {
                 throw new AssertionError(parts[0] + " is " + w.rules.told.get(parts[0]));
@@ -84,7 +85,7 @@
                         "-XX:+UseSerialGC",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        AtSizeTest.class.getName(),
+                        ScaleTest.class.getName(),
                         "" + ended)
                 .redirectErrorStream(true)
                 .start();
@@ -106,7 +107,7 @@
     @DisplayName(
             "10,000 machines that report for the first time stand on the roster within 15 s, at 40 changes a second")
     void theRosterKeepsUp() {
-        World w = new World(new World.Setup(
+        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
                 5,
                 3,
                 10_000,
--- a/experiment/src/test/java/org/landingridge/experiment/GrownTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.Checks.kept;
+import static org.landingridge.experiment.ClusterAssertions.kept;
 
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
@@ -11,16 +11,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Histories of seven controllers and some hundreds of machines, every rule checked throughout. */
-class GrownTest {
+class SevenControllersTest {
     private static final int SERVICES = 150;
 
     /** A fleet of some two hundred machines with a service's replica or two on most. */
-    private static World grown(long seed) {
-        World w = new World(seed, 600, 7);
+    private static SimulatedCluster grown(long seed) {
+        SimulatedCluster w = new SimulatedCluster(seed, 600, 7);
         w.cloud.capacity = 220;
         for (int i = 0; i < SERVICES; i++) {
             int n = i;
-            w.at(200 + i * 100L, () -> w.submit(World.job(n, n % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
+            w.at(200 + i * 100L, () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
         }
         w.sim.run(45_000);
         assertEquals(2 * SERVICES, w.rules.places.size(), "every replica runs before the trouble begins");
@@ -33,10 +33,10 @@
     @DisplayName(
             "a takeover of a large fleet loses no replica, although one machine hangs and two controllers are dead")
     void takeoverOfALargeFleet(long seed) {
-        World w = grown(seed);
+        SimulatedCluster w = grown(seed);
         int starts = w.rules.starts;
-        World.Node leader = w.leader();
-        World.Node other = w.nodes.get((leader.index + 1) % 7);
+        SimulatedCluster.ControllerNode leader = w.leader();
+        SimulatedCluster.ControllerNode other = w.nodes.get((leader.index + 1) % 7);
         w.workers.get(3).hang(true);
         leader.crash(30_000);
         other.crash(30_000);
@@ -51,7 +51,7 @@
     @Test
     @DisplayName("all seven controllers crash: whoever is back first leads before the leases run out")
     void allCrash() {
-        World w = grown(211);
+        SimulatedCluster w = grown(211);
         int starts = w.rules.starts;
         w.nodes.forEach(n -> n.crash(2_000 + 150L * n.index));
         w.sim.run(65_000);
@@ -62,9 +62,9 @@
     @Test
     @DisplayName("a zone cut off for longer than the lease: its replicas come back in the other, none runs twice")
     void zoneCutBeyondTheLease() {
-        World w = grown(221);
+        SimulatedCluster w = grown(221);
         w.cloud.capacity = 500;
-        long until = 45_000 + 3 * World.LEASE_MS + 12_000;
+        long until = 45_000 + 3 * SimulatedCluster.LEASE_MS + 12_000;
         for (long t = 45_000; t < until; t += 500) {
             w.at(
                     t,
@@ -86,7 +86,7 @@
     @Test
     @DisplayName("the whole deployment stays within the state service's rates, through a takeover too")
     void statesRates() {
-        World w = grown(231);
+        SimulatedCluster w = grown(231);
         w.state.mostRequests = 0;
         w.state.mostWrites = 0;
         w.sim.run(60_000);
@@ -100,21 +100,21 @@
     @Test
     @DisplayName("far more submissions than can be written: refused at once, accepted in the end, and the leader stays")
     void moreSubmissionsThanTheStateServiceTakes() {
-        World w = new World(261, 0, 7);
+        SimulatedCluster w = new SimulatedCluster(261, 0, 7);
         w.cloud.capacity = 150;
         for (int i = 0; i < 40; i++) {
             int n = i;
-            w.at(200 + i * 200L, () -> w.submit(World.job(n, "blue", true, 1, 2, 0)));
+            w.at(200 + i * 200L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 2, 0)));
         }
         w.sim.run(30_000);
         int starts = w.rules.starts;
-        World.Node leader = w.leader();
+        SimulatedCluster.ControllerNode leader = w.leader();
         int takeovers = w.metric(leader, "landingridge_takeovers");
         // The settings say 200 requests and 20 changes a second: 240 jobs at once are twelve seconds' worth of changes.
         w.state.rps = 200;
         w.state.writeRps = 20;
         for (int i = 100; i < 340; i++) {
-            w.submit(World.job(i, "red", false, 1, 0.5, 2));
+            w.submit(SimulatedCluster.job(i, "red", false, 1, 0.5, 2));
         }
         w.sim.run(32_000);
         assertTrue(w.rules.told.size() < 240, "not all can be accepted at once");
@@ -134,11 +134,11 @@
 
     /** Passes of the scheduler in half a minute in which nothing happens, with this many services of one replica. */
     private static int passes(int services) {
-        World w = new World(241, 0, 3);
+        SimulatedCluster w = new SimulatedCluster(241, 0, 3);
         w.cloud.capacity = services;
         for (int i = 0; i < services; i++) {
             int n = i;
-            w.at(200 + i * 100L, () -> w.submit(World.job(n, "blue", true, 1, 4, 0)));
+            w.at(200 + i * 100L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 4, 0)));
         }
         w.sim.run(60_000);
         assertEquals(services, w.rules.places.size());
@@ -163,13 +163,13 @@
     @Test
     @DisplayName("arrays of the largest size, many at once, take little memory and leave the others served")
     void largestArrays() {
-        World w = new World(251, 0, 3);
+        SimulatedCluster w = new SimulatedCluster(251, 0, 3);
         long before = used();
         for (int i = 0; i < 20; i++) {
-            w.submit(World.job(100 + i, "red", false, 100_000, 4, 5));
+            w.submit(SimulatedCluster.job(100 + i, "red", false, 100_000, 4, 5));
         }
-        w.submit(World.job(1, "blue", true, 2, 1, 0));
-        w.submit(World.job(2, "blue", false, 3, 1, 2));
+        w.submit(SimulatedCluster.job(1, "blue", true, 2, 1, 0));
+        w.submit(SimulatedCluster.job(2, "blue", false, 3, 1, 2));
         w.sim.run(60_000);
         long more = used() - before;
         assertTrue(more < 20, more + " MB more with 2,000,000 tasks");
--- a/experiment/src/test/java/org/landingridge/experiment/SilenceTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.emulator.Worker;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.emulator.EmulatedWorker;
 
 /** Machines that fall silent: dead, hanging or cut off, alone or together, with and without a leader's death. */
-class SilenceTest {
+class SilentMachineTest {
     private static final long LEASE_MS = 20_000;
-    private World w;
+    private SimulatedCluster w;
 
     private void world(long seed) {
-        w = new World(new World.Setup(
+        w = new SimulatedCluster(new SimulatedCluster.Setup(
                 seed,
                 3,
                 40,
@@ -33,14 +33,14 @@
 
     /** Services of a whole machine each, so many that the zones have some each, running. */
     private void services(int count) {
-        Checks.services(w, count);
+        ClusterAssertions.services(w, count);
     }
 
-    private List<Worker> busy() {
+    private List<EmulatedWorker> busy() {
         return w.workers.stream().filter(x -> x.running() != null).toList();
     }
 
-    private void cut(Worker x) {
+    private void cut(EmulatedWorker x) {
         w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id));
     }
 
@@ -49,7 +49,7 @@
     }
 
     private void kept() {
-        Checks.kept(w);
+        ClusterAssertions.kept(w);
     }
 
     @BeforeEach
@@ -61,7 +61,7 @@
     @DisplayName("what a dead machine held runs again long before its lease is over")
     void aDeadMachine() {
         services(12);
-        Worker dead = busy().get(0);
+        EmulatedWorker dead = busy().get(0);
         String job = job(dead.running());
         w.cloud.delete(dead.box().id);
         w.sim.run(30_000 + LEASE_MS / 2);
@@ -77,7 +77,7 @@
     void cutOffAndSettled(long seed) {
         world(seed);
         services(12);
-        Worker lost = busy().get(0);
+        EmulatedWorker lost = busy().get(0);
         cut(lost);
         w.cloud.trouble = true;
         w.at(30_000 + 10_500, () -> w.cloud.trouble = false);
@@ -93,12 +93,12 @@
         kept();
     }
 
-    /** Guards {@code Appraisal.worth}: a give-back that waits for the state service is carried out on a machine that is back. */
+    /** Guards {@code HealthMonitor.worth}: a give-back that waits for the state service is carried out on a machine that is back. */
     @Test
     @DisplayName("a machine that hangs within an outage of the state service is not given back after both are over")
     void hangsWithinAnOutage() {
         services(12);
-        Worker hung = busy().get(0);
+        EmulatedWorker hung = busy().get(0);
         String task = hung.running();
         w.state.outage(true);
         hung.hang(true);
@@ -115,7 +115,7 @@
     @DisplayName("where a zone falls silent its machines are left to their leases: most of them go on working")
     void aZoneCutOff() {
         services(16);
-        List<Worker> zone =
+        List<EmulatedWorker> zone =
                 w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
         zone.forEach(this::cut);
         w.sim.run(30_000 + LEASE_MS - 3_000);
@@ -130,7 +130,7 @@
     @DisplayName("a leader's death does not begin the leases of silent machines anew")
     void leasesGoOnThroughATakeover() {
         services(16);
-        List<Worker> zone = w.workers.stream()
+        List<EmulatedWorker> zone = w.workers.stream()
                 .filter(x -> x.box().zone.equals("a") && x.running() != null)
                 .toList();
         List<String> jobs = zone.stream().map(x -> job(x.running())).toList();
@@ -153,7 +153,7 @@
     void heardAgainInAnOutage(long seed) {
         world(seed);
         services(16);
-        List<Worker> zone =
+        List<EmulatedWorker> zone =
                 w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
         zone.forEach(this::cut);
         w.at(30_000 + 10_000, () -> w.state.outage(true));
@@ -169,14 +169,14 @@
         kept();
     }
 
-    /** Guards {@code Roster.takeOver}: the word of a leader before the last one on silent machines counts for nothing. */
+    /** Guards {@code MachineRegistry.takeOver}: the word of a leader before the last one on silent machines counts for nothing. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("a silence that an earlier leader wrote down is forgotten by the leader after the next")
     void twoLeadersLater(long seed) {
         world(seed);
         services(16);
-        List<Worker> zone =
+        List<EmulatedWorker> zone =
                 w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
         zone.forEach(this::cut);
         w.at(30_000 + 8_500, () -> w.leader().crash(30_000));
@@ -193,7 +193,7 @@
     @DisplayName("a worker that has seen a later leader's token is not held by an answer that it drops")
     void aLaterToken() {
         services(6);
-        World.Node leader = w.leader();
+        SimulatedCluster.ControllerNode leader = w.leader();
         w.sim.cut(leader.host.name, "state");
         w.nodes.stream().filter(n -> n != leader).forEach(n -> w.sim.cut(leader.host.name, n.host.name));
         w.sim.run(70_000);
--- a/experiment/src/test/java/org/landingridge/experiment/AllDownTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.config.Settings;
-import org.landingridge.emulator.Truth.Order;
-import org.landingridge.emulator.Worker;
+import org.landingridge.controller.settings.Settings;
+import org.landingridge.emulator.EmulatedWorker;
+import org.landingridge.emulator.GroundTruth.Order;
 import org.landingridge.wire.Json;
 
 /** All controllers go down, machines are lost meanwhile, and all come up at once. */
-class AllDownTest {
+class TotalOutageTest {
     private static final long LEASE_MS = 20_000;
     private static final long DOWN_AT = 30_000;
     private static final int SERVICES = 14;
-    private World w;
-    private OrderBook orders;
+    private SimulatedCluster w;
+    private CommandAudit orders;
 
     private void world(long seed) {
-        w = new World(new World.Setup(
+        w = new SimulatedCluster(new SimulatedCluster.Setup(
                 seed,
                 3,
                 60,
@@ -36,17 +36,17 @@
                 LEASE_MS,
                 Map.of("blue", new Settings.Team("blue", 400, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
-        orders = new OrderBook(
+        orders = new CommandAudit(
                 () -> w.sim.now,
                 id -> w.workers.stream().anyMatch(x -> x.box().id.equals(id) && !x.hangs()),
                 w.rules.cancelAsked::contains);
         for (int i = 0; i < SERVICES; i++) {
             int n = i;
-            w.at(100 + i * 50L, () -> w.submit(World.job(n, "blue", true, 1, 3, 0)));
+            w.at(100 + i * 50L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 3, 0)));
         }
         for (int i = 100; i < 106; i++) {
             int n = i;
-            w.at(2_000 + (i - 100) * 4_000L, () -> w.submit(World.job(n, "blue", false, 12, 1, 6)));
+            w.at(2_000 + (i - 100) * 4_000L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 12, 1, 6)));
         }
         w.sim.run(DOWN_AT);
         assertEquals(SERVICES, services());
@@ -64,7 +64,7 @@
             w.workers.stream()
                     .filter(x -> x.box().zone.equals(zone) && x.running() != null)
                     .findFirst()
-                    .map(Worker::box)
+                    .map(EmulatedWorker::box)
                     .ifPresent(b -> w.cloud.delete(b.id));
         }
     }
@@ -134,13 +134,13 @@
         settled();
     }
 
-    /** Guards {@code Roster.takeOver}: a page that is taken for empty has what its machines hold started once more. */
+    /** Guards {@code MachineRegistry.takeOver}: a page that is taken for empty has what its machines hold started once more. */
     @ParameterizedTest
     @CsvSource({"51,x", "52,[]", "53,row"})
     @DisplayName("a page of the roster that cannot be read is never taken for empty, and the rest goes on")
     void unreadableRoster(long seed, String form) {
         world(seed);
-        Worker silent =
+        EmulatedWorker silent =
                 w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
         down(4_000);
         w.at(DOWN_AT + 500, () -> w.nodes.forEach(n -> w.sim.cut(n.host.name, silent.box().id)));
@@ -159,7 +159,7 @@
                                                 .<ObjectNode>deepCopy()
                                                 .put(silent.box().id, "half a row");
                                 })));
-        w.at(DOWN_AT + 12_000, () -> w.submit(World.job(200, "blue", false, 3, 1, 2)));
+        w.at(DOWN_AT + 12_000, () -> w.submit(SimulatedCluster.job(200, "blue", false, 3, 1, 2)));
         w.sim.run(DOWN_AT + 20_000);
         assertEquals("done", w.rules.told.get("job-000200"), "what is new goes on");
         w.sim.run(120_000);
@@ -173,7 +173,7 @@
     @Test
     @DisplayName("a first start rents nothing for work that machines up but in no list can take")
     void firstStart() {
-        w = new World(new World.Setup(
+        w = new SimulatedCluster(new SimulatedCluster.Setup(
                 31,
                 3,
                 60,
@@ -187,11 +187,11 @@
             w.cloud.rent(i % 2 == 0 ? "a" : "b", false);
         }
         w.cloud.bootMs = 3_000;
-        orders = new OrderBook(() -> w.sim.now, id -> true, id -> false);
+        orders = new CommandAudit(() -> w.sim.now, id -> true, id -> false);
         w.rules.orders = orders;
         for (int i = 0; i < 24; i++) {
             int n = i;
-            w.at(400, () -> w.submit(World.job(n, "blue", true, 1, 3, 0)));
+            w.at(400, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 3, 0)));
         }
         // The first reports come a little after the election, when the jobs are there already.
         w.at(50, () -> w.workers.forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
@@ -211,7 +211,7 @@
         down(25_000);
         w.at(DOWN_AT + 1_000, this::lose);
         w.sim.run(DOWN_AT + 40_000);
-        OrderBook.Count starts = orders.counts().get(Order.START);
+        CommandAudit.Count starts = orders.counts().get(Order.START);
         assertTrue(starts.sum() >= SERVICES, "everything had died with its lease");
         assertEquals(0, starts.needless(), "starts");
         assertEquals(0, orders.counts().get(Order.STOP).needless(), "stops");
--- a/net/src/main/java/org/landingridge/net/Loop.java
+++ b/net/src/main/java/org/landingridge/net/EventLoop.java
@@ -4,7 +4,7 @@
  * The one thread that owns the core, with its clock and timers. The product runs it on the XNIO I/O thread; tests
  * run it on simulated time.
  */
-public interface Loop {
+public interface EventLoop {
     /** A pending timer. */
     interface Timer {
         void cancel();
--- a/net/src/main/java/org/landingridge/net/HttpClient.java
+++ b/net/src/main/java/org/landingridge/net/HttpClient.java
@@ -39,7 +39,7 @@
 
     private static final int MAX_ANSWER = 16 << 20;
     private final XnioIoThread thread;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 4096, 64, 0);
     private final Map<String, Peer> peers = new HashMap<>();
     private final OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
@@ -56,7 +56,7 @@
     }
 
     /** @param maxIdle idle connections to all destinations together: sockets are scarce, and workers come first */
-    public HttpClient(XnioIoThread thread, Loop loop, int maxIdle) {
+    public HttpClient(XnioIoThread thread, EventLoop loop, int maxIdle) {
         this.thread = thread;
         this.loop = loop;
         this.maxIdleInAll = maxIdle;
@@ -94,7 +94,7 @@
         private Consumer<Reply> done;
         private ClientConnection connection;
         private boolean sent;
-        private Loop.Timer deadline;
+        private EventLoop.Timer deadline;
 
         Call(String addr, String method, String path, byte[] body, Consumer<Reply> done) {
             this.addr = addr;
--- a/net/src/main/java/org/landingridge/net/XnioLoop.java
+++ b/net/src/main/java/org/landingridge/net/XnioEventLoop.java
@@ -12,11 +12,11 @@
 import org.xnio.XnioWorker;
 
 /** The loop on an XNIO I/O thread. */
-public final class XnioLoop implements Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
     private final XnioIoThread thread;
 
-    public XnioLoop(XnioIoThread thread) {
+    public XnioEventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/wire/src/main/java/org/landingridge/wire/Report.java
+++ b/wire/src/main/java/org/landingridge/wire/Heartbeat.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** What a worker says of its machine, in a report or in answer to commands. */
-public record Report(
+public record Heartbeat(
         String machine,
         String addr,
         String type,
@@ -28,9 +28,9 @@
     /** One task of a report; {@code why} is set for exited tasks. */
     public record Entry(String job, int task, long attempt, TaskStatus status, String why) {}
 
-    public static Report parse(JsonNode n) throws BadMessage {
+    public static Heartbeat parse(JsonNode n) throws InvalidMessageException {
         if (n == null || !n.isObject()) {
-            throw new BadMessage("a report is a JSON object");
+            throw new InvalidMessageException("a report is a JSON object");
         }
         String machine = Json.text(n, "box");
         String addr = Json.text(n, "addr");
@@ -48,7 +48,7 @@
                 || seq < 0
                 || token < 0
                 || takes != null && !takes.isArray()) {
-            throw new BadMessage("a field of the report is missing or invalid");
+            throw new InvalidMessageException("a field of the report is missing or invalid");
         }
         JsonNode warning = n.get("warningS");
         List<Entry> tasks = new ArrayList<>(takes == null ? 0 : takes.size());
@@ -57,7 +57,7 @@
                 tasks.add(entry(t));
             }
         }
-        return new Report(
+        return new Heartbeat(
                 machine,
                 addr,
                 type,
@@ -70,20 +70,20 @@
                 tasks);
     }
 
-    private static Entry entry(JsonNode t) throws BadMessage {
+    private static Entry entry(JsonNode t) throws InvalidMessageException {
         String name = Json.text(t, "take");
         int slash = name == null ? -1 : name.lastIndexOf('/');
         String status = Json.text(t, "status");
         long attempt = Json.integer(t, "try", -1);
         if (slash < 1 || status == null || attempt < 0) {
-            throw new BadMessage("a task of the report lacks its name, attempt or state");
+            throw new InvalidMessageException("a task of the report lacks its name, attempt or state");
         }
         TaskStatus state = switch (status) {
             case "pulling" -> TaskStatus.FETCHING;
             case "running" -> TaskStatus.RUNNING;
             case "saving" -> TaskStatus.SAVING;
             case "ended" -> TaskStatus.EXITED;
-            default -> throw new BadMessage("unknown task state " + status);
+            default -> throw new InvalidMessageException("unknown task state " + status);
         };
         try {
             return new Entry(
@@ -93,7 +93,7 @@
                     state,
                     Json.text(t, "cause"));
         } catch (NumberFormatException e) {
-            throw new BadMessage("task name " + name + " has no number");
+            throw new InvalidMessageException("task name " + name + " has no number");
         }
     }
 }
--- a/wire/src/main/java/org/landingridge/wire/JobSpec.java
+++ b/wire/src/main/java/org/landingridge/wire/JobSpec.java
@@ -202,36 +202,36 @@
     }
 
     /** A job as a user submits it: every field that may not be null has to be there. */
-    public static JobSpec parse(JsonNode n) throws BadMessage {
+    public static JobSpec parse(JsonNode n) throws InvalidMessageException {
         JobSpec spec = read(n);
         for (String field : REQUIRED) {
             // Taken for 0 or false, a field that was left out would have the job run as nobody meant it.
             if (!n.hasNonNull(field)) {
-                throw new BadMessage("field " + field + " is missing");
+                throw new InvalidMessageException("field " + field + " is missing");
             }
         }
         return spec;
     }
 
     /** A job as it is stored: an earlier version took jobs that lack some fields, and those have been accepted. */
-    public static JobSpec read(JsonNode n) throws BadMessage {
+    public static JobSpec read(JsonNode n) throws InvalidMessageException {
         if (n == null) {
-            throw new BadMessage("the body is not JSON");
+            throw new InvalidMessageException("the body is not JSON");
         }
         if (!n.isObject()) {
-            throw new BadMessage("the body is not a JSON object");
+            throw new InvalidMessageException("the body is not a JSON object");
         }
         String id = Json.text(n, "id");
         if (!validId(id)) {
-            throw new BadMessage("field id: expected a name such as job-000412");
+            throw new InvalidMessageException("field id: expected a name such as job-000412");
         }
         String shape = name(n, "shape", true);
         if (!shape.equals("sweep") && !shape.equals("standing")) {
-            throw new BadMessage("field shape: expected sweep or standing");
+            throw new InvalidMessageException("field shape: expected sweep or standing");
         }
         Priority priority = Priority.of(name(n, "urgency", true));
         if (priority == null) {
-            throw new BadMessage("field urgency: expected prod, urgent, normal or best_effort");
+            throw new InvalidMessageException("field urgency: expected prod, urgent, normal or best_effort");
         }
         JsonNode count = n.get("takes");
         if (count == null
@@ -239,24 +239,24 @@
                 || !count.canConvertToInt()
                 || count.intValue() < 1
                 || count.intValue() > MAX_TASKS) {
-            throw new BadMessage("field takes: expected a whole number from 1 to " + MAX_TASKS);
+            throw new InvalidMessageException("field takes: expected a whole number from 1 to " + MAX_TASKS);
         }
         double cpus = amount(n, "cpus", true);
         double gpus = amount(n, "cards", false);
         if (cpus <= 0 && gpus <= 0) {
-            throw new BadMessage("field cpus: expected more than 0");
+            throw new InvalidMessageException("field cpus: expected more than 0");
         }
         String image = name(n, "reel", false);
         List<String> types = null;
         JsonNode rigs = n.get("rigs");
         if (rigs != null && !rigs.isNull()) {
             if (!rigs.isArray()) {
-                throw new BadMessage("field rigs: expected a list of machine types or null");
+                throw new InvalidMessageException("field rigs: expected a list of machine types or null");
             }
             types = new ArrayList<>();
             for (JsonNode rig : rigs) {
                 if (!rig.isTextual()) {
-                    throw new BadMessage("field rigs: expected names of machine types");
+                    throw new InvalidMessageException("field rigs: expected names of machine types");
                 }
                 types.add(rig.textValue());
             }
@@ -318,65 +318,66 @@
         return n;
     }
 
-    private static List<String> awaits(JsonNode n) throws BadMessage {
+    private static List<String> awaits(JsonNode n) throws InvalidMessageException {
         JsonNode value = n.get("awaits");
         if (value == null || value.isNull()) {
             return List.of();
         }
         if (!value.isArray()) {
-            throw new BadMessage("field awaits: expected a list of job ids or null");
+            throw new InvalidMessageException("field awaits: expected a list of job ids or null");
         }
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : value) {
             if (!id.isTextual() || !validId(id.textValue())) {
-                throw new BadMessage("field awaits: expected names such as job-000412");
+                throw new InvalidMessageException("field awaits: expected names such as job-000412");
             }
             ids.add(id.textValue());
         }
         if (ids.size() > MAX_AWAITED) {
-            throw new BadMessage("field awaits: expected at most " + MAX_AWAITED + " jobs");
+            throw new InvalidMessageException("field awaits: expected at most " + MAX_AWAITED + " jobs");
         }
         return List.copyOf(ids);
     }
 
-    private static String name(JsonNode n, String field, boolean required) throws BadMessage {
+    private static String name(JsonNode n, String field, boolean required) throws InvalidMessageException {
         JsonNode value = n.get(field);
         if (value == null || value.isNull()) {
             if (required) {
-                throw new BadMessage("field " + field + " is missing");
+                throw new InvalidMessageException("field " + field + " is missing");
             }
             return null;
         }
         if (!value.isTextual()
                 || value.textValue().isEmpty()
                 || value.textValue().length() > MAX_NAME) {
-            throw new BadMessage("field " + field + ": expected a text of 1 to " + MAX_NAME + " characters");
+            throw new InvalidMessageException(
+                    "field " + field + ": expected a text of 1 to " + MAX_NAME + " characters");
         }
         return value.textValue();
     }
 
-    private static double amount(JsonNode n, String field, boolean required) throws BadMessage {
+    private static double amount(JsonNode n, String field, boolean required) throws InvalidMessageException {
         JsonNode value = n.get(field);
         if (value == null || value.isNull()) {
             if (required) {
-                throw new BadMessage("field " + field + " is missing");
+                throw new InvalidMessageException("field " + field + " is missing");
             }
             return 0;
         }
         double d = value.isNumber() ? value.doubleValue() : Double.NaN;
         if (!(d >= 0 && d <= 1e9)) {
-            throw new BadMessage("field " + field + ": expected a number from 0 to 1e9");
+            throw new InvalidMessageException("field " + field + ": expected a number from 0 to 1e9");
         }
         return d;
     }
 
-    private static boolean bool(JsonNode n, String field) throws BadMessage {
+    private static boolean bool(JsonNode n, String field) throws InvalidMessageException {
         JsonNode value = n.get(field);
         if (value == null || value.isNull()) {
             return false;
         }
         if (!value.isBoolean()) {
-            throw new BadMessage("field " + field + ": expected true or false");
+            throw new InvalidMessageException("field " + field + ": expected true or false");
         }
         return value.booleanValue();
     }
--- a/wire/src/main/java/org/landingridge/wire/MachineType.java
+++ b/wire/src/main/java/org/landingridge/wire/MachineType.java
@@ -17,16 +17,16 @@
         double bootS,
         List<String> zones) {
 
-    public static List<MachineType> parseAll(JsonNode body) throws BadMessage {
+    public static List<MachineType> parseAll(JsonNode body) throws InvalidMessageException {
         JsonNode rigs = body == null ? null : body.get("rigs");
         if (rigs == null || !rigs.isArray()) {
-            throw new BadMessage("the list of machine types lacks rigs");
+            throw new InvalidMessageException("the list of machine types lacks rigs");
         }
         List<MachineType> all = new ArrayList<>();
         for (JsonNode r : rigs) {
             String name = Json.text(r, "name");
             if (name == null) {
-                throw new BadMessage("a machine type lacks its name");
+                throw new InvalidMessageException("a machine type lacks its name");
             }
             List<String> zones = new ArrayList<>();
             if (r.get("yards") != null) {
--- a/wire/src/test/java/org/landingridge/wire/JobSpecTest.java
+++ b/wire/src/test/java/org/landingridge/wire/JobSpecTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void whatIsWrittenIsReadBack() throws BadMessage {
+    void whatIsWrittenIsReadBack() throws InvalidMessageException {
         JobSpec spec = JobSpec.parse(good());
         assertEquals(16, spec.tasks());
         assertEquals(900.0, spec.deadlineS());
@@ -63,19 +63,20 @@
         } else {
             n.set(field, Json.parse(json.getBytes(StandardCharsets.UTF_8)));
         }
-        BadMessage e = assertThrows(BadMessage.class, () -> JobSpec.parse(n));
+        InvalidMessageException e = assertThrows(InvalidMessageException.class, () -> JobSpec.parse(n));
         assertTrue(e.getMessage().contains("field " + field), e.getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"''", "'['", "'[]'", "'{} x'", "'null'", "'3'"})
     void otherBodiesAreRefused(String body) {
-        assertThrows(BadMessage.class, () -> JobSpec.parse(Json.parse(body.getBytes(StandardCharsets.UTF_8))));
+        assertThrows(
+                InvalidMessageException.class, () -> JobSpec.parse(Json.parse(body.getBytes(StandardCharsets.UTF_8))));
     }
 
     @ParameterizedTest
     @CsvSource({"'null',''", "'[]',''", "'[\"job-000398\",\"job-000405\",\"job-000398\"]','job-000398 job-000405'"})
-    void awaitedJobsAreReadOnceEach(String json, String expected) throws BadMessage {
+    void awaitedJobsAreReadOnceEach(String json, String expected) throws InvalidMessageException {
         ObjectNode n = good();
         n.set("awaits", Json.parse(json.getBytes(StandardCharsets.UTF_8)));
         JobSpec spec = JobSpec.parse(n);
@@ -89,7 +90,7 @@
         for (int i = 0; i <= JobSpec.MAX_AWAITED; i++) {
             n.withArray("awaits").add("job-" + i);
         }
-        assertThrows(BadMessage.class, () -> JobSpec.parse(n));
+        assertThrows(InvalidMessageException.class, () -> JobSpec.parse(n));
     }
 
     @Test
