--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -2,14 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
-import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import org.landingridge.controller.api.JobLookup;
 import org.landingridge.controller.api.JobService;
@@ -17,7 +12,6 @@
 import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.history.History;
 import org.landingridge.controller.history.SegmentAddress;
-import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
 import org.landingridge.controller.leader.LeaderContext;
 import org.landingridge.controller.leader.LeaderTerm;
@@ -40,29 +34,21 @@
 import org.landingridge.controller.upgrade.Capabilities;
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.wire.Heartbeat;
-import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /** One controller: the parts that every controller runs, and the leader term while it leads. */
 public final class Controller implements Leadership.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
+    /** Without an answer of the state service for so long this controller is not ready. */
     private static final long READY_MS = 4_000;
-    private static final long STALE_MS = 2_500;
+    /** So long after its start the process lets users and workers in, whatever it knows by then. */
     private static final long OPEN_MS = 2_000;
     /** After a start the leases of hundreds of workers come first, and users' changes. */
     private static final long ANNOUNCE_MS = 6_000;
     /** Of the state service's changes a second, what the leader's documents may use. */
     private static final double WRITER_SHARE = 0.5;
-    /** A report waits so long for a leader to be known; the worker gives up after 4 s. */
-    private static final long PARK_MS = 1_500;
-
-    private static final int MOST_PARKED_BYTES = 8 << 20;
-    /** A new leader is heard over {@code back} so soon, or there is no way to it. */
-    private static final long HEAR_MS = 1_000;
+    /** How often a new leader announces itself while the others may not have heard of it. */
+    private static final int FIRST_ANNOUNCEMENTS = 4;
 
     private final EventLoop loop;
     private final Settings settings;
@@ -80,22 +66,16 @@
     private final CloudClient cloud;
     private final LeaderContext parts;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
-    /** Values of the leader's documents as the state service has them: the roster, finished tasks, operations. */
-    private final Map<String, JsonNode> documents = new TreeMap<>();
-    /** When each of them came to be known in its present form. */
-    private final Map<String, Long> seenAt = new TreeMap<>();
-
-    private final PeerTransport peers;
-    private final List<String> others;
-    private final HeartbeatForwarder relay;
-    private final Deque<Parked> parked = new ArrayDeque<>();
-    private int parkedBytes;
+    private final LeaderDocuments documents;
+    private final HeartbeatForwarder forwarder;
+    private final LeaderView leaderView;
+    private final HeartbeatReceiver heartbeats;
+    private final RunningCountsExchange runningCounts;
+    private final RequestRouter requests;
+    /** Null while this controller does not lead. */
     private LeaderTerm leaderTerm;
-    private boolean probing;
-    private long leaderSince = Long.MIN_VALUE / 2;
 
-    /** A report that came while no leader was known. */
-    private record Parked(Http.Exchange exchange, long until) {}
+    private boolean probing;
 
     public Controller(
             EventLoop loop, Http http, PeerTransport peers, RandomGenerator random, Settings settings, Policy policy) {
@@ -111,13 +91,13 @@
                 20, Math.round(1000 * 3.0 * nodes / settings.stateLimits().rps()));
         // Wider than what is read at the start: it brings the changes of the history too.
         String watched = Keys.ROOT.substring(0, Keys.ROOT.length() - 1);
-        watchCache = new WatchCache(client, loop, Keys.ROOT, watched, pause, metrics.busy, new News());
+        watchCache = new WatchCache(client, loop, Keys.ROOT, watched, pause, metrics.busy, new WatchListener());
         table = new JobTable(loop::now, id -> watchCache.forget(Keys.JOBS + id));
         history = new History(client, watchCache, metrics);
-        this.peers = peers;
-        others = settings.peers().stream().map(Settings.Peer::host).toList();
+        documents = new LeaderDocuments(loop);
+        List<String> others = settings.peers().stream().map(Settings.Peer::host).toList();
         capabilities = new Capabilities(client, watchCache, loop, settings.host(), others);
-        relay = new HeartbeatForwarder(loop, peers, random, settings.host(), mostReports());
+        forwarder = new HeartbeatForwarder(loop, peers, random, settings.host(), maxWaitingHeartbeats());
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
         lead = new Leadership(
                 client,
@@ -179,9 +159,15 @@
                 metrics,
                 incidents,
                 eventLog);
+        leaderView = new LeaderView(loop, lead, watchCache, forwarder, settings.host());
+        heartbeats = new HeartbeatReceiver(
+                loop, lead, leaderView, forwarder, () -> leaderTerm, metrics, maxWaitingHeartbeats());
+        runningCounts =
+                new RunningCountsExchange(() -> leaderTerm, table, jobs, writer, peers, settings.host(), others);
+        requests = new RequestRouter(heartbeats, jobs, configurations, metrics, this::ready, this::status);
     }
 
-    /** What tells of this controller's recoveries. */
+    /** The structured events of this controller. */
     public EventLog eventLog() {
         return eventLog;
     }
@@ -192,17 +178,17 @@
         lead.start();
         refreshTypes();
         probe();
-        tellRunning();
-        logBusy();
+        announceEverySecond();
+        logActivity();
         open(open, loop.now() + OPEN_MS);
     }
 
     /**
-     * While a fresh process reads the state, hundreds of workers may be at its door after a crash of all controllers.
-     * To turn each away costs it more than to let them find the door closed, and it would lead later for it.
+     * While a fresh process reads the state, hundreds of workers may want to connect after a crash of all controllers.
+     * Turning each away costs more than a port that does not listen yet, and delays the election.
      */
     private void open(Runnable open, long latest) {
-        if (watchCache.following() || relay.heard() != null || loop.now() >= latest) {
+        if (watchCache.following() || forwarder.heard() != null || loop.now() >= latest) {
             open.run();
             lead.consider();
             loop.after(ANNOUNCE_MS, capabilities::announce);
@@ -211,7 +197,7 @@
         }
     }
 
-    /** A record of another controller. */
+    /** Takes a message of another controller in. */
     public void received(PeerMessage message) {
         if (message instanceof PeerMessage.Ask m) {
             lead.asked(m);
@@ -222,58 +208,65 @@
         } else if (message instanceof PeerMessage.HandOver m) {
             lead.handedOver(m);
         } else if (message instanceof PeerMessage.Running m) {
-            // The sign of life of a leader of the past may come late: it may not hide the one that is heard.
-            if (!otherIsHeard(m.host())) {
-                relay.heard(m.host());
-                jobs.leaderHeard(m.comesShort());
-                metrics.busy.during(Part.DISPLAY, () -> showRunning(m.counts()));
-            }
+            runningCountsReceived(m);
         } else if (message instanceof PeerMessage.Heartbeat m) {
-            Http.Exchange exchange = relay.carried(m);
-            if (leaderTerm != null && lead.mayAct()) {
-                metrics.busy.during(Part.CARRIED, () -> report(exchange));
-            } else {
-                exchange.answer(503, new byte[0]);
-            }
+            forwardedHeartbeatReceived(m);
         } else if (message instanceof PeerMessage.Answer m) {
-            relay.answered(m);
+            forwarder.answered(m);
         }
     }
 
-    /** The counts are for display: users poll any controller, only the leader knows what runs. */
-    private void tellRunning() {
-        if (leaderTerm != null && lead.mayAct()) {
-            metrics.busy.during(Part.DISPLAY, this::announce);
+    private void runningCountsReceived(PeerMessage.Running message) {
+        // The sign of life of a former leader may come late: it may not hide the one that is heard now.
+        if (!leaderView.otherIsHeard(message.host())) {
+            forwarder.heard(message.host());
+            jobs.leaderHeard(message.comesShort());
+            metrics.busy.during(Part.DISPLAY, () -> runningCounts.show(message.counts()));
         }
-        loop.after(1_000, this::tellRunning);
     }
 
-    private void announce() {
-        Map<String, Integer> counts = leaderTerm.running();
-        showRunning(counts);
-        boolean comesShort = parts.writer().starved();
-        jobs.leaderHeard(comesShort);
-        for (String other : others) {
-            peers.send(other, new PeerMessage.Running(settings.host(), counts, comesShort));
+    private void forwardedHeartbeatReceived(PeerMessage.Heartbeat message) {
+        Http.Exchange exchange = forwarder.carried(message);
+        if (leaderTerm != null && lead.mayAct()) {
+            metrics.busy.during(Part.CARRIED, () -> heartbeats.receive(exchange));
+        } else {
+            exchange.answer(503, new byte[0]);
         }
     }
 
-    private void logBusy() {
-        metrics.busy.log();
-        loop.after(10_000, this::logBusy);
+    private void announceEverySecond() {
+        if (leaderTerm != null && lead.mayAct()) {
+            metrics.busy.during(Part.DISPLAY, runningCounts::announce);
+        }
+        loop.after(1_000, this::announceEverySecond);
     }
 
-    private void showRunning(Map<String, Integer> counts) {
-        for (Job job : table.active()) {
-            job.running(counts.getOrDefault(job.id(), 0));
-        }
+    private void logActivity() {
+        metrics.busy.log();
+        loop.after(10_000, this::logActivity);
     }
 
-    /** What the mirror brings. */
-    private final class News implements WatchCache.Listener {
+    /** Passes what the watch brings to whoever keeps that kind of key. */
+    private final class WatchListener implements WatchCache.Listener {
         @Override
         public void changed(String key, JsonNode value, long version) {
-            Controller.this.changed(key, value, version);
+            if (key.startsWith(Keys.JOBS)) {
+                table.changed(key.substring(Keys.JOBS.length()), value, version);
+            } else if (key.startsWith(SegmentAddress.ROOT)) {
+                history.changed(key, value, version);
+            } else if (key.startsWith(Capabilities.ROOT)) {
+                capabilities.changed(key, value);
+            } else if (key.startsWith(ConfigurationView.ROOT)) {
+                configurationChanged(key, value);
+            } else if (key.equals(Keys.LEADER)) {
+                String before = lead.leaderHost();
+                lead.keyChanged(value, version);
+                leaderView.leaderKeyChanged(before);
+            } else if (key.equals(Keys.LEADER_LAST)) {
+                lead.lastChanged(value);
+            } else {
+                leaderDocumentChanged(key, value);
+            }
         }
 
         @Override
@@ -282,37 +275,17 @@
         }
     }
 
-    private void changed(String key, JsonNode value, long version) {
-        if (key.startsWith(Keys.JOBS)) {
-            table.changed(key.substring(Keys.JOBS.length()), value, version);
-        } else if (key.startsWith(SegmentAddress.ROOT)) {
-            history.changed(key, value, version);
-        } else if (key.startsWith(Capabilities.ROOT)) {
-            capabilities.changed(key, value);
-        } else if (key.startsWith(ConfigurationView.ROOT)) {
-            configuration.changed(key, value);
-            if (leaderTerm != null) {
-                leaderTerm.changed();
-            }
-        } else if (key.equals(Keys.LEADER)) {
-            String before = lead.leaderHost();
-            lead.keyChanged(value, version);
-            if (!Objects.equals(before, lead.leaderHost())) {
-                leaderSince = loop.now();
-            }
-        } else if (key.equals(Keys.LEADER_LAST)) {
-            lead.lastChanged(value);
-        } else {
-            if (value == null) {
-                documents.remove(key);
-                seenAt.remove(key);
-            } else {
-                documents.put(key, value);
-                seenAt.put(key, loop.now());
-            }
-            if (key.startsWith(Keys.ROOT + Progress.PREFIX)) {
-                Progress.read(value, table);
-            }
+    private void configurationChanged(String key, JsonNode value) {
+        configuration.changed(key, value);
+        if (leaderTerm != null) {
+            leaderTerm.changed();
+        }
+    }
+
+    private void leaderDocumentChanged(String key, JsonNode value) {
+        documents.changed(key, value);
+        if (key.startsWith(Keys.ROOT + Progress.PREFIX)) {
+            Progress.read(value, table);
         }
     }
 
@@ -327,17 +300,22 @@
             });
             return;
         }
-        leaderTerm = new LeaderTerm(parts, documents, seenAt);
+        leaderTerm = new LeaderTerm(parts, documents.values(), documents.seenAt());
         table.listener(leaderTerm);
-        // The others carry reports from the moment they hear of it, instead of sending every worker here.
-        for (long at = 0; at < HEAR_MS; at += HEAR_MS / 4) {
+        announceOften();
+        heartbeats.releaseParked();
+    }
+
+    /** The others forward heartbeats from the moment they hear of the new leader, instead of redirecting every worker. */
+    private void announceOften() {
+        long pause = LeaderView.HEARD_WITHIN_MS / FIRST_ANNOUNCEMENTS;
+        for (long at = 0; at < LeaderView.HEARD_WITHIN_MS; at += pause) {
             loop.after(at, () -> {
                 if (leaderTerm != null && lead.mayAct()) {
-                    announce();
+                    runningCounts.announce();
                 }
             });
         }
-        settleParked();
     }
 
     @Override
@@ -365,7 +343,7 @@
         });
     }
 
-    /** Asks the state service for a sign of life where the watch has brought none: readiness hangs on it. */
+    /** Asks the state service for an answer where the watch has brought none for a while: readiness depends on it. */
     private void probe() {
         if (!probing && watchCache.following() && loop.now() - watchCache.lastAnswer() > READY_MS / 4) {
             probing = true;
@@ -380,143 +358,17 @@
 
     /** Serves one request of a user, a worker or the load balancer. */
     public void serve(Http.Exchange exchange) {
-        String path = exchange.path();
-        String method = exchange.method();
-        if (path.equals("/hello")) {
-            only("POST", method, exchange, () -> metrics.busy.during(Part.REPORTS, () -> report(exchange)));
-        } else if (path.equals("/ready")) {
-            only(
-                    "GET",
-                    method,
-                    exchange,
-                    () -> exchange.answer(
-                            ready() ? 200 : 503, Json.bytes(Json.object().put("ready", ready()))));
-        } else if (path.equals("/api/jobs")) {
-            only("POST", method, exchange, () -> user(() -> jobs.submit(exchange)));
-        } else if (path.equals("/metrics")) {
-            only(
-                    "GET",
-                    method,
-                    exchange,
-                    () -> exchange.answer(200, metrics.text().getBytes(StandardCharsets.UTF_8)));
-        } else if (path.equals("/api/config/history")) {
-            only("GET", method, exchange, () -> configurations.history(exchange));
-        } else if (path.equals("/api/config") && method.equals("POST")) {
-            user(() -> configurations.change(exchange));
-        } else if (path.equals("/api/config")) {
-            only("GET", method, exchange, () -> configurations.show(exchange));
-        } else if (path.equals("/api/status")) {
-            only("GET", method, exchange, () -> exchange.answer(200, status()));
-        } else if (path.startsWith("/api/jobs/")) {
-            String rest = path.substring("/api/jobs/".length());
-            if (rest.endsWith("/cancel") && rest.length() > "/cancel".length()) {
-                String id = rest.substring(0, rest.length() - "/cancel".length());
-                only("POST", method, exchange, () -> user(() -> jobs.cancel(exchange, id)));
-            } else if (rest.indexOf('/') < 0) {
-                only("GET", method, exchange, () -> user(() -> jobs.poll(exchange, rest)));
-            } else {
-                notFound(exchange);
-            }
-        } else {
-            notFound(exchange);
-        }
+        requests.serve(exchange);
     }
 
-    private void user(Runnable request) {
-        metrics.busy.during(Part.USERS, request);
-    }
-
-    private static void only(String wanted, String method, Http.Exchange exchange, Runnable served) {
-        if (wanted.equals(method)) {
-            served.run();
-        } else {
-            exchange.answer(405, Json.bytes(Json.object().put("error", "only " + wanted + " is served here")));
-        }
-    }
-
-    private static void notFound(Http.Exchange exchange) {
-        exchange.answer(404, Json.bytes(Json.object().put("error", "no such path")));
-    }
-
-    private void report(Http.Exchange exchange) {
-        metrics.reports.increment();
-        if (leaderTerm != null && lead.mayAct()) {
-            try {
-                leaderTerm.report(Heartbeat.parse(Json.parse(exchange.body())), exchange);
-            } catch (InvalidMessageException e) {
-                metrics.malformed.increment();
-                LOG.warn("dropping a report: {}", e.getMessage());
-                exchange.answer(400, Json.bytes(Json.object().put("error", e.getMessage())));
-            }
-            return;
-        }
-        if (otherLeads()) {
-            relay.report(leader(), exchange);
-        } else if (leaderTerm == null && parked.size() < mostReports() && parkedBytes < MOST_PARKED_BYTES) {
-            // Sent away, the worker would try the next controller a second later, which may know as little. And sent
-            // to a leader that was elected a moment ago, hundreds would all be served by that one processor.
-            parked.addLast(new Parked(exchange, loop.now() + PARK_MS));
-            parkedBytes += exchange.body().length;
-            if (parked.size() == 1) {
-                loop.after(100, this::settleParked);
-            }
-        } else {
-            exchange.answer(421, Json.bytes(Json.object()));
-        }
-    }
-
-    /** Reports that wait hold a connection each: half of those that there are may. */
-    private int mostReports() {
+    /** Heartbeats that wait hold a connection each: half of the connections may be used for that. */
+    private int maxWaitingHeartbeats() {
         return settings.machine().maxConnections() / 2;
     }
 
-    /** True if another controller leads and reports can be carried, or sent, to it. */
-    private boolean otherLeads() {
-        String leader = leader();
-        return leader != null
-                && !leader.equals(settings.host())
-                && (leader.equals(relay.heard()) || loop.now() - leaderSince > HEAR_MS);
-    }
-
-    private boolean otherIsHeard(String host) {
-        String leader = leader();
-        return leader != null && !leader.equals(host) && leader.equals(relay.heard());
-    }
-
-    /**
-     * The leader by its key. A process that began in an outage of the state service knows it by its word only; and where the
-     * state service has not answered lately, as one that is refused alone, the key may name a leader of the past, to which
-     * workers would be sent round and round.
-     */
-    private String leader() {
-        String heard = relay.heard();
-        boolean current = watchCache.following() && loop.now() - watchCache.lastAnswer() < STALE_MS;
-        return !current && heard != null ? heard : lead.leaderHost();
-    }
-
-    private void settleParked() {
-        boolean known = leaderTerm != null || otherLeads();
-        for (int left = parked.size(); left > 0; left--) {
-            Parked p = parked.pollFirst();
-            if (!known && loop.now() < p.until) {
-                parked.addLast(p);
-                continue;
-            }
-            parkedBytes -= p.exchange.body().length;
-            if (known) {
-                report(p.exchange);
-            } else {
-                p.exchange.answer(421, Json.bytes(Json.object()));
-            }
-        }
-        if (!parked.isEmpty()) {
-            loop.after(100, this::settleParked);
-        }
-    }
-
     private byte[] status() {
-        ObjectNode n = Json.object();
-        n.put("host", settings.host())
+        ObjectNode status = Json.object();
+        status.put("host", settings.host())
                 .put("leadership", lead.state().name())
                 .put("leader", lead.leaderHost())
                 .put("token", lead.leads() ? lead.token() : 0)
@@ -526,9 +378,9 @@
                 .put("jobs", table.size())
                 .put("activeJobs", table.active().size());
         if (leaderTerm != null) {
-            leaderTerm.describe(n);
+            leaderTerm.describe(status);
         }
-        incidents.write(n.putArray("incidents"));
-        return Json.bytes(n);
+        incidents.write(status.putArray("incidents"));
+        return Json.bytes(status);
     }
 }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
@@ -0,0 +1,124 @@
+package org.landingridge.controller;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.function.Supplier;
+import org.landingridge.controller.election.Leadership;
+import org.landingridge.controller.leader.LeaderTerm;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.controller.peer.HeartbeatForwarder;
+import org.landingridge.net.EventLoop;
+import org.landingridge.net.Http;
+import org.landingridge.wire.Heartbeat;
+import org.landingridge.wire.InvalidMessageException;
+import org.landingridge.wire.Json;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Takes workers' heartbeats in: hands them to the leader term where this controller leads, forwards them to the leader
+ * where another does, and parks them for a moment while no leader is known.
+ */
+final class HeartbeatReceiver {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReceiver.class);
+    /** A heartbeat waits so long for a leader to be known; the worker gives up after 4 s. */
+    private static final long PARK_MS = 1_500;
+    /** Pause between two looks whether a leader is known. */
+    private static final long PARK_POLL_MS = 100;
+
+    private static final int MAX_PARKED_BYTES = 8 << 20;
+    /** No leader is known here: the worker turns to another controller. */
+    private static final int MISDIRECTED = 421;
+
+    /** A heartbeat that came while no leader was known. */
+    private record Parked(Http.Exchange exchange, long until) {}
+
+    private final EventLoop loop;
+    private final Leadership leadership;
+    private final LeaderView leaderView;
+    private final HeartbeatForwarder forwarder;
+    private final Supplier<LeaderTerm> currentTerm;
+    private final Metrics metrics;
+    private final int maxParked;
+    private final Deque<Parked> parked = new ArrayDeque<>();
+    private int parkedBytes;
+
+    /**
+     * @param currentTerm the leader term of this controller, null while it does not lead
+     * @param maxParked heartbeats that may wait at a time; each holds a connection
+     */
+    HeartbeatReceiver(
+            EventLoop loop,
+            Leadership leadership,
+            LeaderView leaderView,
+            HeartbeatForwarder forwarder,
+            Supplier<LeaderTerm> currentTerm,
+            Metrics metrics,
+            int maxParked) {
+        this.loop = loop;
+        this.leadership = leadership;
+        this.leaderView = leaderView;
+        this.forwarder = forwarder;
+        this.currentTerm = currentTerm;
+        this.metrics = metrics;
+        this.maxParked = maxParked;
+    }
+
+    /** Answers a heartbeat, now or once a leader is known. */
+    void receive(Http.Exchange exchange) {
+        metrics.reports.increment();
+        LeaderTerm term = currentTerm.get();
+        if (term != null && leadership.mayAct()) {
+            handle(term, exchange);
+        } else if (leaderView.otherLeads()) {
+            forwarder.report(leaderView.leader(), exchange);
+        } else if (term == null && parked.size() < maxParked && parkedBytes < MAX_PARKED_BYTES) {
+            park(exchange);
+        } else {
+            exchange.answer(MISDIRECTED, Json.bytes(Json.object()));
+        }
+    }
+
+    private void handle(LeaderTerm term, Http.Exchange exchange) {
+        try {
+            term.report(Heartbeat.parse(Json.parse(exchange.body())), exchange);
+        } catch (InvalidMessageException e) {
+            metrics.malformed.increment();
+            LOG.warn("dropping a heartbeat: {}", e.getMessage());
+            exchange.answer(400, Json.bytes(Json.object().put("error", e.getMessage())));
+        }
+    }
+
+    /**
+     * Redirected, the worker would try the next controller a second later, which may know as little. And redirected to
+     * a leader that was elected a moment ago, hundreds would all be served by that one processor.
+     */
+    private void park(Http.Exchange exchange) {
+        parked.addLast(new Parked(exchange, loop.now() + PARK_MS));
+        parkedBytes += exchange.body().length;
+        if (parked.size() == 1) {
+            loop.after(PARK_POLL_MS, this::releaseParked);
+        }
+    }
+
+    /** Takes parked heartbeats in again where a leader is known by now, and turns away those that waited too long. */
+    void releaseParked() {
+        boolean known = currentTerm.get() != null || leaderView.otherLeads();
+        for (int left = parked.size(); left > 0; left--) {
+            Parked next = parked.pollFirst();
+            if (!known && loop.now() < next.until) {
+                parked.addLast(next);
+                continue;
+            }
+            parkedBytes -= next.exchange.body().length;
+            if (known) {
+                receive(next.exchange);
+            } else {
+                next.exchange.answer(MISDIRECTED, Json.bytes(Json.object()));
+            }
+        }
+        if (!parked.isEmpty()) {
+            loop.after(PARK_POLL_MS, this::releaseParked);
+        }
+    }
+}
