--- a/emulator/src/main/java/org/landingridge/emulator/GroundTruth.java
+++ b/emulator/src/main/java/org/landingridge/emulator/GroundTruth.java
@@ -40,7 +40,7 @@
     }
 
     /** Whoever counts orders. */
-    interface CommandDispatcher {
+    interface CommandObserver {
         void ordered(Order order, String machine, String attempt, String pool, boolean repeated);
     }
 
--- a/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
@@ -43,7 +43,7 @@
     private final Map<String, Integer> completedOf = new HashMap<>();
     public final Map<String, Double> limits = new HashMap<>();
     /** Told of every order that arrives; null where nobody counts them. */
-    public CommandDispatcher orders;
+    public CommandObserver orders;
 
     private final EventLoop loop;
     private final long cancelMs;
--- a/experiment/src/main/java/org/landingridge/experiment/CommandAudit.java
+++ b/experiment/src/main/java/org/landingridge/experiment/CommandAudit.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import org.landingridge.emulator.GroundTruth.CommandDispatcher;
+import org.landingridge.emulator.GroundTruth.CommandObserver;
 import org.landingridge.emulator.GroundTruth.Order;
 
 /**
@@ -17,7 +17,7 @@
  * start that is stopped within 30 s although its job goes on, a rent that is given back without ever having been given a
  * task, and a live machine given back of which another of its kind is rented within 120 s.
  */
-final class CommandAudit implements CommandDispatcher {
+final class CommandAudit implements CommandObserver {
     private static final long STOPPED_MS = 30_000;
     private static final long RENTED_MS = 120_000;
 
--- a/experiment/src/main/java/org/landingridge/experiment/Experiment.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Experiment.java
@@ -256,7 +256,7 @@
                 c.path("boot_s").asDouble(3),
                 c.path("report_s").asDouble(1),
                 c.path("lease_s").asDouble(8),
-                c.path("cancel_s").asDouble(SimulatedCluster.CANCEL_MS / 1000.0),
+                c.path("cancel_s").asDouble(ClusterSetup.CANCEL_MS / 1000.0),
                 state,
                 limits(s.path("next"), state),
                 n.path("history").path("ended").asInt(0),
--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentCommand.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentCommand.java
@@ -149,7 +149,7 @@
                     o.served().stream().filter(ServedDemand.Figure::unserved).forEach(f -> wrong.add("unserved: " + f));
                     if (!wrong.isEmpty()) {
                         System.out.println("seed " + seed + ": " + wrong
-                                + ExperimentRun.meetings(plan, seed).stream()
+                                + RandomFaults.draw(plan, seed).stream()
                                         .sorted(Comparator.comparingDouble(Experiment.Fault::atS))
                                         .map(f -> String.format(
                                                 "%n  at %.1f s %s for %.1f s (%d, %.2f)",
--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentReport.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentReport.java
@@ -106,7 +106,7 @@
     private static List<Map<String, Object>> timeline(ExperimentRun.Outcome o) {
         List<Map<String, Object>> lines = new ArrayList<>();
         Map<String, Map<String, Object>> bySecond = new LinkedHashMap<>();
-        for (SimulatedCluster.Told t : o.events()) {
+        for (SimulatedCluster.EmittedEvent t : o.events()) {
             boolean many = t.event().fields().containsKey("machine");
             String key = many ? t.event().name() + t.host() + t.atMs() / 1_000 : null;
             Map<String, Object> before = key == null ? null : bySecond.get(key);
--- a/experiment/src/main/java/org/landingridge/experiment/HistoryBenchmark.java
+++ b/experiment/src/main/java/org/landingridge/experiment/HistoryBenchmark.java
@@ -120,12 +120,7 @@
             failed.add(process.isAlive() ? "not ready within " + limitS + " s" : "ended with " + process.exitValue());
         } else {
             expect(failed, "a new job", 201, "queued", ask("POST", serve, "/api/jobs", job(FIRST + ended + 7)));
-            expect(
-                    failed,
-                    "an old job",
-                    200,
-                    "done",
-                    ask("GET", serve, "/api/jobs/" + SimulatedCluster.id(FIRST + 1), null));
+            expect(failed, "an old job", 200, "done", ask("GET", serve, "/api/jobs/" + SampleJobs.id(FIRST + 1), null));
             expect(
                     failed,
                     "an old job's retry",
@@ -137,37 +132,37 @@
                     "an old cancelled job",
                     200,
                     "cancelled",
-                    ask("GET", serve, "/api/jobs/" + SimulatedCluster.id(FIRST), null));
+                    ask("GET", serve, "/api/jobs/" + SampleJobs.id(FIRST), null));
             expect(
                     failed,
                     "nobody's job",
                     404,
                     null,
-                    ask("GET", serve, "/api/jobs/" + SimulatedCluster.id(FIRST + ended + 9), null));
+                    ask("GET", serve, "/api/jobs/" + SampleJobs.id(FIRST + ended + 9), null));
             expect(
                     failed,
                     "a cancellation",
                     200,
                     "cancelled",
-                    ask("POST", serve, "/api/jobs/" + SimulatedCluster.id(FIRST + ended + 7) + "/cancel", ""));
+                    ask("POST", serve, "/api/jobs/" + SampleJobs.id(FIRST + ended + 7) + "/cancel", ""));
         }
         return new Result(form, ended, readyMs, requests.get(), peakKb(process), failed);
     }
 
     static void seed(EmulatedStateService state, Form form, int ended) {
         if (form == Form.SEGMENTS) {
-            SimulatedCluster.past(state, FIRST, ended);
+            HistorySeeds.segments(state, FIRST, ended);
             return;
         }
         JsonNode done = Json.object().put("ended", "DONE").put("takes", 35);
         JsonNode cancelled = Json.object().put("ended", "CANCELLED").put("takes", 35);
         for (int i = 0; i < ended; i++) {
-            state.seed(Keys.JOBS + SimulatedCluster.id(FIRST + i), i % 7 == 0 ? cancelled : done);
+            state.seed(Keys.JOBS + SampleJobs.id(FIRST + i), i % 7 == 0 ? cancelled : done);
         }
     }
 
     private static String job(int number) {
-        return "{\"id\":\"" + SimulatedCluster.id(number)
+        return "{\"id\":\"" + SampleJobs.id(number)
                 + "\",\"lane\":\"l\",\"crew\":\"local\",\"shape\":\"sweep\",\"urgency\":\"normal\","
                 + "\"takes\":3,\"cpus\":1.0,\"memoryGb\":1.0,\"reel\":\"i\",\"sizeGb\":0.1,\"runtimeS\":600.0}";
     }
--- a/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
+++ b/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
@@ -21,7 +21,7 @@
     }
 
     void look() {
-        InvariantChecker rules = world.rules;
+        InvariantChecker rules = world.checker;
         rules.told.forEach((id, told) -> {
             JobSpec spec = rules.specs.get(id);
             boolean waits = told.equals("accepted")
@@ -53,7 +53,7 @@
         return !w.hangs()
                 && w.free() >= spec.cpus()
                 && (spec.spot() || !w.box().spot)
-                && (spec.types() == null || spec.types().contains(SimulatedCluster.TYPE))
+                && (spec.types() == null || spec.types().contains(ClusterSetup.TYPE))
                 && (spec.zone() == null || spec.zone().equals(zone))
                 && (!spec.oneZone() || there.isEmpty() || here > 0)
                 && (!spec.spread() || here < (spec.tasks() + 1) / 2);
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -42,10 +42,10 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
             int n = FIRST + i;
-            ids.add(SimulatedCluster.id(n));
-            w.at(fromMs + i * 500L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 1 + n % 3, 1, 2 + n % 4)));
+            ids.add(SampleJobs.id(n));
+            w.at(fromMs + i * 500L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 1 + n % 3, 1, 2 + n % 4)));
             if (i % 4 == 3) {
-                w.at(fromMs + i * 500L + 1_500 + 100 * i, () -> w.cancel(SimulatedCluster.id(n)));
+                w.at(fromMs + i * 500L + 1_500 + 100 * i, () -> w.users.cancel(SampleJobs.id(n)));
             }
         }
         return ids;
@@ -92,7 +92,7 @@
     void closeLooks(Trouble trouble) {
         for (int seed = 0; seed < 3; seed++) {
             SimulatedCluster w = new SimulatedCluster(700 + 10 * trouble.ordinal() + seed, 0);
-            w.closeLooks = true;
+            w.users.askEverywhereAtOnce = true;
             List<String> ids = jobs(w, 6_000);
             befalls(w, trouble);
             w.sim.run(60_000);
@@ -107,8 +107,8 @@
     void theLastTaskEnds(Trouble trouble) {
         for (int seed = 0; seed < 3; seed++) {
             SimulatedCluster w = new SimulatedCluster(800 + 10 * trouble.ordinal() + seed, 0);
-            w.closeLooks = true;
-            w.cancelAtEnd = 0.6;
+            w.users.askEverywhereAtOnce = true;
+            w.users.cancelAtEndShare = 0.6;
             List<String> ids = jobs(w, 6_000);
             befalls(w, trouble);
             w.sim.run(60_000);
@@ -122,12 +122,12 @@
     void doneInTime() {
         SimulatedCluster w = new SimulatedCluster(790, 0);
         List<String> late = new ArrayList<>();
-        w.rules.allCompleted = id -> w.at(
+        w.checker.allCompleted = id -> w.at(
                 w.sim.now + 3_000,
                 () -> w.nodes.forEach(n -> {
-                    w.askOnce(id, "cancel", n.index);
+                    w.users.askOnce(id, "cancel", n.index);
                     w.at(w.sim.now + 500, () -> {
-                        if (!"done".equals(w.rules.told.get(id)) && !w.rules.cancelAsked.contains(id)) {
+                        if (!"done".equals(w.checker.told.get(id)) && !w.checker.cancelAsked.contains(id)) {
                             late.add(id);
                         }
                     });
@@ -145,15 +145,15 @@
             "looked at while ended jobs move into the history, at controllers that keep few of them and one that was just started")
     void whileJobsMove(long seed) {
         SimulatedCluster w = new SimulatedCluster(880 + seed, 0);
-        w.ended(3_000, 600, 1);
-        w.closeLooks = true;
+        HistorySeeds.jobKeys(w, 3_000, 600, 1);
+        w.users.askEverywhereAtOnce = true;
         List<String> ids = jobs(w, 36_000);
         for (int i = 0; i < 300; i++) {
-            String id = SimulatedCluster.id(3_000 + i * 2);
+            String id = SampleJobs.id(3_000 + i * 2);
             int node = i % 3;
             w.at(30_000 + i * 100L, () -> {
-                w.askOnce(id, "poll", node);
-                w.askOnce(id, "submit", (node + 1) % 3);
+                w.users.askOnce(id, "poll", node);
+                w.users.askOnce(id, "submit", (node + 1) % 3);
             });
         }
         w.at(45_000, () -> crash(w.nodes.get((w.leader().index + 1) % 3), 150));
@@ -163,9 +163,7 @@
         everybodySaysTheSame(w, ids);
         everybodySaysTheSame(
                 w,
-                IntStream.range(0, 600)
-                        .mapToObj(i -> SimulatedCluster.id(3_000 + i))
-                        .toList());
+                IntStream.range(0, 600).mapToObj(i -> SampleJobs.id(3_000 + i)).toList());
     }
 
     @Test
@@ -174,32 +172,32 @@
     void oddRequests() {
         SimulatedCluster w = new SimulatedCluster(890, 0);
         w.sim.run(5_000);
-        w.rules.specs.put(SimulatedCluster.id(1), SimulatedCluster.job(1, "blue", false, 1, 1, 5));
-        for (SimulatedCluster.ControllerNode n : w.nodes) {
+        w.checker.specs.put(SampleJobs.id(1), SampleJobs.job(1, "blue", false, 1, 1, 5));
+        for (ControllerNode n : w.nodes) {
             assertEquals(
                     n.index == 0 ? 201 : 200,
-                    answer(w, n, InvalidSubmissions.lawful(SimulatedCluster.id(1))),
+                    answer(w, n, InvalidSubmissions.lawful(SampleJobs.id(1))),
                     "a lawful one is accepted");
         }
         int number = 2;
         for (InvalidSubmissions.Odd odd : InvalidSubmissions.all("")) {
-            String id = SimulatedCluster.id(number++);
-            for (SimulatedCluster.ControllerNode n : w.nodes) {
+            String id = SampleJobs.id(number++);
+            for (ControllerNode n : w.nodes) {
                 assertEquals(odd.status(), answer(w, n, odd.body().deepCopy().put("id", id)), odd.what());
                 assertEquals(
                         200,
-                        answer(w, n, odd.body().deepCopy().put("id", SimulatedCluster.id(1))),
+                        answer(w, n, odd.body().deepCopy().put("id", SampleJobs.id(1))),
                         odd.what() + " of a known job");
             }
         }
         assertEquals(1, w.state.keys("lr/job/").size());
         for (String body : List.of("", "[]", "null", "{", "{\"id\":\"x\"}", "{\"id\":7}")) {
-            assertEquals(400, w.post(w.nodes.get(0), body.getBytes()), body);
+            assertEquals(400, w.users.post(w.nodes.get(0), body.getBytes()), body);
         }
     }
 
-    private static int answer(SimulatedCluster w, SimulatedCluster.ControllerNode node, ObjectNode body) {
-        return w.post(node, Json.bytes(body));
+    private static int answer(SimulatedCluster w, ControllerNode node, ObjectNode body) {
+        return w.users.post(node, Json.bytes(body));
     }
 
     @ParameterizedTest
@@ -207,30 +205,30 @@
     @DisplayName(
             "one-task jobs, four a second for two minutes, a quarter cancelled, on fifteen changes a second; leader and state service go meanwhile")
     void manySmallJobs(long seed, long back) {
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
                 900 + seed,
                 3,
                 20,
                 3_000,
-                SimulatedCluster.REPORT_MS,
-                SimulatedCluster.LEASE_MS,
-                SimulatedCluster.Setup.small(0, 0, 3).teams(),
+                ClusterSetup.REPORT_MS,
+                ClusterSetup.LEASE_MS,
+                ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 15, 8, 8)));
         w.enforceLimits();
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 480; i++) {
             int n = FIRST + i;
-            ids.add(SimulatedCluster.id(n));
+            ids.add(SampleJobs.id(n));
             w.at(
                     8_000 + i * 250L,
-                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1, 0.5, 3)));
+                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1, 0.5, 3)));
             if (i % 4 == 1) {
-                w.at(8_000 + i * 250L + 2_000 + n % 7 * 300L, () -> w.cancel(SimulatedCluster.id(n)));
+                w.at(8_000 + i * 250L + 2_000 + n % 7 * 300L, () -> w.users.cancel(SampleJobs.id(n)));
             }
         }
-        w.at(20_000, () -> w.submit(SimulatedCluster.job(50, "blue", false, 30, 1, 8)));
-        w.at(40_000, () -> w.submit(SimulatedCluster.job(51, "red", false, 20, 1, 8)));
-        ids.addAll(List.of(SimulatedCluster.id(50), SimulatedCluster.id(51)));
+        w.at(20_000, () -> w.users.submit(SampleJobs.job(50, "blue", false, 30, 1, 8)));
+        w.at(40_000, () -> w.users.submit(SampleJobs.job(51, "red", false, 20, 1, 8)));
+        ids.addAll(List.of(SampleJobs.id(50), SampleJobs.id(51)));
         if (back > 0) {
             w.at(50_000, () -> crash(w.leader(), back));
             w.at(70_000, () -> w.state.outage(true));
@@ -239,12 +237,15 @@
         }
         w.sim.run(190_000);
         everybodySaysTheSame(w, ids);
-        assertEquals(482, w.admissions.result().accepted());
+        assertEquals(482, w.users.admissions.result().accepted());
         if (back == 0) {
-            assertEquals(0, w.admissions.result().late(), w.admissions.result().toString());
+            assertEquals(
+                    0,
+                    w.users.admissions.result().late(),
+                    w.users.admissions.result().toString());
         }
         assertEquals(482, w.over("done") + w.over("cancelled"));
-        for (SimulatedCluster.ControllerNode n : w.nodes) {
+        for (ControllerNode n : w.nodes) {
             assertTrue(w.status(n).path("activeJobs").asInt() == 0, "nothing is left");
         }
         kept(w);
@@ -262,8 +263,7 @@
                 "{\"ended\":\"ACCEPTED\"}");
         for (int i = 0; i < stored.size(); i++) {
             w.state.seed(
-                    "lr/job/" + SimulatedCluster.id(1 + i),
-                    Json.parse(stored.get(i).getBytes()));
+                    "lr/job/" + SampleJobs.id(1 + i), Json.parse(stored.get(i).getBytes()));
         }
         w.state.seed("lr/op/r-1-1", Json.parse("{\"kind\":\"BUY\",\"state\":\"UNKNOWN\",\"request\":{}}".getBytes()));
         w.state.seed("lr/op/b-1-2", Json.parse("7".getBytes()));
@@ -272,9 +272,9 @@
         w.at(15_000, () -> crash(w.leader(), 200));
         w.sim.run(60_000);
         everybodySaysTheSame(w, ids);
-        for (SimulatedCluster.ControllerNode n : w.nodes) {
+        for (ControllerNode n : w.nodes) {
             for (int i = 0; i < stored.size(); i++) {
-                assertEquals(503, answer(w, n, InvalidSubmissions.lawful(SimulatedCluster.id(1 + i))), stored.get(i));
+                assertEquals(503, answer(w, n, InvalidSubmissions.lawful(SampleJobs.id(1 + i))), stored.get(i));
             }
         }
         assertEquals(
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -10,7 +10,7 @@
     private ClusterAssertions() {}
 
     static void kept(SimulatedCluster w) {
-        assertEquals(List.of(), w.rules.broken);
+        assertEquals(List.of(), w.checker.broken);
         assertEquals(0, w.state.tooLarge);
     }
 
@@ -27,14 +27,14 @@
 
     /** Every controller answers for each of these jobs, and nobody is told anything older. */
     private static void everybodyAnswers(SimulatedCluster w, List<String> ids) {
-        for (SimulatedCluster.ControllerNode n : w.nodes) {
+        for (ControllerNode n : w.nodes) {
             long from = w.sim.now;
             for (int i = 0; i < ids.size(); i++) {
                 String id = ids.get(i);
-                w.at(from + i * 10L, () -> w.askOnce(id, "poll", n.index));
+                w.at(from + i * 10L, () -> w.users.askOnce(id, "poll", n.index));
             }
             w.sim.run(from + ids.size() * 10L + 2_000);
-            w.rules.unanswered(from, ids);
+            w.checker.unanswered(from, ids);
         }
     }
 
@@ -43,7 +43,7 @@
         everybodyAnswers(w, ids);
         kept(w);
         for (String id : ids) {
-            String told = w.rules.told.get(id);
+            String told = w.checker.told.get(id);
             assertTrue("done".equals(told) || "cancelled".equals(told), id + " is " + told);
         }
     }
@@ -52,14 +52,14 @@
     static void services(SimulatedCluster w, int count) {
         for (int i = 0; i < count; i++) {
             int n = i;
-            w.at(100 + i * 50L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 4, 0)));
+            w.at(100 + i * 50L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
         }
         w.sim.run(30_000);
-        assertEquals(count, w.rules.places.size());
+        assertEquals(count, w.checker.places.size());
     }
 
     /** Ends a controller that is up; null where nobody leads. */
-    static void crash(SimulatedCluster.ControllerNode node, long back) {
+    static void crash(ControllerNode node, long back) {
         if (node != null && node.host.up) {
             node.crash(back);
         }
--- a/experiment/src/test/java/org/landingridge/experiment/DocumentedExamplesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/DocumentedExamplesTest.java
@@ -35,13 +35,13 @@
         for (String team : teams) {
             all.put(team, new Settings.Team(team, 8, 0, 0, 0));
         }
-        return new SimulatedCluster(new SimulatedCluster.Setup(
+        return new SimulatedCluster(new ClusterSetup(
                 1,
                 3,
                 20,
                 3_000,
-                SimulatedCluster.REPORT_MS,
-                SimulatedCluster.LEASE_MS,
+                ClusterSetup.REPORT_MS,
+                ClusterSetup.LEASE_MS,
                 all,
                 new Settings.State(200, 20, 4, 8)));
     }
@@ -51,12 +51,12 @@
         JsonNode job = document("experiments.md", "job.json");
         SimulatedCluster w = world("local");
         JobSpec spec = JobSpec.parse(job);
-        w.rules.specs.put(spec.id(), spec);
+        w.checker.specs.put(spec.id(), spec);
         w.sim.run(3_000);
-        assertEquals(201, w.post(w.nodes.get(0), Json.bytes(job)));
-        w.poll(spec.id());
+        assertEquals(201, w.users.post(w.nodes.get(0), Json.bytes(job)));
+        w.users.poll(spec.id());
         w.sim.run(60_000);
-        assertEquals("done", w.rules.told.get(spec.id()));
+        assertEquals("done", w.checker.told.get(spec.id()));
     }
 
     @Test
@@ -65,10 +65,10 @@
         change.put("key", "k").put("by", "ann").put("why", "more room for the launch");
         SimulatedCluster w = world("vision", "old");
         int[] status = new int[1];
-        w.at(3_000, () -> w.configure(0, change, reply -> status[0] = reply.status()));
+        w.at(3_000, () -> w.users.configure(0, change, reply -> status[0] = reply.status()));
         w.sim.run(6_000);
         assertEquals(200, status[0]);
-        JsonNode teams = w.configuration(w.nodes.get(2)).get("teams");
+        JsonNode teams = w.users.configuration(w.nodes.get(2)).get("teams");
         assertEquals(480, teams.get("vision").get("cpusMax").intValue());
         assertTrue(teams.get("old").get("removed").booleanValue());
     }
--- a/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
@@ -138,11 +138,11 @@
         InvariantChecker rules = new InvariantChecker(new Simulation(1).host("users"), 1_000);
         ServedDemand served = new ServedDemand();
         for (int i = 0; i < 4; i++) {
-            served.asked(SimulatedCluster.job(i, "red", true, 2, 1, 0), 10);
-            served.asked(SimulatedCluster.job(10 + i, "blue", false, 2, 1, 20), 10 + i * 60);
+            served.asked(SampleJobs.job(i, "red", true, 2, 1, 0), 10);
+            served.asked(SampleJobs.job(10 + i, "blue", false, 2, 1, 20), 10 + i * 60);
         }
         rules.places.put("job-000000/0", "m@a");
-        rules.specs.put("job-000010", SimulatedCluster.job(10, "blue", false, 2, 1, 20));
+        rules.specs.put("job-000010", SampleJobs.job(10, "blue", false, 2, 1, 20));
         for (String task : List.of("job-000010/0", "job-000010/1")) {
             rules.starts(task, "m", "t4", "a", false);
             rules.ends(task, true);
@@ -166,7 +166,7 @@
                         .filter(f -> !f.unserved())
                         .count(),
                 "with three processors nobody could serve half of it");
-        served.asked(SimulatedCluster.job(20, "blue", false, 9, 1, 20), 10);
+        served.asked(SampleJobs.job(20, "blue", false, 9, 1, 20), 10);
         assertEquals(
                 List.of("largest batch", "largest batch begun in 240 s"),
                 served.figures(rules, 200, 100).stream()
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -18,16 +18,16 @@
     /** A mixed load: services that stay, batch jobs that end, some cancelled. */
     private static void load(SimulatedCluster w) {
         for (int i = 0; i < 4; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
         for (int i = 10; i < 26; i++) {
             int n = i;
             w.at(
                     500L + (i - 10) * 1_500,
-                    () -> w.submit(
-                            SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
+                    () -> w.users.submit(
+                            SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
             if (i % 5 == 0) {
-                w.at(3_000L + (i - 10) * 1_500, () -> w.cancel(String.format("job-%06d", n)));
+                w.at(3_000L + (i - 10) * 1_500, () -> w.users.cancel(String.format("job-%06d", n)));
             }
         }
     }
@@ -35,7 +35,7 @@
     private static void allOver(SimulatedCluster w) {
         kept(w);
         for (int i = 10; i < 26; i++) {
-            String told = w.rules.told.get(String.format("job-%06d", i));
+            String told = w.checker.told.get(String.format("job-%06d", i));
             assertTrue("done".equals(told) || "cancelled".equals(told), "job " + i + " is " + told);
         }
         for (int i = 0; i < 4; i++) {
@@ -73,13 +73,13 @@
     void aFreshLeaderKnowsWhatIsDone() {
         SimulatedCluster w = new SimulatedCluster(5, 10);
         w.cloud.capacity = 1;
-        w.submit(SimulatedCluster.job(50, "red", false, 10, 2, 4));
+        w.users.submit(SampleJobs.job(50, "red", false, 10, 2, 4));
         w.at(16_000, () -> w.nodes.forEach(n -> n.crash(4_000)));
-        w.at(15_900, () -> assertTrue(w.rules.completed.size() >= 4, w.rules.completed + " by now"));
+        w.at(15_900, () -> assertTrue(w.checker.completed.size() >= 4, w.checker.completed + " by now"));
         w.sim.run(120_000);
         kept(w);
-        assertEquals("done", w.rules.told.get("job-000050"));
-        assertEquals(0, w.rules.repeats, "finished tasks that were started again");
+        assertEquals("done", w.checker.told.get("job-000050"));
+        assertEquals(0, w.checker.repeats, "finished tasks that were started again");
     }
 
     @ParameterizedTest
@@ -99,16 +99,16 @@
     void outageLongerThanTheLease() {
         SimulatedCluster w = new SimulatedCluster(21, 0);
         for (int i = 0; i < 4; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
         w.sim.run(20_000);
-        int starts = w.rules.starts;
-        assertEquals(4, w.rules.places.size());
+        int starts = w.checker.starts;
+        assertEquals(4, w.checker.places.size());
         w.state.outage(true);
-        w.sim.run(20_000 + 3 * SimulatedCluster.LEASE_MS);
+        w.sim.run(20_000 + 3 * ClusterSetup.LEASE_MS);
         w.state.outage(false);
-        w.sim.run(60_000 + 3 * SimulatedCluster.LEASE_MS);
-        assertEquals(starts, w.rules.starts, "nothing was lost, so nothing was started again");
+        w.sim.run(60_000 + 3 * ClusterSetup.LEASE_MS);
+        assertEquals(starts, w.checker.starts, "nothing was lost, so nothing was started again");
         kept(w);
     }
 
@@ -117,17 +117,17 @@
     void refusedAlone() {
         SimulatedCluster w = new SimulatedCluster(22, 0);
         for (int i = 0; i < 4; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
         w.sim.run(20_000);
-        SimulatedCluster.ControllerNode before = w.leader();
-        int starts = w.rules.starts;
+        ControllerNode before = w.leader();
+        int starts = w.checker.starts;
         w.state.refuse(before.host.name, true);
         w.sim.run(26_000);
         assertNotNull(w.leader());
         assertNotEquals(before, w.leader());
         w.sim.run(50_000);
-        assertEquals(starts, w.rules.starts);
+        assertEquals(starts, w.checker.starts);
         kept(w);
     }
 
@@ -136,16 +136,16 @@
     void cutFromWorkers() {
         SimulatedCluster w = new SimulatedCluster(23, 0);
         for (int i = 0; i < 4; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 1, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
         w.sim.run(20_000);
-        int starts = w.rules.starts;
+        int starts = w.checker.starts;
         w.workers.forEach(x -> w.sim.cut(w.leader().host.name, x.box().id));
-        w.sim.run(20_000 + 4 * SimulatedCluster.LEASE_MS);
-        assertEquals(starts, w.rules.starts);
+        w.sim.run(20_000 + 4 * ClusterSetup.LEASE_MS);
+        assertEquals(starts, w.checker.starts);
         w.sim.heal();
-        w.sim.run(40_000 + 4 * SimulatedCluster.LEASE_MS);
-        assertEquals(starts, w.rules.starts);
+        w.sim.run(40_000 + 4 * ClusterSetup.LEASE_MS);
+        assertEquals(starts, w.checker.starts);
         kept(w);
     }
 
@@ -155,7 +155,7 @@
         SimulatedCluster w = new SimulatedCluster(seed, 10);
         load(w);
         w.at(12_000 + seed * 97, () -> {
-            SimulatedCluster.ControllerNode leader = w.leader();
+            ControllerNode leader = w.leader();
             if (leader != null) {
                 w.sim.cut(leader.host.name, "state");
                 w.nodes.forEach(n -> w.sim.cut(leader.host.name, n.host.name));
@@ -206,18 +206,18 @@
     void workerHangsThroughATakeover(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 2, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 2, 0));
         }
         w.at(20_000, () -> {
             w.workers.stream()
-                    .filter(x -> w.rules.places.values().stream().anyMatch(p -> p.startsWith(x.box().id + "@")))
+                    .filter(x -> w.checker.places.values().stream().anyMatch(p -> p.startsWith(x.box().id + "@")))
                     .forEach(x -> x.hang(true));
             w.leader().crash(20_000);
         });
         w.at(26_500, () -> w.workers.forEach(x -> x.hang(false)));
         w.sim.run(80_000);
         kept(w);
-        assertEquals(6, w.rules.places.size());
+        assertEquals(6, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -226,7 +226,7 @@
     void censusWaitsOnlyForWhatItDoesNotKnow(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 24);
         for (int i = 0; i < 8; i++) {
-            w.submit(SimulatedCluster.job(i, "red", true, 1, 1, 0));
+            w.users.submit(SampleJobs.job(i, "red", true, 1, 1, 0));
         }
         w.sim.run(20_000);
         EmulatedWorker silent = w.workers.get(0);
@@ -263,13 +263,13 @@
     void crashBetweenRentAndRecord() {
         SimulatedCluster w = new SimulatedCluster(71, 0);
         w.at(3_000, () -> w.sim.lostAnswers.put("cloud", 1.0));
-        w.at(3_000, () -> w.submit(SimulatedCluster.job(1, "blue", false, 2, 4, 3)));
+        w.at(3_000, () -> w.users.submit(SampleJobs.job(1, "blue", false, 2, 4, 3)));
         w.at(5_000, () -> {
             w.leader().crash(2_000);
             w.sim.lostAnswers.clear();
         });
         w.sim.run(60_000);
-        assertEquals("done", w.rules.told.get("job-000001"));
+        assertEquals("done", w.checker.told.get("job-000001"));
         assertEquals(2, w.cloud.boxes.size(), "one machine for each task, although the rent was sent twice");
         kept(w);
     }
@@ -278,17 +278,17 @@
     @DisplayName("a start that arrives minutes late, after its job was cancelled and cleared away, starts nothing")
     void lateStartOfACancelledJob() {
         SimulatedCluster w = new SimulatedCluster(73, 0);
-        w.submit(SimulatedCluster.job(1, "blue", true, 1, 1, 0));
+        w.users.submit(SampleJobs.job(1, "blue", true, 1, 1, 0));
         w.sim.run(20_000);
         w.workers.forEach(x -> w.sim.cut(w.leader().host.name, x.box().id));
-        w.submit(SimulatedCluster.job(2, "blue", true, 1, 1, 0));
+        w.users.submit(SampleJobs.job(2, "blue", true, 1, 1, 0));
         w.sim.run(32_000);
         assertTrue(w.running("job-000002", 1), "it was started by the answer to a carried report");
         w.sim.dropping = true;
-        w.cancel("job-000002");
-        w.sim.run(40_000 + 2 * SimulatedCluster.CANCEL_MS);
+        w.users.cancel("job-000002");
+        w.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
         w.sim.heal();
-        w.sim.run(60_000 + 2 * SimulatedCluster.CANCEL_MS);
+        w.sim.run(60_000 + 2 * ClusterSetup.CANCEL_MS);
         kept(w);
     }
 
@@ -299,16 +299,16 @@
         SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 1; i <= 6; i++) {
             int n = i;
-            w.at(100 + i * 10, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 4, 0)));
+            w.at(100 + i * 10, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
         }
-        w.at(15_000, () -> w.submit(SimulatedCluster.job(9, "blue", true, 1, 4, 0)));
-        w.at(24_000, () -> w.cancel("job-000001"));
-        w.at(24_000, () -> w.cancel("job-000002"));
+        w.at(15_000, () -> w.users.submit(SampleJobs.job(9, "blue", true, 1, 4, 0)));
+        w.at(24_000, () -> w.users.cancel("job-000001"));
+        w.at(24_000, () -> w.users.cancel("job-000002"));
         w.at(25_000, () -> w.leader().crash(30_000));
         w.sim.run(31_000);
         int images = w.workers.stream().mapToInt(EmulatedWorker::images).sum();
-        w.submit(SimulatedCluster.job(10, "blue", true, 1, 4, 0));
-        w.submit(SimulatedCluster.job(11, "blue", true, 1, 4, 0));
+        w.users.submit(SampleJobs.job(10, "blue", true, 1, 4, 0));
+        w.users.submit(SampleJobs.job(11, "blue", true, 1, 4, 0));
         w.sim.run(40_000);
         assertTrue(w.running("job-000010", 1) && w.running("job-000011", 1));
         assertEquals(images, w.workers.stream().mapToInt(EmulatedWorker::images).sum(), "no image was fetched again");
@@ -318,9 +318,9 @@
     @Test
     void idleMachinesGoBack() {
         SimulatedCluster w = new SimulatedCluster(81, 0);
-        w.submit(SimulatedCluster.job(1, "blue", false, 4, 4, 2));
+        w.users.submit(SampleJobs.job(1, "blue", false, 4, 4, 2));
         w.sim.run(150_000);
-        assertEquals("done", w.rules.told.get("job-000001"));
+        assertEquals("done", w.checker.told.get("job-000001"));
         assertTrue(w.cloud.boxes.values().stream().allMatch(b -> b.deleted));
         kept(w);
     }
@@ -329,9 +329,9 @@
     @DisplayName("a job of many tasks fits the stored values and the write rate")
     void manyTasks() {
         SimulatedCluster w = new SimulatedCluster(91, 0);
-        w.submit(SimulatedCluster.job(1, "blue", false, 600, 0.1, 1));
+        w.users.submit(SampleJobs.job(1, "blue", false, 600, 0.1, 1));
         w.sim.run(120_000);
-        assertEquals("done", w.rules.told.get("job-000001"));
+        assertEquals("done", w.checker.told.get("job-000001"));
         kept(w);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -20,7 +20,7 @@
     private int rented;
 
     private SimulatedCluster world(long seed) {
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
                 seed,
                 3,
                 40,
@@ -29,7 +29,7 @@
                 20_000,
                 Map.of("blue", new Settings.Team("blue", 16, 0, 0, 0), "red", new Settings.Team("red", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
-        w.rules.orders = (order, machine, attempt, pool, repeated) -> {
+        w.checker.orders = (order, machine, attempt, pool, repeated) -> {
             if (order == GroundTruth.Order.START && !repeated) {
                 starts.merge(attempt.substring(0, attempt.indexOf('/')), 1, Integer::sum);
             }
@@ -40,7 +40,7 @@
 
     private static void services(SimulatedCluster w) {
         for (int i = 0; i < 6; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 2, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 2, 0));
         }
     }
 
@@ -53,27 +53,27 @@
         w.sim.run(20_000);
         for (int i = 0; i < 4; i++) {
             int n = 10 + i;
-            w.rules.mistaken.add(SimulatedCluster.id(n));
-            w.at(20_000 + i * 5_000L, () -> w.submit(SimulatedCluster.job(n, "red", false, 30, 1, 5)));
+            w.checker.mistaken.add(SampleJobs.id(n));
+            w.at(20_000 + i * 5_000L, () -> w.users.submit(SampleJobs.job(n, "red", false, 30, 1, 5)));
         }
         for (int i = 0; i < 20; i++) {
             int n = 20 + i;
-            w.at(22_000 + i * 3_000L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 4, 1, 4)));
+            w.at(22_000 + i * 3_000L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 4, 1, 4)));
         }
         w.sim.run(110_000);
         assertEquals(
                 0,
-                w.rules.told.entrySet().stream()
-                        .filter(e -> w.rules.mistaken.contains(e.getKey())
+                w.checker.told.entrySet().stream()
+                        .filter(e -> w.checker.mistaken.contains(e.getKey())
                                 && !e.getValue().equals("accepted"))
                         .count(),
                 "nothing is called over that its user has not cancelled");
         assertEquals(20, w.over("done"));
-        for (String id : w.rules.mistaken) {
+        for (String id : w.checker.mistaken) {
             // Each of its 30 tasks may be under way before the first two have failed; then one at a time, ever less
             // often.
             assertTrue(starts.get(id) <= 30 + 12, id + " was started " + starts.get(id) + " times");
-            w.cancel(id);
+            w.users.cancel(id);
         }
         assertTrue(w.status(w.leader()).path("incidents").toString().contains("looks like a mistake"));
         assertTrue(
@@ -98,9 +98,9 @@
         for (int i = 0; i < 30; i++) {
             int n = 20 + i;
             if (i % 6 == 0) {
-                w.rules.mistaken.add(SimulatedCluster.id(n));
+                w.checker.mistaken.add(SampleJobs.id(n));
             }
-            w.at(20_000 + i * 2_000L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 8, 1, 4)));
+            w.at(20_000 + i * 2_000L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 8, 1, 4)));
         }
         w.sim.run(130_000);
         assertEquals(25, w.over("done"));
@@ -115,12 +115,12 @@
         SimulatedCluster w = world(520 + seed);
         w.cloud.neverUp = 0.3;
         for (int i = 0; i < 20; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 4, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
         }
         w.sim.run(30_000);
-        assertTrue(w.rules.places.size() >= 18, "only " + w.rules.places.size() + " of 20 run after four boots");
+        assertTrue(w.checker.places.size() >= 18, "only " + w.checker.places.size() + " of 20 run after four boots");
         w.sim.run(90_000);
-        assertEquals(20, w.rules.places.size());
+        assertEquals(20, w.checker.places.size());
         assertTrue(rented <= 60, rented + " rented for 20");
         kept(w);
     }
@@ -131,10 +131,10 @@
         SimulatedCluster w = world(530);
         w.cloud.bootMs = 1;
         for (int i = 0; i < 8; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 1, 4, 0));
+            w.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
         }
         w.sim.run(6_000);
-        assertEquals(8, w.rules.places.size());
+        assertEquals(8, w.checker.places.size());
         kept(w);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -25,46 +25,45 @@
         SimulatedCluster w = new SimulatedCluster(seed, 0, controllers);
         services(w, 4);
         for (int i = 0; i < JOBS; i++) {
-            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 2, 1, 300));
+            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size());
+        assertEquals(4 + 2 * JOBS, w.checker.places.size());
         return w;
     }
 
     /** A user has the jobs cancelled through this controller, which the leader does not hear of. */
-    private static void cancelled(
-            SimulatedCluster w, SimulatedCluster.ControllerNode through, long atMs, int first, int count) {
+    private static void cancelled(SimulatedCluster w, ControllerNode through, long atMs, int first, int count) {
         for (int i = 0; i < count; i++) {
-            String id = SimulatedCluster.id(first + i);
-            w.at(atMs + i * 20L, () -> w.askOnce(id, "cancel", through.index));
+            String id = SampleJobs.id(first + i);
+            w.at(atMs + i * 20L, () -> w.users.askOnce(id, "cancel", through.index));
         }
     }
 
     private static long left(SimulatedCluster w) {
-        return w.rules.places.keySet().stream()
-                .filter(t -> "cancelled".equals(w.rules.told.get(t.substring(0, 10))))
+        return w.checker.places.keySet().stream()
+                .filter(t -> "cancelled".equals(w.checker.told.get(t.substring(0, 10))))
                 .count();
     }
 
     /** The leader is refused alone, another confirms cancellations, and after so many milliseconds all are refused for long. */
-    private static SimulatedCluster.ControllerNode gap(SimulatedCluster w, long after) {
-        SimulatedCluster.ControllerNode leader = w.leader();
-        SimulatedCluster.ControllerNode other = w.nodes.get((leader.index + 1) % w.nodes.size());
+    private static ControllerNode gap(SimulatedCluster w, long after) {
+        ControllerNode leader = w.leader();
+        ControllerNode other = w.nodes.get((leader.index + 1) % w.nodes.size());
         w.at(46_000, () -> w.state.refuse(leader.host.name, true));
         cancelled(w, other, 46_100, FIRST, CANCELLED);
         w.at(46_000 + after, () -> w.state.outage(true));
-        w.at(46_000 + after + 3 * SimulatedCluster.CANCEL_MS, () -> w.state.outage(false));
+        w.at(46_000 + after + 3 * ClusterSetup.CANCEL_MS, () -> w.state.outage(false));
         return other;
     }
 
     private static void over(SimulatedCluster w) {
-        w.sim.run(46_000 + SimulatedCluster.CANCEL_MS);
+        w.sim.run(46_000 + ClusterSetup.CANCEL_MS);
         assertEquals(CANCELLED, w.over("cancelled"), "users were told so");
         assertEquals(0, left(w), "tasks of cancelled jobs");
         w.sim.run(150_000);
         kept(w);
-        assertTrue(w.running(SimulatedCluster.id(FIRST + CANCELLED), 2), "the others run, or run again");
+        assertTrue(w.running(SampleJobs.id(FIRST + CANCELLED), 2), "the others run, or run again");
     }
 
     @ParameterizedTest
@@ -72,12 +71,12 @@
     @DisplayName("refused alone, cancellations through another, then an outage for longer than a cancellation has")
     void theGap(long seed, int controllers, long after, long servedAgain) {
         SimulatedCluster w = busy(500 + seed, controllers);
-        int starts = w.rules.starts;
+        int starts = w.checker.starts;
         String leader = w.leader().host.name;
         gap(w, after);
         w.at(servedAgain, () -> w.state.refuse(leader, false));
         over(w);
-        assertEquals(starts, w.rules.starts, "with everybody's word the lead goes on, and nothing is lost");
+        assertEquals(starts, w.checker.starts, "with everybody's word the lead goes on, and nothing is lost");
     }
 
     @ParameterizedTest
@@ -86,7 +85,7 @@
             "who confirmed it dies right after and is back: its next life cannot vouch, so the lead ends by itself in time")
     void theCancellerBeginsAnew(long seed, long back) {
         SimulatedCluster w = busy(510 + seed, 3);
-        SimulatedCluster.ControllerNode other = gap(w, 900);
+        ControllerNode other = gap(w, 900);
         // Nobody else has heard of the cancellations: they would tell of them.
         String third = w.nodes.get(3 - w.leader().index - other.index).host.name;
         w.at(46_000, () -> w.state.refuse(third, true));
@@ -100,11 +99,11 @@
     @DisplayName("told by a poll of a third controller, while the word of the canceller is late or comes twice")
     void toldByAPoll(long seed) {
         SimulatedCluster w = busy(530 + seed, 3);
-        SimulatedCluster.ControllerNode other = gap(w, 900);
+        ControllerNode other = gap(w, 900);
         int third = 3 - w.leader().index - other.index;
         for (int i = 0; i < CANCELLED; i++) {
-            String id = SimulatedCluster.id(FIRST + i);
-            w.at(46_500 + i * 20L, () -> w.askOnce(id, "poll", third));
+            String id = SampleJobs.id(FIRST + i);
+            w.at(46_500 + i * 20L, () -> w.users.askOnce(id, "poll", third));
         }
         w.at(46_800, () -> w.sim.cut(w.leader().host.name, other.host.name));
         w.at(48_500, w.sim::heal);
@@ -119,7 +118,7 @@
     void theLeaderEnds(long seed, long back) {
         SimulatedCluster w = busy(540 + seed, 3);
         gap(w, 900);
-        SimulatedCluster.ControllerNode leader = w.leader();
+        ControllerNode leader = w.leader();
         w.at(48_000, () -> leader.crash(back));
         over(w);
     }
@@ -130,7 +129,7 @@
             "two of five are refused, a third confirms, and the answers of the state service get lost at the worst moment")
     void aSecondIsRefused(long seed) {
         SimulatedCluster w = busy(550 + seed, 5);
-        SimulatedCluster.ControllerNode other = gap(w, 900);
+        ControllerNode other = gap(w, 900);
         w.at(46_050, () -> w.state.refuse(w.nodes.get((other.index + 1) % 5).host.name, true));
         w.at(46_800, () -> w.sim.lostAnswers.put(other.host.name, 0.0));
         w.at(52_000, () -> w.sim.copied.put("", 0.2));
@@ -144,14 +143,14 @@
     @DisplayName("a start that was sent straight is held up while its job is cancelled and the state service is down")
     void aStartIsHeldUp(long seed) {
         SimulatedCluster w = busy(560 + seed, 3);
-        SimulatedCluster.ControllerNode leader = w.leader();
-        SimulatedCluster.ControllerNode other = w.nodes.get((leader.index + 1) % 3);
+        ControllerNode leader = w.leader();
+        ControllerNode other = w.nodes.get((leader.index + 1) % 3);
         w.at(46_000, () -> w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id)));
-        w.at(46_050, () -> w.submit(SimulatedCluster.job(FIRST + 20, "blue", false, 3, 0.25, 100)));
+        w.at(46_050, () -> w.users.submit(SampleJobs.job(FIRST + 20, "blue", false, 3, 0.25, 100)));
         cancelled(w, other, 46_500, FIRST + 20, 1);
         w.at(46_900, () -> w.state.outage(true));
-        w.at(50_000 + SimulatedCluster.CANCEL_MS, w.sim::heal);
-        w.at(46_900 + 3 * SimulatedCluster.CANCEL_MS, () -> w.state.outage(false));
+        w.at(50_000 + ClusterSetup.CANCEL_MS, w.sim::heal);
+        w.at(46_900 + 3 * ClusterSetup.CANCEL_MS, () -> w.state.outage(false));
         w.sim.run(150_000);
         assertEquals(1, w.over("cancelled"));
         kept(w);
@@ -167,15 +166,15 @@
                 w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
         w.at(46_000, () -> deaf.forEach(x -> w.sim.deaf.add(x.box().id)));
         w.at(46_300, () -> w.leader().crash(back));
-        w.at(46_300 + 5 * SimulatedCluster.LEASE_MS, w.sim.deaf::clear);
+        w.at(46_300 + 5 * ClusterSetup.LEASE_MS, w.sim.deaf::clear);
         // A hold, a lease, a report that takes 5 s since it waits for its answer, and a boot.
-        w.sim.run(46_300 + 3_500 + SimulatedCluster.LEASE_MS + 5_500 + 4_500);
+        w.sim.run(46_300 + 3_500 + ClusterSetup.LEASE_MS + 5_500 + 4_500);
         kept(w);
         assertEquals(
-                4 + 2 * JOBS, w.rules.places.size(), "everything runs again although the deaf machines still report");
+                4 + 2 * JOBS, w.checker.places.size(), "everything runs again although the deaf machines still report");
         w.sim.run(150_000);
         kept(w);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size());
+        assertEquals(4 + 2 * JOBS, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -184,8 +183,8 @@
             "a leader whose hold ended takes the lead again: what it answered itself meanwhile counts as an answer")
     void theLeadComesBackToTheOneThatHadIt(long seed) {
         SimulatedCluster w = busy(520 + seed, 3);
-        SimulatedCluster.ControllerNode leader = w.leader();
-        int starts = w.rules.starts;
+        ControllerNode leader = w.leader();
+        int starts = w.checker.starts;
         // The others cannot claim: they are refused, and carry reports all the same.
         w.at(46_000, () -> w.nodes.forEach(n -> w.state.refuse(n.host.name, true)));
         w.at(52_000, () -> w.state.refuse(leader.host.name, false));
@@ -195,7 +194,7 @@
         assertEquals(0, w.metric(leader, "landingridge_lapses"), "machines that its own former reign has answered");
         w.sim.run(150_000);
         kept(w);
-        assertEquals(starts, w.rules.starts, "nothing was lost");
+        assertEquals(starts, w.checker.starts, "nothing was lost");
     }
 
     @ParameterizedTest
@@ -204,12 +203,16 @@
             "machines whose reports are lost begin a session, and get starts by calls: its lease counts, not the last one's")
     void aSessionBeginsThatNobodyAnswered(long seed) {
         SimulatedCluster w = busy(580 + seed, 3);
-        w.at(46_000, () -> w.workers.stream().filter(x -> x.running() != null).forEach(x -> w.unheard.add(x.box().id)));
+        w.at(
+                46_000,
+                () -> w.workers.stream()
+                        .filter(x -> x.running() != null)
+                        .forEach(x -> w.heartbeatFaults.droppedMachines.add(x.box().id)));
         w.at(46_050, () -> w.leader().crash(20_000));
-        w.at(90_000, w.unheard::clear);
+        w.at(90_000, w.heartbeatFaults.droppedMachines::clear);
         w.sim.run(150_000);
         kept(w);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size());
+        assertEquals(4 + 2 * JOBS, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -218,15 +221,15 @@
             "a leader stands still while another controller is refused: it carries reports to the new one, which it only hears")
     void aRefusedOneSendsNobodyToTheOldLeader(long seed) {
         SimulatedCluster w = busy(590 + seed, 3);
-        int starts = w.rules.starts;
-        SimulatedCluster.ControllerNode leader = w.leader();
-        SimulatedCluster.ControllerNode refused = w.nodes.get((leader.index + 1) % 3);
+        int starts = w.checker.starts;
+        ControllerNode leader = w.leader();
+        ControllerNode refused = w.nodes.get((leader.index + 1) % 3);
         w.at(46_000, () -> w.state.refuse(refused.host.name, true));
         w.at(46_500, () -> leader.host.freeze(20_000));
         w.at(80_000, () -> w.state.refuse(refused.host.name, false));
         w.sim.run(120_000);
         kept(w);
-        assertEquals(starts, w.rules.starts, "nobody was sent around for a lease");
+        assertEquals(starts, w.checker.starts, "nobody was sent around for a lease");
     }
 
     /**
@@ -237,9 +240,9 @@
     @CsvSource({"1, false", "2, false", "3, true", "4, true"})
     void theLastWordsOfAnEarlierLife(long seed, boolean afterALapse) {
         SimulatedCluster w = busy(600 + seed, 3);
-        SimulatedCluster.ControllerNode leader = w.leader();
-        SimulatedCluster.ControllerNode next = w.nodes.get((leader.index + 1) % 3);
-        SimulatedCluster.ControllerNode carrier = w.nodes.get((leader.index + 2) % 3);
+        ControllerNode leader = w.leader();
+        ControllerNode next = w.nodes.get((leader.index + 1) % 3);
+        ControllerNode carrier = w.nodes.get((leader.index + 2) % 3);
         List<EmulatedWorker> lives =
                 w.workers.stream().filter(x -> x.running() != null).toList();
         List<String> names = lives.stream().map(x -> x.box().id).toList();
@@ -257,7 +260,7 @@
         w.at(100_000, () -> w.state.refuse(carrier.host.name, false));
         w.sim.run(180_000);
         kept(w);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size());
+        assertEquals(4 + 2 * JOBS, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -267,7 +270,7 @@
     void endsFarApart(long seed, long after, long back) {
         SimulatedCluster w = busy(620 + seed, 3);
         for (int i = 0; i < 8; i++) {
-            w.submit(SimulatedCluster.job(FIRST + 30 + i, "red", false, 2 + i % 2, 1, 30));
+            w.users.submit(SampleJobs.job(FIRST + 30 + i, "red", false, 2 + i % 2, 1, 30));
         }
         w.sim.run(55_000);
         // The first task of each fails again and again, so that it ends long after the others.
@@ -276,7 +279,7 @@
                     t,
                     () -> w.workers.forEach(x -> {
                         for (int i = 0; i < 8; i++) {
-                            x.fail(SimulatedCluster.id(FIRST + 30 + i) + "/0");
+                            x.fail(SampleJobs.id(FIRST + 30 + i) + "/0");
                         }
                     }));
         }
@@ -286,11 +289,11 @@
         w.sim.run(260_000);
         kept(w);
         for (int i = 0; i < 8; i++) {
-            assertEquals("done", w.rules.told.get(SimulatedCluster.id(FIRST + 30 + i)));
+            assertEquals("done", w.checker.told.get(SampleJobs.id(FIRST + 30 + i)));
         }
-        if (back < SimulatedCluster.LEASE_MS / 2) {
+        if (back < ClusterSetup.LEASE_MS / 2) {
             // Where a lease is over meanwhile its machine has forgotten results that nobody had stored.
-            assertEquals(0, w.rules.repeats, "what was done was not run again");
+            assertEquals(0, w.checker.repeats, "what was done was not run again");
         }
     }
 
@@ -302,7 +305,7 @@
         for (int i = 0; i < 3; i++) {
             int at = 46_000 + i * 6_000;
             w.at(at, () -> {
-                SimulatedCluster.ControllerNode leader = w.leader();
+                ControllerNode leader = w.leader();
                 if (leader != null) {
                     w.state.refuse(leader.host.name, true);
                     w.at(w.sim.now + 3_500, () -> w.state.refuse(leader.host.name, false));
@@ -316,7 +319,7 @@
         w.at(70_000, () -> w.sim.copied.clear());
         w.sim.run(160_000);
         kept(w);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size());
+        assertEquals(4 + 2 * JOBS, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -328,10 +331,10 @@
         w.at(46_000, () -> w.state.lateWrites(share, w.sim.random));
         for (int i = 0; i < 14; i++) {
             int n = FIRST + 30 + i;
-            w.at(46_000 + i * 700L, () -> w.submit(SimulatedCluster.job(n, "red", false, 1 + n % 3, 1, 3)));
+            w.at(46_000 + i * 700L, () -> w.users.submit(SampleJobs.job(n, "red", false, 1 + n % 3, 1, 3)));
             w.at(50_000 + i * 900L, () -> {
                 if (n % 2 == 0) {
-                    w.cancel(SimulatedCluster.id(n));
+                    w.users.cancel(SampleJobs.id(n));
                 }
             });
         }
@@ -342,7 +345,7 @@
         w.sim.run(200_000);
         kept(w);
         for (int i = 0; i < 14; i++) {
-            String told = w.rules.told.get(SimulatedCluster.id(FIRST + 30 + i));
+            String told = w.checker.told.get(SampleJobs.id(FIRST + 30 + i));
             assertTrue("done".equals(told) || "cancelled".equals(told), told);
         }
     }
@@ -353,10 +356,10 @@
             "reports come again up to two leases late, through restarts of leaders and machines: they end, revive, place nothing")
     void lateReports(long seed) {
         SimulatedCluster w = busy(650 + seed, 3);
-        w.lateReports = 0.5;
+        w.heartbeatFaults.lateShare = 0.5;
         for (int i = 0; i < 12; i++) {
             int n = FIRST + 30 + i;
-            w.at(46_000 + i * 2_000L, () -> w.submit(SimulatedCluster.job(n, "red", false, 2, 1, 4)));
+            w.at(46_000 + i * 2_000L, () -> w.users.submit(SampleJobs.job(n, "red", false, 2, 1, 4)));
         }
         w.at(52_000, () -> crash(w.leader(), 200));
         w.at(56_000, () -> w.restart(w.workers.get(0), 150));
@@ -364,7 +367,7 @@
         w.at(64_000, () -> w.workers.get(1).hang(true));
         w.at(76_000, () -> w.workers.get(1).hang(false));
         w.at(80_000, () -> w.nodes.forEach(n -> crash(n, 500)));
-        w.at(100_000, () -> w.lateReports = 0);
+        w.at(100_000, () -> w.heartbeatFaults.lateShare = 0);
         w.sim.run(200_000);
         kept(w);
         assertEquals(12, w.over("done"));
@@ -376,20 +379,20 @@
             "a leader reaches workers and users, not the state service nor the others; jobs are cancelled through the new one")
     void cutFromStateAndPeers(long seed, long forMs) {
         SimulatedCluster w = busy(660 + seed, 3);
-        SimulatedCluster.ControllerNode leader = w.leader();
+        ControllerNode leader = w.leader();
         w.at(46_000, () -> {
             w.sim.cut(leader.host.name, "state");
             w.nodes.stream().filter(n -> n != leader).forEach(n -> w.sim.cut(leader.host.name, n.host.name));
         });
         cancelled(w, w.nodes.get((leader.index + 1) % 3), 46_500, FIRST, CANCELLED);
         for (long t = 47_000; t < 47_000 + forMs; t += 1_000) {
-            w.at(t, () -> w.askOnce(SimulatedCluster.id(FIRST), "poll", leader.index));
+            w.at(t, () -> w.users.askOnce(SampleJobs.id(FIRST), "poll", leader.index));
         }
         w.at(46_000 + forMs, w.sim::heal);
         w.sim.run(150_000);
         assertEquals(CANCELLED, w.over("cancelled"));
         kept(w);
-        assertTrue(w.running(SimulatedCluster.id(FIRST + CANCELLED), 2));
+        assertTrue(w.running(SampleJobs.id(FIRST + CANCELLED), 2));
     }
 
     @ParameterizedTest
@@ -397,21 +400,21 @@
     @DisplayName("after any trouble every job finds its answer within seconds, at every controller, also one just back")
     void nobodyIsForgotten(long seed) {
         SimulatedCluster w = busy(670 + seed, 3);
-        w.ended(2_000, 600, 1);
+        HistorySeeds.jobKeys(w, 2_000, 600, 1);
         w.at(46_000, () -> w.state.outage(true));
         w.at(50_000, () -> w.nodes.forEach(n -> crash(n, 100 + n.index * 4_000)));
         w.at(95_000, () -> w.state.outage(false));
         List<String> ids = IntStream.range(0, 60)
-                .mapToObj(i -> SimulatedCluster.id(i < JOBS ? FIRST + i : 2_000 + i * 7))
+                .mapToObj(i -> SampleJobs.id(i < JOBS ? FIRST + i : 2_000 + i * 7))
                 .toList();
-        for (SimulatedCluster.ControllerNode n : w.nodes) {
+        for (ControllerNode n : w.nodes) {
             long from = 103_000 + n.index * 5_000;
             for (int i = 0; i < ids.size(); i++) {
                 String id = ids.get(i);
-                w.at(from + i * 30L, () -> w.askOnce(id, "poll", n.index));
+                w.at(from + i * 30L, () -> w.users.askOnce(id, "poll", n.index));
             }
             w.sim.run(from + 5_000);
-            w.rules.unanswered(from, ids);
+            w.checker.unanswered(from, ids);
         }
         w.sim.run(125_000);
         kept(w);
@@ -427,19 +430,22 @@
         w.at(
                 46_000,
                 () -> lives.forEach(x -> {
-                    w.unheard.add(x.box().id);
+                    w.heartbeatFaults.droppedMachines.add(x.box().id);
                     w.sim.lostAnswers.put(x.box().id, 1.0);
                 }));
         w.at(46_100, () -> w.leader().crash(60_000));
         w.at(60_000, () -> lives.forEach(x -> w.restart(x, 100)));
         w.at(60_150, () -> {
-            w.unheard.clear();
+            w.heartbeatFaults.droppedMachines.clear();
             w.sim.lostAnswers.clear();
         });
-        w.at(72_000, () -> w.lost.forEach(x -> w.leader().controller.serve(x)));
+        w.at(
+                72_000,
+                () -> w.heartbeatFaults.dropped.forEach(
+                        x -> w.leader().controller.serve(x)));
         w.sim.run(180_000);
         kept(w);
-        assertEquals(4 + 2 * JOBS, w.rules.places.size());
+        assertEquals(4 + 2 * JOBS, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -448,21 +454,21 @@
             "a leader renews its hold and can read nothing: it hands over before it is blind for too long, and nothing is lost")
     void theLeaderCannotRead(long seed) {
         SimulatedCluster w = busy(690 + seed, 3);
-        SimulatedCluster.ControllerNode leader = w.leader();
-        int starts = w.rules.starts;
+        ControllerNode leader = w.leader();
+        int starts = w.checker.starts;
         w.at(46_000, () -> {
             w.state.unread.add(leader.host.name);
             w.state.dropWatches();
         });
         cancelled(w, w.nodes.get((leader.index + 1) % 3), 46_200, FIRST, CANCELLED);
-        w.sim.run(46_000 + SimulatedCluster.CANCEL_MS);
+        w.sim.run(46_000 + ClusterSetup.CANCEL_MS);
         assertEquals(CANCELLED, w.over("cancelled"));
         assertEquals(0, left(w));
         assertTrue(w.leader() != leader, "another leads");
         w.at(90_000, w.state.unread::clear);
         w.sim.run(120_000);
         kept(w);
-        assertEquals(starts, w.rules.starts);
+        assertEquals(starts, w.checker.starts);
     }
 
     @ParameterizedTest
@@ -470,8 +476,8 @@
     @DisplayName("a claim is carried out and its answer is lost: who made it acts as soon as the others follow it")
     void theClaimIsNotAnswered(long seed) {
         SimulatedCluster w = busy(700 + seed, 3);
-        SimulatedCluster.ControllerNode before = w.leader();
-        int starts = w.rules.starts;
+        ControllerNode before = w.leader();
+        int starts = w.checker.starts;
         w.at(46_000, () -> {
             w.state.lostAnswers(1, w.sim.random);
             before.crash(60_000);
@@ -480,7 +486,7 @@
             w.sim.run(w.sim.now + 10);
         }
         long named = w.sim.now;
-        SimulatedCluster.ControllerNode next = w.leader();
+        ControllerNode next = w.leader();
         while (!w.status(next).path("leadership").asText().equals("LEADING")) {
             w.sim.run(w.sim.now + 10);
         }
@@ -488,6 +494,6 @@
         w.at(w.sim.now + 4_000, () -> w.state.lostAnswers(0, null));
         w.sim.run(120_000);
         kept(w);
-        assertEquals(starts, w.rules.starts, "nothing is lost");
+        assertEquals(starts, w.checker.starts, "nothing is lost");
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/InvariantCheckerTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/InvariantCheckerTest.java
@@ -127,13 +127,13 @@
     @Test
     void aTaskLongAfterItsCancellationIsCaught() {
         SimulatedCluster w = new SimulatedCluster(1, 0);
-        w.rules.specs.put(ID, SimulatedCluster.job(1, "blue", false, 1, 1, 5));
-        w.rules.cancelAsked.add(ID);
-        w.rules.answered(ID, "cancel", LATER, 200, "cancelled");
-        w.sim.run(SimulatedCluster.CANCEL_MS - 1_000);
-        w.rules.starts(ID + "/0", "m-1", "t4", "a", false);
-        assertEquals(List.of(), w.rules.broken);
-        w.sim.run(SimulatedCluster.CANCEL_MS + 2_000);
-        assertTrue(w.rules.broken.get(0).contains("ran_cancelled"), w.rules.broken.toString());
+        w.checker.specs.put(ID, SampleJobs.job(1, "blue", false, 1, 1, 5));
+        w.checker.cancelAsked.add(ID);
+        w.checker.answered(ID, "cancel", LATER, 200, "cancelled");
+        w.sim.run(ClusterSetup.CANCEL_MS - 1_000);
+        w.checker.starts(ID + "/0", "m-1", "t4", "a", false);
+        assertEquals(List.of(), w.checker.broken);
+        w.sim.run(ClusterSetup.CANCEL_MS + 2_000);
+        assertTrue(w.checker.broken.get(0).contains("ran_cancelled"), w.checker.broken.toString());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -28,9 +28,9 @@
     private static void kept(SimulatedCluster w) {
         ClusterAssertions.kept(w);
         // No job is in two places, and none is lost.
-        for (String id : w.rules.told.keySet()) {
-            boolean over =
-                    w.rules.told.get(id).equals("done") || w.rules.told.get(id).equals("cancelled");
+        for (String id : w.checker.told.keySet()) {
+            boolean over = w.checker.told.get(id).equals("done")
+                    || w.checker.told.get(id).equals("cancelled");
             assertTrue(!over || ended(w, id), id + " has ended and stands nowhere");
         }
     }
@@ -61,11 +61,11 @@
 
     /** A few hundred questions about jobs of the past, in between some about jobs that nobody submitted. */
     private static void questions(SimulatedCluster w, long fromMs, long toMs, int everyMs) {
-        List<String> ids = new ArrayList<>(w.rules.told.keySet());
+        List<String> ids = new ArrayList<>(w.checker.told.keySet());
         String[] kinds = {"poll", "submit", "cancel"};
         for (long t = fromMs; t < toMs; t += everyMs) {
-            w.at(t, () -> w.askOnce(ids.get(w.sim.random.nextInt(ids.size())), kinds[w.sim.random.nextInt(3)]));
-            w.at(t + everyMs / 2, () -> w.poll(String.format("job-9%05d", w.sim.random.nextInt(100_000))));
+            w.at(t, () -> w.users.askOnce(ids.get(w.sim.random.nextInt(ids.size())), kinds[w.sim.random.nextInt(3)]));
+            w.at(t + everyMs / 2, () -> w.users.poll(String.format("job-9%05d", w.sim.random.nextInt(100_000))));
         }
     }
 
@@ -74,12 +74,12 @@
     @CsvSource({"1,1", "2,1", "3,700"})
     void moveWhileUsersAsk(long seed, int step) {
         SimulatedCluster w = new SimulatedCluster(seed, 10);
-        w.ended(100_000, MANY, step);
+        HistorySeeds.jobKeys(w, 100_000, MANY, step);
         questions(w, 2_000, 240_000, 150);
-        w.submit(SimulatedCluster.job(7, "red", false, 3, 2, 4));
+        w.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
         w.sim.run(400_000);
         kept(w);
-        assertEquals("done", w.rules.told.get("job-000007"));
+        assertEquals("done", w.checker.told.get("job-000007"));
         assertTrue(moved(w) > 500, moved(w) + " moved");
         assertTrue(w.state.mostWrites <= 20, w.state.mostWrites + " changes in a second");
     }
@@ -89,7 +89,7 @@
     @ValueSource(longs = {11, 12, 13, 14})
     void leadersDieInBetween(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 10);
-        w.ended(100_000, MANY, 1);
+        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
         questions(w, 2_000, 290_000, 200);
         for (int i = 0; i < 12; i++) {
             w.at(36_000 + i * 20_000L + seed * 37 + i * 13L, () -> {
@@ -108,7 +108,7 @@
     @ValueSource(longs = {21, 22})
     void answersGetLost(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 10);
-        w.ended(100_000, MANY, 1);
+        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
         questions(w, 2_000, 290_000, 300);
         w.sim.lostAnswers.put("state", 0.2);
         w.at(300_000, () -> w.sim.lostAnswers.clear());
@@ -122,7 +122,7 @@
     @ValueSource(longs = {31, 32, 33})
     void movesArriveLate(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 10);
-        w.ended(100_000, MANY, 1);
+        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
         questions(w, 2_000, 290_000, 300);
         for (int i = 0; i < 5; i++) {
             w.at(40_000 + i * 45_000L + seed * 17, () -> {
@@ -142,7 +142,7 @@
     @ValueSource(longs = {41, 42})
     void readAgainWhileJobsMove(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 10);
-        w.ended(100_000, MANY, 1);
+        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
         w.state.keptChanges = 8;
         questions(w, 2_000, 290_000, 200);
         for (int i = 0; i < 10; i++) {
@@ -162,7 +162,7 @@
     void moreThanIsKept() {
         SimulatedCluster w = new SimulatedCluster(51, 10);
         int all = 3_000;
-        w.ended(100_000, all, 1);
+        HistorySeeds.jobKeys(w, 100_000, all, 1);
         questions(w, 2_000, 100_000, 200);
         w.sim.run(1_200_000);
         kept(w);
@@ -176,7 +176,7 @@
     @Test
     void nothingMovesBeforeAllKnow() {
         SimulatedCluster w = new SimulatedCluster(61, 10);
-        w.ended(100_000, MANY, 1);
+        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
         w.nodes.get(2).crash(1_000_000);
         w.sim.run(1);
         w.state.seed(Capabilities.ROOT + "rig-2", Json.object().put("history", 0));
@@ -192,16 +192,16 @@
     @Test
     void aDamagedSegmentStays() {
         SimulatedCluster w = new SimulatedCluster(71, 10);
-        w.ended(100_000, MANY, 1);
+        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
         String key = SegmentAddress.of("job-100300").key();
         var damaged = Json.object().put("ended", "AAAA");
         w.state.seed(key, damaged);
-        w.submit(SimulatedCluster.job(7, "red", false, 3, 2, 4));
-        w.rules.specs.put("job-100500", SimulatedCluster.job(100_500, "blue", false, 1, 1, 1));
+        w.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
+        w.checker.specs.put("job-100500", SampleJobs.job(100_500, "blue", false, 1, 1, 1));
         w.sim.run(300_000);
         assertEquals(damaged, w.state.value(key));
         assertTrue(moved(w) > 100, "jobs of other segments moved");
-        assertEquals("done", w.rules.told.get("job-000007"));
+        assertEquals("done", w.checker.told.get("job-000007"));
         kept(w);
     }
 
@@ -209,7 +209,7 @@
     @Test
     void aDamagedSegmentHoldsUpNoOther() {
         SimulatedCluster w = new SimulatedCluster(72, 10);
-        w.ended(100_000, 3_000, 1);
+        HistorySeeds.jobKeys(w, 100_000, 3_000, 1);
         w.state.seed(SegmentAddress.of("job-100400").key(), Json.object().put("ended", "AAAA"));
         w.sim.run(1_200_000);
         kept(w);
@@ -227,22 +227,22 @@
         SimulatedCluster w = new SimulatedCluster(81, 10);
         String id = "job-100001";
         w.sim.run(20_000);
-        SimulatedCluster.ControllerNode behind =
+        ControllerNode behind =
                 w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
         // It knows that the history is empty, and then hears of nothing any more.
-        w.askOnce("job-900000", "poll", behind.index);
+        w.users.askOnce("job-900000", "poll", behind.index);
         w.sim.run(25_000);
         w.sim.cut(behind.host.name, "state");
-        w.submit(SimulatedCluster.job(100_001, "blue", false, 1, 1, 1));
+        w.users.submit(SampleJobs.job(100_001, "blue", false, 1, 1, 1));
         w.sim.run(27_000);
-        w.askOnce(id, "submit", behind.index);
+        w.users.askOnce(id, "submit", behind.index);
         // So many end after it that its turn to move comes.
         for (int i = 0; i < 320; i++) {
             int n = 200_000 + 700 * i;
-            w.at(30_000 + 100 * i, () -> w.submit(SimulatedCluster.job(n, "blue", false, 1, 1, 0.5)));
+            w.at(30_000 + 100 * i, () -> w.users.submit(SampleJobs.job(n, "blue", false, 1, 1, 0.5)));
         }
         w.sim.run(140_000);
-        assertEquals("done", w.rules.told.get(id));
+        assertEquals("done", w.checker.told.get(id));
         assertTrue(past(w, id), "it has moved");
         if (blind) {
             w.state.blindTo.add(SegmentAddress.ROOT);
@@ -251,10 +251,10 @@
         w.sim.run(200_000);
         assertEquals(321, w.over("done"));
         if (blind) {
-            assertTrue(w.state.value(Keys.JOBS + id) != null && w.rules.repeats > 0, "it runs once more");
+            assertTrue(w.state.value(Keys.JOBS + id) != null && w.checker.repeats > 0, "it runs once more");
         } else {
             kept(w);
-            assertEquals(0, w.rules.repeats);
+            assertEquals(0, w.checker.repeats);
         }
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -41,7 +41,7 @@
     /** Asks until the change is known to be made, with the same key throughout. */
     private void ask(SimulatedCluster w, ObjectNode change, int tries) {
         String key = change.get("key").textValue();
-        w.configure(w.sim.random.nextInt(w.nodes.size()), change, reply -> {
+        w.users.configure(w.sim.random.nextInt(w.nodes.size()), change, reply -> {
             if (reply.outcome() == Http.Outcome.ANSWERED && reply.status() == 200) {
                 int number = Json.parse(reply.body()).get("number").intValue();
                 Integer before = acknowledged.put(key, number);
@@ -55,11 +55,11 @@
     /** Every change that was acknowledged is in the log once, and every controller shows what all of them make together. */
     private void agrees(SimulatedCluster w) {
         Map<String, double[]> model = new TreeMap<>();
-        JsonNode first = w.configuration(w.nodes.get(0));
+        JsonNode first = w.users.configuration(w.nodes.get(0));
         first.get("teams").properties().forEach(e -> model.put(e.getKey(), new double[] {NONE, NONE}));
         Map<Integer, String> numbers = new HashMap<>();
         Set<String> keys = new HashSet<>();
-        JsonNode log = w.configurationLog(w.nodes.get(0));
+        JsonNode log = w.users.configurationLog(w.nodes.get(0));
         for (int i = log.size() - 1; i >= 0; i--) {
             JsonNode entry = log.get(i);
             assertTrue(keys.add(entry.get("key").textValue()), entry + " stands twice");
@@ -74,8 +74,8 @@
         }
         acknowledged.forEach((key, number) -> assertEquals(key, numbers.get(number)));
         assertEquals(numbers.size(), first.get("number").intValue());
-        for (SimulatedCluster.ControllerNode n : w.nodes) {
-            JsonNode shown = w.configuration(n);
+        for (ControllerNode n : w.nodes) {
+            JsonNode shown = w.users.configuration(n);
             assertEquals(first.get("number"), shown.get("number"));
             model.forEach((team, limits) -> {
                 if (limits[0] != NONE) {
@@ -95,7 +95,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void everyChangeIsMadeOnce(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 0);
-        w.submit(SimulatedCluster.job(1, "blue", false, 40, 1, 20));
+        w.users.submit(SampleJobs.job(1, "blue", false, 40, 1, 20));
         for (int i = 0; i < 40; i++) {
             ObjectNode change =
                     limit("k-" + i, i % 2 == 0 ? "red" : "blue", w.sim.random.nextInt(8), 8 + w.sim.random.nextInt(20));
@@ -119,25 +119,25 @@
     void aLoweredLimitHolds(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
-            w.submit(SimulatedCluster.job(10 + i, "blue", false, 12, 1, 500));
+            w.users.submit(SampleJobs.job(10 + i, "blue", false, 12, 1, 500));
         }
-        w.submit(SimulatedCluster.job(1, "blue", true, 4, 2, 0));
+        w.users.submit(SampleJobs.job(1, "blue", true, 4, 2, 0));
         w.sim.run(30_000);
         assertTrue(used(w) > 20, used(w) + " used before");
         ask(w, limit("lower", "blue", 4, 12), 5);
-        w.at(30_000 + IN_FORCE_MS, () -> w.rules.limits.put("blue", Math.max(12, used(w))));
-        w.at(60_000, () -> w.rules.limits.put("blue", 12.0));
+        w.at(30_000 + IN_FORCE_MS, () -> w.checker.limits.put("blue", Math.max(12, used(w))));
+        w.at(60_000, () -> w.checker.limits.put("blue", 12.0));
         w.sim.run(60_000);
         assertTrue(used(w) <= 12, used(w) + " used 30 s after");
-        assertTrue(w.running(SimulatedCluster.id(1), 4), "of the least priority first: the service keeps its replicas");
+        assertTrue(w.running(SampleJobs.id(1), 4), "of the least priority first: the service keeps its replicas");
         w.sim.run(90_000);
         ClusterAssertions.kept(w);
     }
 
     private static double used(SimulatedCluster w) {
-        return w.rules.places.keySet().stream()
+        return w.checker.places.keySet().stream()
                 .mapToDouble(t ->
-                        w.rules.specs.get(t.substring(0, t.lastIndexOf('/'))).cpus())
+                        w.checker.specs.get(t.substring(0, t.lastIndexOf('/'))).cpus())
                 .sum();
     }
 
@@ -146,40 +146,40 @@
     @ValueSource(booleans = {true, false})
     void aLeaderThatCannotReadStartsNothingForbidden(boolean refused) {
         // A cancellation may take so long here that it would let the leader go on for far longer without news.
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
                 21,
                 3,
                 20,
                 3_000,
-                SimulatedCluster.REPORT_MS,
-                SimulatedCluster.LEASE_MS,
+                ClusterSetup.REPORT_MS,
+                ClusterSetup.LEASE_MS,
                 60_000,
                 Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
         ask(w, limit("first", "blue", 4, 60), 5);
         for (int i = 0; i < 30; i++) {
             int n = i;
-            w.at(8_000 + i * 1_000L, () -> w.submit(SimulatedCluster.job(10 + n, "blue", false, 2, 1, 4)));
+            w.at(8_000 + i * 1_000L, () -> w.users.submit(SampleJobs.job(10 + n, "blue", false, 2, 1, 4)));
         }
         w.sim.run(15_000);
-        SimulatedCluster.ControllerNode leader = w.leader();
+        ControllerNode leader = w.leader();
         if (refused) {
             w.refuse(leader, 20_000);
         } else {
             w.state.unread.add(leader.host.name);
         }
-        SimulatedCluster.ControllerNode other =
+        ControllerNode other =
                 w.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        w.at(15_500, () -> w.configure(other.index, limit("none", "blue", 0, 1), reply -> {}));
+        w.at(15_500, () -> w.users.configure(other.index, limit("none", "blue", 0, 1), reply -> {}));
         long[] startsThen = new long[1];
-        w.at(15_500 + IN_FORCE_MS, () -> startsThen[0] = w.rules.starts);
+        w.at(15_500 + IN_FORCE_MS, () -> startsThen[0] = w.checker.starts);
         w.sim.run(34_000);
         assertTrue(
-                w.rules.starts - startsThen[0] <= 4,
-                (w.rules.starts - startsThen[0]) + " starts of two processors' limit 1");
+                w.checker.starts - startsThen[0] <= 4,
+                (w.checker.starts - startsThen[0]) + " starts of two processors' limit 1");
         w.state.unread.clear();
         w.sim.run(40_000);
-        assertEquals(2, w.configuration(w.nodes.get(0)).get("number").intValue());
+        assertEquals(2, w.users.configuration(w.nodes.get(0)).get("number").intValue());
     }
 
     /** A team that is added may submit; one that is removed may not, and what it had runs to its end. */
@@ -189,8 +189,8 @@
         ObjectNode add = change("add");
         add.putObject("add").putObject("green").put("cpus", 4).put("cpusMax", 8);
         ask(w, add, 5);
-        w.rules.limits.put("green", 8.0);
-        w.at(5_000, () -> w.submit(SimulatedCluster.job(1, "green", false, 30, 1, 3)));
+        w.checker.limits.put("green", 8.0);
+        w.at(5_000, () -> w.users.submit(SampleJobs.job(1, "green", false, 30, 1, 3)));
         w.sim.run(12_000);
         ObjectNode remove = change("remove");
         remove.putArray("remove").add("green");
@@ -198,20 +198,18 @@
         w.sim.run(14_000);
         assertEquals(
                 422,
-                w.post(
+                w.users.post(
                         w.nodes.get(1),
-                        Json.bytes(
-                                SimulatedCluster.job(2, "green", false, 1, 1, 1).json())));
+                        Json.bytes(SampleJobs.job(2, "green", false, 1, 1, 1).json())));
         w.sim.run(60_000);
-        assertEquals("done", w.rules.told.get(SimulatedCluster.id(1)));
+        assertEquals("done", w.checker.told.get(SampleJobs.id(1)));
         ask(w, change("back").put("rollback", 0), 5);
         w.sim.run(65_000);
         assertEquals(
                 422,
-                w.post(
+                w.users.post(
                         w.nodes.get(2),
-                        Json.bytes(
-                                SimulatedCluster.job(2, "green", false, 1, 1, 1).json())));
+                        Json.bytes(SampleJobs.job(2, "green", false, 1, 1, 1).json())));
         ClusterAssertions.kept(w);
     }
 
@@ -231,7 +229,7 @@
         bad.put(limit("", "blue", 1, 2), "field key");
         bad.forEach((body, field) -> {
             asked++;
-            w.configure(0, body, reply -> {
+            w.users.configure(0, body, reply -> {
                 assertEquals(400, reply.status(), body.toString());
                 assertTrue(Json.parse(reply.body()).get("error").textValue().contains(field), field);
                 asked--;
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -28,8 +28,7 @@
     private int number = FIRST;
 
     private JobSpec stage(int tasks, List<String> awaits) {
-        JobSpec spec =
-                SimulatedCluster.job(number++, "blue", false, tasks, 1, 3).awaiting(awaits);
+        JobSpec spec = SampleJobs.job(number++, "blue", false, tasks, 1, 3).awaiting(awaits);
         ids.add(spec.id());
         return spec;
     }
@@ -45,7 +44,7 @@
             all.add(spec);
         }
         all.add(stage(2, middle));
-        all.forEach(spec -> w.at(atMs, () -> w.submitWhenAwaitedAreAccepted(spec)));
+        all.forEach(spec -> w.at(atMs, () -> w.users.submitWhenAwaitedAreAccepted(spec)));
         if (w.sim.random.nextInt(4) == 0) {
             String called = all.get(w.sim.random.nextInt(all.size())).id();
             w.at(atMs + w.sim.random.nextInt(12_000), () -> cancelOnceAccepted(w, called));
@@ -53,8 +52,8 @@
     }
 
     private static void cancelOnceAccepted(SimulatedCluster w, String id) {
-        if (w.rules.told.containsKey(id)) {
-            w.cancel(id);
+        if (w.checker.told.containsKey(id)) {
+            w.users.cancel(id);
         } else {
             w.at(w.sim.now + 100, () -> cancelOnceAccepted(w, id));
         }
@@ -105,7 +104,7 @@
         SimulatedCluster w = world(seed, 20, 4_000);
         w.at(14_000 + seed * 100, () -> w.nodes.forEach(n -> ClusterAssertions.crash(n, 1_500)));
         w.at(32_000, () -> w.state.outage(true));
-        w.at(32_000 + SimulatedCluster.CANCEL_MS + 6_000, () -> w.state.outage(false));
+        w.at(32_000 + ClusterSetup.CANCEL_MS + 6_000, () -> w.state.outage(false));
         w.at(70_000, () -> w.refuse(w.leader(), 9_000));
         allOver(w, 300_000);
     }
@@ -127,12 +126,12 @@
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
     void limitsFallAfterAnUpgrade(long seed) {
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
-                seed, 3, 160, 3_000, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS, TEAMS, BEFORE));
+        SimulatedCluster w = new SimulatedCluster(
+                new ClusterSetup(seed, 3, 160, 3_000, ClusterSetup.REPORT_MS, ClusterSetup.LEASE_MS, TEAMS, BEFORE));
         w.enforceLimits();
         for (int i = 0; i < 40; i++) {
-            JobSpec service = SimulatedCluster.job(i, "blue", true, 3, 4, 0);
-            w.at(200 + i * 100L, () -> w.submit(service));
+            JobSpec service = SampleJobs.job(i, "blue", true, 3, 4, 0);
+            w.at(200 + i * 100L, () -> w.users.submit(service));
         }
         w.sim.run(39_000);
         long larger = w.state.keys(Keys.ROOT).stream()
@@ -149,7 +148,7 @@
         w.at(110_000, () -> w.nodes.forEach(n -> ClusterAssertions.crash(n, 1_000)));
         w.sim.run(260_000);
         ClusterAssertions.everybodySaysTheSame(w, ids);
-        assertEquals(120, w.rules.places.size(), "every replica runs");
+        assertEquals(120, w.checker.places.size(), "every replica runs");
         for (String key : w.state.keys(Keys.ROOT)) {
             assertTrue(Json.bytes(w.state.value(key)).length <= AFTER.valueBytes(), key + " fits");
         }
@@ -163,13 +162,13 @@
         w.nodes.get(2).crash(60_000);
         JobSpec first = stage(1, List.of());
         JobSpec second = stage(1, List.of(first.id()));
-        w.at(1_000, () -> w.submit(first));
-        w.at(20_000, () -> w.submitWhenAwaitedAreAccepted(second));
+        w.at(1_000, () -> w.users.submit(first));
+        w.at(20_000, () -> w.users.submitWhenAwaitedAreAccepted(second));
         w.sim.run(60_000);
-        assertEquals("done", w.rules.told.get(first.id()));
+        assertEquals("done", w.checker.told.get(first.id()));
         assertTrue(w.state.value(Keys.JOBS + second.id()) == null, "not accepted yet");
         w.sim.run(120_000);
-        assertEquals("done", w.rules.told.get(second.id()));
+        assertEquals("done", w.checker.told.get(second.id()));
         ClusterAssertions.kept(w);
     }
 
@@ -177,31 +176,31 @@
     @Test
     void whatMayBeNamed() {
         SimulatedCluster w = new SimulatedCluster(61, 0);
-        SimulatedCluster.past(w.state, 500_000, 8);
-        JobSpec service = SimulatedCluster.job(1, "blue", true, 1, 1, 0);
-        JobSpec called = SimulatedCluster.job(2, "blue", false, 1, 1, 60);
-        w.at(1_000, () -> w.submit(service));
-        w.at(1_000, () -> w.submit(called));
-        w.at(9_000, () -> w.cancel(called.id()));
+        HistorySeeds.segments(w.state, 500_000, 8);
+        JobSpec service = SampleJobs.job(1, "blue", true, 1, 1, 0);
+        JobSpec called = SampleJobs.job(2, "blue", false, 1, 1, 60);
+        w.at(1_000, () -> w.users.submit(service));
+        w.at(1_000, () -> w.users.submit(called));
+        w.at(9_000, () -> w.users.cancel(called.id()));
         w.sim.run(20_000);
-        assertEquals(422, post(w, 3, SimulatedCluster.id(99)));
-        assertEquals(422, post(w, 4, SimulatedCluster.id(4)));
+        assertEquals(422, post(w, 3, SampleJobs.id(99)));
+        assertEquals(422, post(w, 4, SampleJobs.id(4)));
         assertEquals(422, post(w, 5, service.id()));
-        w.rules.cancelAsked.add(SimulatedCluster.id(6));
+        w.checker.cancelAsked.add(SampleJobs.id(6));
         assertEquals(201, post(w, 6, called.id()));
-        assertEquals(201, post(w, 7, SimulatedCluster.id(500_001)));
-        w.rules.cancelAsked.add(SimulatedCluster.id(8));
-        assertEquals(201, post(w, 8, SimulatedCluster.id(500_000)));
+        assertEquals(201, post(w, 7, SampleJobs.id(500_001)));
+        w.checker.cancelAsked.add(SampleJobs.id(8));
+        assertEquals(201, post(w, 8, SampleJobs.id(500_000)));
         // Known by now: 200, whatever it names.
-        assertEquals(200, post(w, 7, SimulatedCluster.id(99)));
+        assertEquals(200, post(w, 7, SampleJobs.id(99)));
         w.sim.run(40_000);
         for (int i = 6; i <= 8; i++) {
-            w.poll(SimulatedCluster.id(i));
+            w.users.poll(SampleJobs.id(i));
         }
         w.sim.run(43_000);
-        assertEquals("cancelled", w.rules.told.get(SimulatedCluster.id(6)));
-        assertEquals("done", w.rules.told.get(SimulatedCluster.id(7)));
-        assertEquals("cancelled", w.rules.told.get(SimulatedCluster.id(8)));
+        assertEquals("cancelled", w.checker.told.get(SampleJobs.id(6)));
+        assertEquals("done", w.checker.told.get(SampleJobs.id(7)));
+        assertEquals("cancelled", w.checker.told.get(SampleJobs.id(8)));
         ClusterAssertions.kept(w);
     }
 
@@ -212,26 +211,25 @@
     @Test
     void whatATableDoesNotKeepIsLookedUpBeforeAnAnswer() {
         SimulatedCluster w = new SimulatedCluster(71, 0);
-        SimulatedCluster.past(w.state, 500_000, 8);
-        JobSpec waiting =
-                SimulatedCluster.job(9, "blue", false, 1, 1, 1).awaiting(List.of(SimulatedCluster.id(500_000)));
+        HistorySeeds.segments(w.state, 500_000, 8);
+        JobSpec waiting = SampleJobs.job(9, "blue", false, 1, 1, 1).awaiting(List.of(SampleJobs.id(500_000)));
         w.state.seed(Keys.JOBS + waiting.id(), JobTable.accepted(waiting, 0));
-        w.rules.specs.put(waiting.id(), waiting);
-        w.rules.cancelAsked.add(waiting.id());
+        w.checker.specs.put(waiting.id(), waiting);
+        w.checker.cancelAsked.add(waiting.id());
         for (long t = 200; t < 3_000; t += 20) {
             int node = (int) (t / 20 % 3);
-            w.at(t, () -> w.askOnce(waiting.id(), "poll", node));
-            w.at(t, () -> assertTrue(!"accepted".equals(w.rules.told.get(waiting.id())), "called queued"));
+            w.at(t, () -> w.users.askOnce(waiting.id(), "poll", node));
+            w.at(t, () -> assertTrue(!"accepted".equals(w.checker.told.get(waiting.id())), "called queued"));
         }
         w.sim.run(10_000);
-        assertEquals("cancelled", w.rules.told.get(waiting.id()));
+        assertEquals("cancelled", w.checker.told.get(waiting.id()));
         ClusterAssertions.kept(w);
     }
 
     private static int post(SimulatedCluster w, int number, String awaited) {
-        JobSpec spec = SimulatedCluster.job(number, "blue", false, 1, 1, 1);
-        w.rules.specs.putIfAbsent(spec.id(), spec);
-        return w.post(
+        JobSpec spec = SampleJobs.job(number, "blue", false, 1, 1, 1);
+        w.checker.specs.putIfAbsent(spec.id(), spec);
+        return w.users.post(
                 w.nodes.get(number % 3),
                 Json.bytes(spec.awaiting(List.of(awaited)).json()));
     }
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -26,15 +26,13 @@
     private static final int FIRST = 40;
 
     private static List<String> ids(int first, int count) {
-        return IntStream.range(first, first + count)
-                .mapToObj(SimulatedCluster::id)
-                .toList();
+        return IntStream.range(first, first + count).mapToObj(SampleJobs::id).toList();
     }
 
     private static JobSpec bound(
             int number, int tasks, double cpus, double seconds, String zone, boolean oneZone, boolean spread) {
         return new JobSpec(
-                SimulatedCluster.id(number),
+                SampleJobs.id(number),
                 "bound",
                 "blue",
                 false,
@@ -57,7 +55,7 @@
     }
 
     private static EmulatedWorker holder(SimulatedCluster w, String task) {
-        String place = w.rules.places.get(task);
+        String place = w.checker.places.get(task);
         return place == null
                 ? null
                 : w.workers.stream()
@@ -77,9 +75,9 @@
             int n = FIRST + i;
             w.at(
                     31_000 + i * 2_500L,
-                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
+                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
         }
-        w.keptReports = share;
+        w.heartbeatFaults.replayShare = share;
         for (long t = 38_000; t < 75_000; t += 6_000) {
             w.at(t, () -> crash(w.leader(), 300));
             w.at(
@@ -92,7 +90,7 @@
         w.at(50_000, () -> w.restart(w.workers.get(0), 150));
         w.at(62_000, () -> w.workers.get(1).hang(true));
         w.at(73_000, () -> w.workers.get(1).hang(false));
-        w.at(76_000, () -> w.keptReports = 0);
+        w.at(76_000, () -> w.heartbeatFaults.replayShare = 0);
         w.sim.run(120_000);
         kept(w);
         assertEquals(10, w.over("done"));
@@ -110,19 +108,19 @@
         services(w, 2);
         int tasks = oneZone ? 2 : 3;
         for (int i = 0; i < 4; i++) {
-            w.submit(bound(FIRST + i, tasks, 3, 300, null, oneZone, !oneZone));
+            w.users.submit(bound(FIRST + i, tasks, 3, 300, null, oneZone, !oneZone));
         }
         // Room in both zones, so that what is lost finds a place at once.
-        w.submit(bound(FIRST + 10, 6, 3, 12, "a", false, false));
-        w.submit(bound(FIRST + 11, 6, 3, 12, "b", false, false));
+        w.users.submit(bound(FIRST + 10, 6, 3, 12, "a", false, false));
+        w.users.submit(bound(FIRST + 11, 6, 3, 12, "b", false, false));
         w.sim.run(47_000);
-        SimulatedCluster.ControllerNode leader = w.leader();
+        ControllerNode leader = w.leader();
         List<EmulatedWorker> heard = new ArrayList<>();
         w.at(47_000, () -> {
             for (int i = 0; i < 4; i++) {
-                heard.add(holder(w, SimulatedCluster.id(FIRST + i) + "/0"));
+                heard.add(holder(w, SampleJobs.id(FIRST + i) + "/0"));
                 for (int t = 1; t < tasks; t++) {
-                    EmulatedWorker other = holder(w, SimulatedCluster.id(FIRST + i) + "/" + t);
+                    EmulatedWorker other = holder(w, SampleJobs.id(FIRST + i) + "/" + t);
                     w.nodes.forEach(n -> w.sim.cut(n.host.name, other.box().id));
                 }
             }
@@ -130,15 +128,13 @@
         });
         for (int i = 0; i < 4; i++) {
             int of = i;
-            w.at(51_500 + i * 500L, () -> heard.get(of).fail(SimulatedCluster.id(FIRST + of) + "/0"));
+            w.at(51_500 + i * 500L, () -> heard.get(of).fail(SampleJobs.id(FIRST + of) + "/0"));
         }
         w.at(56_000, w.sim::heal);
         w.sim.run(75_000);
         kept(w);
         settled(w, ids(FIRST, 4));
-        assertTrue(
-                IntStream.range(0, 4).allMatch(i -> w.running(SimulatedCluster.id(FIRST + i), tasks)),
-                "all of them run");
+        assertTrue(IntStream.range(0, 4).allMatch(i -> w.running(SampleJobs.id(FIRST + i), tasks)), "all of them run");
     }
 
     @ParameterizedTest
@@ -149,25 +145,25 @@
         SimulatedCluster w = new SimulatedCluster(1_060 + seed, 0);
         services(w, 4);
         for (int i = 0; i < 6; i++) {
-            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 2, 1, 300));
+            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
         List<EmulatedWorker> mute =
                 w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
-        w.at(46_000, () -> mute.forEach(x -> w.unheard.add(x.box().id)));
+        w.at(46_000, () -> mute.forEach(x -> w.heartbeatFaults.droppedMachines.add(x.box().id)));
         if (seed == 2) {
             w.at(47_000, () -> crash(w.leader(), 300));
         }
-        w.sim.run(46_000 + SimulatedCluster.LEASE_MS + 8_000);
+        w.sim.run(46_000 + ClusterSetup.LEASE_MS + 8_000);
         kept(w);
         for (long t = w.sim.now; t < 110_000; t += 500) {
             w.sim.run(t);
-            assertEquals(16, w.rules.places.size(), "everything runs, elsewhere, at " + t);
+            assertEquals(16, w.checker.places.size(), "everything runs, elsewhere, at " + t);
             assertTrue(
                     mute.stream().allMatch(x -> x.running() == null),
                     "nothing is given to a machine that cannot report");
         }
-        w.unheard.clear();
+        w.heartbeatFaults.droppedMachines.clear();
         settled(w, ids(FIRST, 6));
     }
 
@@ -181,12 +177,12 @@
             int n = FIRST + i;
             w.at(
                     1_000 + i * 400L,
-                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 4, 1, 60)));
+                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 4, 1, 60)));
         }
         w.sim.run(30_000);
         for (int round = 0; round < 2; round++) {
             long at = 30_000 + round * 30_000L;
-            w.at(at, () -> w.cancelNow(5, cut ? 0 : forMs));
+            w.at(at, () -> w.users.cancelNow(5, cut ? 0 : forMs));
             if (cut) {
                 w.at(
                         at - 50,
@@ -204,7 +200,7 @@
                 int n = FIRST + 24 + 8 * round + i;
                 w.at(
                         at + 500 + i * 1_500L,
-                        () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 2, 1, 20)));
+                        () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 2, 1, 20)));
             }
         }
         w.sim.run(100_000);
@@ -216,17 +212,17 @@
     }
 
     /** Both teams have limits, and there are more machines than they may use. */
-    private static SimulatedCluster.Setup limited(long seed) {
+    private static ClusterSetup limited(long seed) {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("red", new Settings.Team("red", 4, 8, 0, 0));
         teams.put("blue", new Settings.Team("blue", 4, 9, 0, 0));
-        return new SimulatedCluster.Setup(
+        return new ClusterSetup(
                 seed,
                 3,
                 20,
                 3_000,
-                SimulatedCluster.REPORT_MS,
-                SimulatedCluster.LEASE_MS,
+                ClusterSetup.REPORT_MS,
+                ClusterSetup.LEASE_MS,
                 teams,
                 new Settings.State(200, 20, 4, 8));
     }
@@ -236,14 +232,14 @@
     @DisplayName(
             "machines are up at once and get work, while writes lag and the leader ends: nothing runs twice, nothing is kept for nothing")
     void upAtOnce(long seed, boolean atOnce, double share) {
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
                 1_100 + seed,
                 3,
                 20,
                 300,
-                SimulatedCluster.REPORT_MS,
-                SimulatedCluster.LEASE_MS,
-                SimulatedCluster.Setup.small(0, 0, 3).teams(),
+                ClusterSetup.REPORT_MS,
+                ClusterSetup.LEASE_MS,
+                ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
         services(w, 2);
         for (int round = 0; round < 4; round++) {
@@ -258,7 +254,7 @@
             });
             for (int i = 0; i < 8; i++) {
                 int n = first + i;
-                w.at(at + i * 60L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 2, 2, 5)));
+                w.at(at + i * 60L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 2, 2, 5)));
             }
             w.at(at + 1_200 + 300 * round, () -> crash(w.leader(), 250));
             w.at(at + 5_000, () -> w.state.lateWrites(0, null));
@@ -279,7 +275,7 @@
         SimulatedCluster w = new SimulatedCluster(1_120 + seed, 0);
         services(w, 2);
         for (int i = 0; i < 14; i++) {
-            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 2, 1, 300));
+            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 2, 1, 300));
         }
         w.sim.run(45_000);
         for (int round = 0; round < 3; round++) {
@@ -287,8 +283,8 @@
             int first = FIRST + round * 4;
             w.at(at, () -> w.refuse(w.leader(), 9_000));
             for (int i = 0; i < 4; i++) {
-                String id = SimulatedCluster.id(first + i);
-                w.at(at + i * spread, () -> w.cancel(id));
+                String id = SampleJobs.id(first + i);
+                w.at(at + i * spread, () -> w.users.cancel(id));
             }
             w.at(
                     at + 300,
@@ -297,11 +293,11 @@
                             .limit(4)
                             .forEach(x -> {
                                 x.hang(true);
-                                w.at(at + 300 + SimulatedCluster.LEASE_MS - 1_500, () -> x.hang(false));
+                                w.at(at + 300 + ClusterSetup.LEASE_MS - 1_500, () -> x.hang(false));
                             }));
             if (round == 1) {
                 w.at(at + 1_000, () -> w.state.outage(true));
-                w.at(at + 1_000 + SimulatedCluster.CANCEL_MS + 4_000, () -> w.state.outage(false));
+                w.at(at + 1_000 + ClusterSetup.CANCEL_MS + 4_000, () -> w.state.outage(false));
             }
             if (round == 2) {
                 w.at(at + 500, () -> crash(w.leader(), 200));
@@ -319,16 +315,16 @@
     void tenLeaders(long seed, boolean outage) {
         SimulatedCluster w = new SimulatedCluster(1_140 + seed, 8);
         services(w, 3);
-        w.closeLooks = true;
+        w.users.askEverywhereAtOnce = true;
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             int n = FIRST + i;
-            ids.add(SimulatedCluster.id(n));
+            ids.add(SampleJobs.id(n));
             w.at(
                     31_000 + i * 4_000L,
-                    () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
+                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
             if (n % 4 == 0) {
-                w.at(34_000 + i * 4_000L, () -> w.cancel(SimulatedCluster.id(n)));
+                w.at(34_000 + i * 4_000L, () -> w.users.cancel(SampleJobs.id(n)));
             }
         }
         for (int i = 0; i < 10; i++) {
@@ -343,7 +339,7 @@
         }
         if (outage) {
             w.at(70_000, () -> w.state.outage(true));
-            w.at(70_000 + SimulatedCluster.CANCEL_MS + 3_000, () -> w.state.outage(false));
+            w.at(70_000 + ClusterSetup.CANCEL_MS + 3_000, () -> w.state.outage(false));
         }
         w.sim.run(200_000);
         ClusterAssertions.everybodySaysTheSame(w, ids);
@@ -358,10 +354,10 @@
         SimulatedCluster w = new SimulatedCluster(1_160 + seed, 0);
         services(w, 4);
         for (int i = 0; i < 6; i++) {
-            w.submit(SimulatedCluster.job(FIRST + i, "blue", false, 3, 1, 200));
+            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 3, 1, 200));
         }
         w.sim.run(45_000);
-        SimulatedCluster.ControllerNode inside = seed == 1 ? w.leader() : w.nodes.get((w.leader().index + 1) % 3);
+        ControllerNode inside = seed == 1 ? w.leader() : w.nodes.get((w.leader().index + 1) % 3);
         w.at(46_000, () -> {
             w.workers.forEach(x -> w.nodes.forEach(n -> {
                 if (x.box().zone.equals("b") != (n == inside)) {
@@ -373,13 +369,13 @@
                 w.sim.cut(inside.host.name, "state");
             }
         });
-        SimulatedCluster.ControllerNode outside =
+        ControllerNode outside =
                 w.nodes.stream().filter(n -> n != inside).findFirst().orElseThrow();
         for (int i = 0; i < 3; i++) {
-            String id = SimulatedCluster.id(FIRST + i);
-            w.at(47_000 + i * 900L, () -> w.askOnce(id, "cancel", outside.index));
+            String id = SampleJobs.id(FIRST + i);
+            w.at(47_000 + i * 900L, () -> w.users.askOnce(id, "cancel", outside.index));
         }
-        w.at(46_000 + 2 * SimulatedCluster.LEASE_MS, w.sim::heal);
+        w.at(46_000 + 2 * ClusterSetup.LEASE_MS, w.sim::heal);
         w.sim.run(110_000);
         assertEquals(3, w.over("cancelled"));
         kept(w);
@@ -393,30 +389,30 @@
     void nobodyRemembersTheJob(long seed) {
         SimulatedCluster w = new SimulatedCluster(1_180 + seed, 8);
         services(w, 2);
-        w.submit(SimulatedCluster.job(FIRST, "red", false, 8, 1, 300));
+        w.users.submit(SampleJobs.job(FIRST, "red", false, 8, 1, 300));
         // Its machines are free when the limit is all that keeps the next job back.
-        w.submit(SimulatedCluster.job(FIRST + 2, "blue", false, 8, 1, 7));
+        w.users.submit(SampleJobs.job(FIRST + 2, "blue", false, 8, 1, 7));
         w.sim.run(45_000);
-        w.submit(SimulatedCluster.job(FIRST + 1, "red", false, 8, 1, 5));
+        w.users.submit(SampleJobs.job(FIRST + 1, "red", false, 8, 1, 5));
         List<EmulatedWorker> mute = IntStream.range(0, 8)
-                .mapToObj(i -> holder(w, SimulatedCluster.id(FIRST) + "/" + i))
+                .mapToObj(i -> holder(w, SampleJobs.id(FIRST) + "/" + i))
                 .distinct()
                 .toList();
-        w.at(46_000, () -> mute.forEach(x -> w.unheard.add(x.box().id)));
+        w.at(46_000, () -> mute.forEach(x -> w.heartbeatFaults.droppedMachines.add(x.box().id)));
         // The leader that could act on it has just ended.
-        SimulatedCluster.ControllerNode other = w.nodes.get((w.leader().index + 1) % 3);
+        ControllerNode other = w.nodes.get((w.leader().index + 1) % 3);
         w.at(46_500, () -> w.leader().crash(300));
-        w.at(46_510, () -> w.askOnce(SimulatedCluster.id(FIRST), "cancel", other.index));
+        w.at(46_510, () -> w.users.askOnce(SampleJobs.id(FIRST), "cancel", other.index));
         w.at(46_700, () -> {
-            assertEquals("cancelled", w.rules.told.get(SimulatedCluster.id(FIRST)));
-            w.ended(2_000, 2_300, 1);
+            assertEquals("cancelled", w.checker.told.get(SampleJobs.id(FIRST)));
+            HistorySeeds.jobKeys(w, 2_000, 2_300, 1);
             w.nodes.forEach(n -> crash(n, 200));
         });
-        w.at(60_000, w.unheard::clear);
+        w.at(60_000, w.heartbeatFaults.droppedMachines::clear);
         w.sim.run(90_000);
         kept(w);
         settled(w, ids(FIRST, 2));
-        assertEquals("done", w.rules.told.get(SimulatedCluster.id(FIRST + 1)));
+        assertEquals("done", w.checker.told.get(SampleJobs.id(FIRST + 1)));
     }
 
     @ParameterizedTest
@@ -424,24 +420,24 @@
     @DisplayName(
             "more work than room, urgent and not, over slow links, through a change of leader: the largest begin, all is served in the end")
     void moreWorkThanRoom(long seed) {
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
                 1_200 + seed,
                 3,
                 3,
                 3_000,
-                SimulatedCluster.REPORT_MS,
-                SimulatedCluster.LEASE_MS,
-                SimulatedCluster.Setup.small(0, 0, 3).teams(),
+                ClusterSetup.REPORT_MS,
+                ClusterSetup.LEASE_MS,
+                ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
         w.nodes.forEach(n -> w.sim.slow.put(n.host.name, 600L));
         services(w, 2);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            JobSpec small = SimulatedCluster.job(FIRST + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
+            JobSpec small = SampleJobs.job(FIRST + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
             ids.add(small.id());
             w.at(
                     31_000 + i * 3_000L,
-                    () -> w.submit(new JobSpec(
+                    () -> w.users.submit(new JobSpec(
                             small.id(),
                             "urgent",
                             small.team(),
@@ -464,9 +460,9 @@
                             null)));
         }
         for (int i = 0; i < 3; i++) {
-            JobSpec large = SimulatedCluster.job(FIRST + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
+            JobSpec large = SampleJobs.job(FIRST + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
             ids.add(large.id());
-            w.at(40_000 + i * 15_000L, () -> w.submit(large));
+            w.at(40_000 + i * 15_000L, () -> w.users.submit(large));
         }
         w.at(80_000, () -> crash(w.leader(), 300));
         w.at(120_000, () -> w.workers.stream().limit(2).forEach(x -> x.hang(true)));
@@ -475,7 +471,7 @@
         kept(w);
         for (int i = 0; i < 3; i++) {
             assertTrue(
-                    w.rules.firstStart(SimulatedCluster.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
+                    w.checker.firstStart(SampleJobs.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
                     "a large one has begun in time");
         }
         ClusterAssertions.everybodySaysTheSame(w, ids);
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -24,7 +24,7 @@
     private static final long LEASE_MS = 20_000;
 
     private static SimulatedCluster world(long seed, int controllers) {
-        return new SimulatedCluster(new SimulatedCluster.Setup(
+        return new SimulatedCluster(new ClusterSetup(
                 seed,
                 controllers,
                 40,
@@ -41,10 +41,10 @@
             int n = i;
             w.at(
                     1_000L + (i - 20) * 2_000,
-                    () -> w.submit(
-                            SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
+                    () -> w.users.submit(
+                            SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
             if (i % 4 == 0) {
-                w.at(4_000L + (i - 20) * 2_000, () -> w.cancel(SimulatedCluster.id(n)));
+                w.at(4_000L + (i - 20) * 2_000, () -> w.users.cancel(SampleJobs.id(n)));
             }
         }
     }
@@ -59,11 +59,11 @@
                 w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
         w.restart(lost, back);
         w.sim.run(30_000 + back + 8_000);
-        assertEquals(12, w.rules.places.size(), "everything runs again long before a lease is over");
+        assertEquals(12, w.checker.places.size(), "everything runs again long before a lease is over");
         assertEquals(0, w.metric(w.leader(), "landingridge_lapses"));
         w.sim.run(90_000);
         kept(w);
-        assertEquals(12, w.rules.places.size());
+        assertEquals(12, w.checker.places.size());
     }
 
     @Test
@@ -88,7 +88,7 @@
         w.at(32_500, () -> w.leader().crash(100));
         w.sim.run(60_000);
         kept(w);
-        assertEquals(12, w.rules.places.size());
+        assertEquals(12, w.checker.places.size());
     }
 
     @ParameterizedTest
@@ -111,7 +111,7 @@
         w.sim.run(180_000);
         kept(w);
         for (int i = 20; i < 60; i++) {
-            String told = w.rules.told.get(SimulatedCluster.id(i));
+            String told = w.checker.told.get(SampleJobs.id(i));
             assertTrue("done".equals(told) || "cancelled".equals(told), "job " + i + " is " + told);
         }
     }
@@ -147,10 +147,10 @@
         w.workers.forEach(x -> w.sim.copied.put(x.box().id, 1.0));
         w.sim.copiedWithinMs = 40_000;
         for (int i = 0; i < 16; i++) {
-            w.submit(SimulatedCluster.job(60 + i, "blue", false, 1, 1, 60));
+            w.users.submit(SampleJobs.job(60 + i, "blue", false, 1, 1, 60));
         }
         for (int i = 0; i < 16; i++) {
-            String task = SimulatedCluster.id(60 + i) + "/0";
+            String task = SampleJobs.id(60 + i) + "/0";
             w.at(36_000 + i * 300L, () -> w.workers.forEach(x -> x.fail(task)));
         }
         w.sim.run(140_000);
@@ -173,7 +173,7 @@
         }
         w.sim.run(120_000);
         kept(w);
-        assertEquals(12, w.rules.places.size());
+        assertEquals(12, w.checker.places.size());
     }
 
     @Test
@@ -181,8 +181,8 @@
     void aRefusalComesLate() {
         SimulatedCluster w = world(445, 3);
         services(w, 12);
-        int starts = w.rules.starts;
-        SimulatedCluster.ControllerNode leader = w.leader();
+        int starts = w.checker.starts;
+        ControllerNode leader = w.leader();
         w.state.outage(true);
         String other = w.nodes.get((leader.index + 1) % 3).host.name;
         w.at(
@@ -192,7 +192,7 @@
         w.at(30_000 + 3 * LEASE_MS, () -> w.state.outage(false));
         w.sim.run(60_000 + 3 * LEASE_MS);
         kept(w);
-        assertEquals(starts, w.rules.starts, "nothing was lost");
+        assertEquals(starts, w.checker.starts, "nothing was lost");
     }
 
     @Test
@@ -200,8 +200,8 @@
     void aSignOfLifeOfThePast() {
         SimulatedCluster w = world(446, 3);
         services(w, 12);
-        int starts = w.rules.starts;
-        SimulatedCluster.ControllerNode leader = w.leader();
+        int starts = w.checker.starts;
+        ControllerNode leader = w.leader();
         w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id));
         w.nodes.stream().filter(n -> n != leader).forEach(n -> {
             PeerMessage late = new PeerMessage.Running(
@@ -219,7 +219,7 @@
         });
         w.sim.run(30_000 + 2 * LEASE_MS);
         kept(w);
-        assertEquals(starts, w.rules.starts, "no lease ran out");
+        assertEquals(starts, w.checker.starts, "no lease ran out");
     }
 
     @Test
@@ -227,9 +227,9 @@
     void aLeaderStandsStill() {
         SimulatedCluster w = world(450, 3);
         services(w, 12);
-        int starts = w.rules.starts;
+        int starts = w.checker.starts;
         int[] asked = new int[1];
-        w.rules.orders =
+        w.checker.orders =
                 (order, machine, attempt, pool, repeated) -> asked[0] += order == GroundTruth.Order.CALL ? 1 : 0;
         for (int i = 0; i < 6; i++) {
             w.at(31_000 + i * 5_290L, () -> w.leader().host.freeze(2_300));
@@ -237,7 +237,7 @@
         w.sim.run(80_000);
         assertEquals(0, asked[0], "machines that were asked for a silence that was the leader's own");
         kept(w);
-        assertEquals(starts, w.rules.starts, "nothing was run again");
+        assertEquals(starts, w.checker.starts, "nothing was run again");
         assertEquals(0, w.metric(w.leader(), "landingridge_settled"));
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
@@ -58,36 +58,38 @@
         SimulatedCluster w = new SimulatedCluster(7, 0);
         w.sim.observer = recorder;
         Simulation.Host visitor = w.sim.host("visitor");
-        w.ended(100_000, 300, 1);
+        HistorySeeds.jobKeys(w, 100_000, 300, 1);
         for (int i = 0; i < 4; i++) {
-            w.submit(SimulatedCluster.job(i, "blue", true, 2, 2, 0));
-            w.submit(SimulatedCluster.job(10 + i, "red", false, 6, 1, 8 + i));
+            w.users.submit(SampleJobs.job(i, "blue", true, 2, 2, 0));
+            w.users.submit(SampleJobs.job(10 + i, "red", false, 6, 1, 8 + i));
         }
-        w.submit(SimulatedCluster.job(20, "blue", false, 3, 1, 10));
-        w.submit(SimulatedCluster.job(21, "red", false, 2, 1, 60));
+        w.users.submit(SampleJobs.job(20, "blue", false, 3, 1, 10));
+        w.users.submit(SampleJobs.job(21, "red", false, 2, 1, 60));
         w.at(
                 12_000,
-                () -> w.submitWhenAwaitedAreAccepted(
-                        following(SimulatedCluster.job(22, "blue", false, 2, 1, 5), "job-000020")));
+                () -> w.users.submitWhenAwaitedAreAccepted(
+                        following(SampleJobs.job(22, "blue", false, 2, 1, 5), "job-000020")));
         w.at(
                 14_000,
-                () -> w.submitWhenAwaitedAreAccepted(
-                        following(SimulatedCluster.job(23, "blue", false, 2, 1, 5), "job-000021")));
-        w.at(25_000, () -> w.cancel("job-000021"));
+                () -> w.users.submitWhenAwaitedAreAccepted(
+                        following(SampleJobs.job(23, "blue", false, 2, 1, 5), "job-000021")));
+        w.at(25_000, () -> w.users.cancel("job-000021"));
         w.at(30_000, () -> w.workers.get(0).hang(true));
-        w.at(35_000, () -> w.cancel("job-000001"));
-        w.at(40_000, () -> w.configure(0, limit("red", 6), reply -> {}));
+        w.at(35_000, () -> w.users.cancel("job-000001"));
+        w.at(40_000, () -> w.users.configure(0, limit("red", 6), reply -> {}));
         w.at(45_000, () -> w.state.outage(true));
         w.at(55_000, () -> w.state.outage(false));
         w.at(62_000, () -> w.restart(w.workers.get(1), 500));
         w.at(CRASH_AT, () -> w.leader().crash(2_000));
         w.at(90_000, () -> w.refuse(w.leader(), 20_000));
         for (int i = 0; i < 12; i++) {
-            w.at(120_000 + i * 500L, () -> w.oddRequest());
+            w.at(120_000 + i * 500L, () -> w.users.oddRequest());
         }
         for (String path :
                 List.of("/ready", "/metrics", "/api/status", "/api/config", "/api/config/history", "/none")) {
-            w.at(130_000, () -> w.sim.client(visitor).call(w.nodeAddr(1), "GET", path, null, 1_000, reply -> {}));
+            w.at(
+                    130_000,
+                    () -> w.sim.client(visitor).call(ControllerNode.address(1), "GET", path, null, 1_000, reply -> {}));
         }
         return w;
     }
@@ -216,7 +218,7 @@
         JsonNode[] shown = new JsonNode[1];
         w.sim.client(w.sim.host("visitor"))
                 .call(
-                        w.nodeAddr(0),
+                        ControllerNode.address(0),
                         "GET",
                         "/api/jobs/" + id,
                         null,
--- a/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
@@ -18,8 +18,8 @@
     public static void main(String[] args) {
         int ended = Integer.parseInt(args[0]);
         SimulatedCluster w = new SimulatedCluster(1, 10);
-        SimulatedCluster.past(w.state, 0, ended);
-        SimulatedCluster.ControllerNode leader = null;
+        HistorySeeds.segments(w.state, 0, ended);
+        ControllerNode leader = null;
         while (leader == null || w.metric(leader, "landingridge_takeovers") != 1) {
             w.sim.run(w.sim.now + 10);
             leader = w.leader();
@@ -31,36 +31,36 @@
         // Old jobs, at the ends of the history and within: asked for, submitted once more, cancelled.
         for (int n : new int[] {0, 6, 7, 511, 512, ended / 2, ended - 2, ended - 1}) {
             boolean cancelled = n % 7 == 0;
-            String id = SimulatedCluster.id(n);
-            w.rules.specs.put(id, SimulatedCluster.job(n, "blue", false, 1 + n % 100, 1, 1));
-            w.rules.told.put(id, cancelled ? "cancelled" : "done");
+            String id = SampleJobs.id(n);
+            w.checker.specs.put(id, SampleJobs.job(n, "blue", false, 1 + n % 100, 1, 1));
+            w.checker.told.put(id, cancelled ? "cancelled" : "done");
             if (cancelled) {
-                w.rules.cancelAsked.add(id);
-                w.rules.cancelledAt.put(id, 0L);
+                w.checker.cancelAsked.add(id);
+                w.checker.cancelledAt.put(id, 0L);
             }
             for (int t = 0; t < 1 + n % 100; t++) {
-                w.rules.completed.add(id + "/" + t);
+                w.checker.completed.add(id + "/" + t);
             }
             for (int node = 0; node < 3; node++) {
-                w.askOnce(id, "poll", node);
-                w.askOnce(id, "submit", node);
-                w.askOnce(id, "cancel", node);
+                w.users.askOnce(id, "poll", node);
+                w.users.askOnce(id, "submit", node);
+                w.users.askOnce(id, "cancel", node);
             }
         }
         // New ones, and one that nobody submitted.
-        w.submit(SimulatedCluster.job(ended + 10, "red", false, 5, 1, 2));
-        w.submit(SimulatedCluster.job(ended + 20_000, "blue", true, 2, 1, 0));
-        w.at(20_000, () -> w.cancel(SimulatedCluster.id(ended + 20_000)));
-        w.poll(SimulatedCluster.id(ended + 30_000));
+        w.users.submit(SampleJobs.job(ended + 10, "red", false, 5, 1, 2));
+        w.users.submit(SampleJobs.job(ended + 20_000, "blue", true, 2, 1, 0));
+        w.at(20_000, () -> w.users.cancel(SampleJobs.id(ended + 20_000)));
+        w.users.poll(SampleJobs.id(ended + 30_000));
         w.sim.run(40_000);
-        if (!w.rules.broken.isEmpty()) {
-            throw new AssertionError(w.rules.broken.toString());
+        if (!w.checker.broken.isEmpty()) {
+            throw new AssertionError(w.checker.broken.toString());
         }
-        for (var expected : List.of(
-                SimulatedCluster.id(ended + 10) + "=done", SimulatedCluster.id(ended + 20_000) + "=cancelled")) {
+        for (var expected :
+                List.of(SampleJobs.id(ended + 10) + "=done", SampleJobs.id(ended + 20_000) + "=cancelled")) {
             String[] parts = expected.split("=");
-            if (!parts[1].equals(w.rules.told.get(parts[0]))) {
-                throw new AssertionError(parts[0] + " is " + w.rules.told.get(parts[0]));
+            if (!parts[1].equals(w.checker.told.get(parts[0]))) {
+                throw new AssertionError(parts[0] + " is " + w.checker.told.get(parts[0]));
             }
         }
         // The leader dies, and the next one leads as soon.
@@ -107,7 +107,7 @@
     @DisplayName(
             "10,000 machines that report for the first time stand on the roster within 15 s, at 40 changes a second")
     void theRosterKeepsUp() {
-        SimulatedCluster w = new SimulatedCluster(new SimulatedCluster.Setup(
+        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
                 5,
                 3,
                 10_000,
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -20,10 +20,10 @@
         w.cloud.capacity = 220;
         for (int i = 0; i < SERVICES; i++) {
             int n = i;
-            w.at(200 + i * 100L, () -> w.submit(SimulatedCluster.job(n, n % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
+            w.at(200 + i * 100L, () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
         }
         w.sim.run(45_000);
-        assertEquals(2 * SERVICES, w.rules.places.size(), "every replica runs before the trouble begins");
+        assertEquals(2 * SERVICES, w.checker.places.size(), "every replica runs before the trouble begins");
         assertTrue(w.workers.size() >= SERVICES, w.workers.size() + " machines");
         return w;
     }
@@ -34,9 +34,9 @@
             "a takeover of a large fleet loses no replica, although one machine hangs and two controllers are dead")
     void takeoverOfALargeFleet(long seed) {
         SimulatedCluster w = grown(seed);
-        int starts = w.rules.starts;
-        SimulatedCluster.ControllerNode leader = w.leader();
-        SimulatedCluster.ControllerNode other = w.nodes.get((leader.index + 1) % 7);
+        int starts = w.checker.starts;
+        ControllerNode leader = w.leader();
+        ControllerNode other = w.nodes.get((leader.index + 1) % 7);
         w.workers.get(3).hang(true);
         leader.crash(30_000);
         other.crash(30_000);
@@ -44,7 +44,7 @@
         w.workers.get(3).hang(false);
         w.sim.run(60_000);
         assertNotNull(w.leader());
-        assertEquals(starts, w.rules.starts, "nothing was lost, so nothing was started again");
+        assertEquals(starts, w.checker.starts, "nothing was lost, so nothing was started again");
         kept(w);
     }
 
@@ -52,10 +52,10 @@
     @DisplayName("all seven controllers crash: whoever is back first leads before the leases run out")
     void allCrash() {
         SimulatedCluster w = grown(211);
-        int starts = w.rules.starts;
+        int starts = w.checker.starts;
         w.nodes.forEach(n -> n.crash(2_000 + 150L * n.index));
         w.sim.run(65_000);
-        assertEquals(starts, w.rules.starts);
+        assertEquals(starts, w.checker.starts);
         kept(w);
     }
 
@@ -64,7 +64,7 @@
     void zoneCutBeyondTheLease() {
         SimulatedCluster w = grown(221);
         w.cloud.capacity = 500;
-        long until = 45_000 + 3 * SimulatedCluster.LEASE_MS + 12_000;
+        long until = 45_000 + 3 * ClusterSetup.LEASE_MS + 12_000;
         for (long t = 45_000; t < until; t += 500) {
             w.at(
                     t,
@@ -75,11 +75,11 @@
         w.sim.run(until);
         assertEquals(
                 2 * SERVICES,
-                w.rules.places.values().stream().filter(p -> p.endsWith("@b")).count(),
+                w.checker.places.values().stream().filter(p -> p.endsWith("@b")).count(),
                 "every replica runs in the zone that is left");
         w.sim.heal();
         w.sim.run(120_000);
-        assertEquals(2 * SERVICES, w.rules.places.size());
+        assertEquals(2 * SERVICES, w.checker.places.size());
         kept(w);
     }
 
@@ -104,20 +104,20 @@
         w.cloud.capacity = 150;
         for (int i = 0; i < 40; i++) {
             int n = i;
-            w.at(200 + i * 200L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 2, 0)));
+            w.at(200 + i * 200L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 2, 0)));
         }
         w.sim.run(30_000);
-        int starts = w.rules.starts;
-        SimulatedCluster.ControllerNode leader = w.leader();
+        int starts = w.checker.starts;
+        ControllerNode leader = w.leader();
         int takeovers = w.metric(leader, "landingridge_takeovers");
         // The settings say 200 requests and 20 changes a second: 240 jobs at once are twelve seconds' worth of changes.
         w.state.rps = 200;
         w.state.writeRps = 20;
         for (int i = 100; i < 340; i++) {
-            w.submit(SimulatedCluster.job(i, "red", false, 1, 0.5, 2));
+            w.users.submit(SampleJobs.job(i, "red", false, 1, 0.5, 2));
         }
         w.sim.run(32_000);
-        assertTrue(w.rules.told.size() < 240, "not all can be accepted at once");
+        assertTrue(w.checker.told.size() < 240, "not all can be accepted at once");
         int refused = w.nodes.stream()
                 .mapToInt(n -> w.metric(n, "landingridge_refused"))
                 .sum();
@@ -128,7 +128,7 @@
         assertEquals(leader, w.leader());
         assertEquals(takeovers, w.metric(leader, "landingridge_takeovers"), "the lead was kept throughout");
         assertEquals(0, w.metric(leader, "landingridge_lost"), "no lease ran out for it");
-        assertTrue(w.rules.starts >= starts + 240);
+        assertTrue(w.checker.starts >= starts + 240);
         kept(w);
     }
 
@@ -138,10 +138,10 @@
         w.cloud.capacity = services;
         for (int i = 0; i < services; i++) {
             int n = i;
-            w.at(200 + i * 100L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 4, 0)));
+            w.at(200 + i * 100L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
         }
         w.sim.run(60_000);
-        assertEquals(services, w.rules.places.size());
+        assertEquals(services, w.checker.places.size());
         int before = w.metric(w.leader(), "landingridge_busy_times_pass");
         w.sim.run(90_000);
         return w.metric(w.leader(), "landingridge_busy_times_pass") - before;
@@ -166,10 +166,10 @@
         SimulatedCluster w = new SimulatedCluster(251, 0, 3);
         long before = used();
         for (int i = 0; i < 20; i++) {
-            w.submit(SimulatedCluster.job(100 + i, "red", false, 100_000, 4, 5));
+            w.users.submit(SampleJobs.job(100 + i, "red", false, 100_000, 4, 5));
         }
-        w.submit(SimulatedCluster.job(1, "blue", true, 2, 1, 0));
-        w.submit(SimulatedCluster.job(2, "blue", false, 3, 1, 2));
+        w.users.submit(SampleJobs.job(1, "blue", true, 2, 1, 0));
+        w.users.submit(SampleJobs.job(2, "blue", false, 3, 1, 2));
         w.sim.run(60_000);
         long more = used() - before;
         assertTrue(more < 20, more + " MB more with 2,000,000 tasks");
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -20,7 +20,7 @@
     private SimulatedCluster w;
 
     private void world(long seed) {
-        w = new SimulatedCluster(new SimulatedCluster.Setup(
+        w = new SimulatedCluster(new ClusterSetup(
                 seed,
                 3,
                 40,
@@ -83,11 +83,11 @@
         w.at(30_000 + 10_500, () -> w.cloud.trouble = false);
         w.sim.run(30_000 + 10_400);
         assertTrue(
-                w.rules.places.containsValue(lost.box().id + "@" + lost.box().zone),
+                w.checker.places.containsValue(lost.box().id + "@" + lost.box().zone),
                 "nothing settles it but the cloud");
         w.sim.run(30_000 + 18_000);
         assertTrue(lost.box().deleted, "the cloud answers again");
-        assertEquals(12, w.rules.places.size());
+        assertEquals(12, w.checker.places.size());
         w.sim.heal();
         w.sim.run(90_000);
         kept();
@@ -122,7 +122,7 @@
         assertTrue(zone.stream().noneMatch(x -> x.box().deleted), "none is given back");
         w.sim.heal();
         w.sim.run(90_000);
-        assertEquals(16, w.rules.places.size());
+        assertEquals(16, w.checker.places.size());
         kept();
     }
 
@@ -165,7 +165,7 @@
         kept();
         w.sim.heal();
         w.sim.run(160_000);
-        assertEquals(16, w.rules.places.size());
+        assertEquals(16, w.checker.places.size());
         kept();
     }
 
@@ -193,12 +193,12 @@
     @DisplayName("a worker that has seen a later leader's token is not held by an answer that it drops")
     void aLaterToken() {
         services(6);
-        SimulatedCluster.ControllerNode leader = w.leader();
+        ControllerNode leader = w.leader();
         w.sim.cut(leader.host.name, "state");
         w.nodes.stream().filter(n -> n != leader).forEach(n -> w.sim.cut(leader.host.name, n.host.name));
         w.sim.run(70_000);
         assertNotEquals(leader, w.leader());
-        assertEquals(6, w.rules.places.size(), "no lease ran out");
+        assertEquals(6, w.checker.places.size(), "no lease ran out");
         w.sim.heal();
         w.sim.run(90_000);
         kept();
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -27,7 +27,7 @@
     private CommandAudit orders;
 
     private void world(long seed) {
-        w = new SimulatedCluster(new SimulatedCluster.Setup(
+        w = new SimulatedCluster(new ClusterSetup(
                 seed,
                 3,
                 60,
@@ -39,22 +39,22 @@
         orders = new CommandAudit(
                 () -> w.sim.now,
                 id -> w.workers.stream().anyMatch(x -> x.box().id.equals(id) && !x.hangs()),
-                w.rules.cancelAsked::contains);
+                w.checker.cancelAsked::contains);
         for (int i = 0; i < SERVICES; i++) {
             int n = i;
-            w.at(100 + i * 50L, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 3, 0)));
+            w.at(100 + i * 50L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 3, 0)));
         }
         for (int i = 100; i < 106; i++) {
             int n = i;
-            w.at(2_000 + (i - 100) * 4_000L, () -> w.submit(SimulatedCluster.job(n, "blue", false, 12, 1, 6)));
+            w.at(2_000 + (i - 100) * 4_000L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 12, 1, 6)));
         }
         w.sim.run(DOWN_AT);
         assertEquals(SERVICES, services());
     }
 
     private long services() {
-        return w.rules.places.keySet().stream()
-                .filter(t -> w.rules.specs.get(t.substring(0, t.indexOf('/'))).service())
+        return w.checker.places.keySet().stream()
+                .filter(t -> w.checker.specs.get(t.substring(0, t.indexOf('/'))).service())
                 .count();
     }
 
@@ -79,7 +79,7 @@
     }
 
     private void settled(int arrays) {
-        assertEquals(List.of(), w.rules.broken);
+        assertEquals(List.of(), w.checker.broken);
         assertEquals(0, w.state.tooLarge);
         assertEquals(SERVICES, services());
         assertEquals(arrays, w.over("done"));
@@ -159,9 +159,9 @@
                                                 .<ObjectNode>deepCopy()
                                                 .put(silent.box().id, "half a row");
                                 })));
-        w.at(DOWN_AT + 12_000, () -> w.submit(SimulatedCluster.job(200, "blue", false, 3, 1, 2)));
+        w.at(DOWN_AT + 12_000, () -> w.users.submit(SampleJobs.job(200, "blue", false, 3, 1, 2)));
         w.sim.run(DOWN_AT + 20_000);
-        assertEquals("done", w.rules.told.get("job-000200"), "what is new goes on");
+        assertEquals("done", w.checker.told.get("job-000200"), "what is new goes on");
         w.sim.run(120_000);
         settled(7);
         assertTrue(
@@ -173,7 +173,7 @@
     @Test
     @DisplayName("a first start rents nothing for work that machines up but in no list can take")
     void firstStart() {
-        w = new SimulatedCluster(new SimulatedCluster.Setup(
+        w = new SimulatedCluster(new ClusterSetup(
                 31,
                 3,
                 60,
@@ -188,16 +188,16 @@
         }
         w.cloud.bootMs = 3_000;
         orders = new CommandAudit(() -> w.sim.now, id -> true, id -> false);
-        w.rules.orders = orders;
+        w.checker.orders = orders;
         for (int i = 0; i < 24; i++) {
             int n = i;
-            w.at(400, () -> w.submit(SimulatedCluster.job(n, "blue", true, 1, 3, 0)));
+            w.at(400, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 3, 0)));
         }
         // The first reports come a little after the election, when the jobs are there already.
         w.at(50, () -> w.workers.forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
         w.at(1_200, w.sim::heal);
         w.sim.run(12_000);
-        assertEquals(24, w.rules.places.size());
+        assertEquals(24, w.checker.places.size());
         assertEquals(0, orders.counts().get(Order.RENT).sum(), "rents");
         assertEquals(0, orders.counts().get(Order.GIVE_BACK).sum(), "give-backs");
         assertTrue(orders.counts().get(Order.START).busiest() >= 10, "the orders are counted");
@@ -207,7 +207,7 @@
     @DisplayName("after a recovery no order is repeated, and nothing that was started is stopped again")
     void ordersAfterARecovery() {
         world(41);
-        w.rules.orders = orders;
+        w.checker.orders = orders;
         down(25_000);
         w.at(DOWN_AT + 1_000, this::lose);
         w.sim.run(DOWN_AT + 40_000);
