--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
@@ -40,6 +40,7 @@
     static final int FIRST_JOB = 100_000;
 
     private static final int LAST_POLL_S = 15;
+    private static final long STEP_MS = 100;
     /** After the last trouble the cluster has so long to calm down before it is judged whether anybody waits beside free room. */
     private static final int CALM_S = 2;
 
@@ -96,36 +97,54 @@
 
     private Outcome run(long seed, boolean weigh) {
         long began = System.nanoTime();
+        seedHistory();
+        startMachines();
+        cluster.enforceLimits();
+        workload.schedule();
+        faults.schedule(seed);
+        long lastPollMs = (plan.durationS() - LAST_POLL_S) * 1_000L;
+        cluster.at(lastPollMs, this::askForAll);
+        advance();
+        cluster.checker.unanswered(lastPollMs, ids);
+        long leaderKb = weigh ? new LeaderMemory(cluster, measurements).leaderKb() : 0;
+        return outcome(seed, leaderKb, began);
+    }
+
+    private void seedHistory() {
         if (plan.form() == HistoryBenchmark.Form.SEGMENTS) {
             HistorySeeds.segments(cluster.state, FIRST_JOB, plan.ended());
         } else {
             HistoryBenchmark.seed(cluster.state, plan.form(), plan.ended());
         }
-        // Up means up: they were rented long before, although the lists, which lag, do not name them yet.
+    }
+
+    /** Machines that are up at the start were rented long before, although the lists, which lag, do not name them yet. */
+    private void startMachines() {
         cluster.cloud.bootMs = 0;
         for (int i = 0; i < plan.up(); i++) {
             cluster.cloud.rent(i % 2 == 0 ? "a" : "b", false);
         }
         cluster.cloud.bootMs = Math.round(plan.bootS() * 1000);
-        cluster.enforceLimits();
-        workload.schedule();
-        faults.schedule(seed);
-        cluster.at((plan.durationS() - LAST_POLL_S) * 1_000L, this::askForAll);
+    }
+
+    /** Lets simulated time pass to the end of the run. */
+    private void advance() {
         long end = plan.durationS() * 1000L;
-        StarvationCheck waiting = new StarvationCheck(cluster);
+        StarvationCheck starvation = new StarvationCheck(cluster);
         double calmS = plan.meetings().untilS() + plan.cancelS() + CALM_S;
-        for (long t = 100; t <= end; t += 100) {
+        for (long t = STEP_MS; t <= end; t += STEP_MS) {
             cluster.sim.run(t);
             measurements.watchLeader(t);
             if (t % 1_000 == 0) {
                 measurements.sample((int) (t / 1_000));
                 if (plan.meetings().count() > 0 && t >= calmS * 1_000) {
-                    waiting.look();
+                    starvation.look();
                 }
             }
         }
-        cluster.checker.unanswered((plan.durationS() - LAST_POLL_S) * 1_000L, ids);
-        long leaderKb = weigh ? new LeaderMemory(cluster, measurements).leaderKb() : 0;
+    }
+
+    private Outcome outcome(long seed, long leaderKb, long beganNanos) {
         return new Outcome(
                 seed,
                 List.copyOf(cluster.checker.broken),
@@ -144,6 +163,6 @@
                 cluster.state.requests(),
                 cluster.state.mostWrites,
                 leaderKb,
-                (System.nanoTime() - began) / 1e9);
+                (System.nanoTime() - beganNanos) / 1e9);
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
+++ b/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
@@ -46,8 +46,10 @@
 
     /** Has a fault begin now; it ends by itself after its time. */
     void begin(Experiment.Fault fault) {
-        ControllerNode leader = cluster.leader();
-        long forMs = Math.round(fault.forS() * 1000);
+        begin(fault, cluster.leader(), Math.round(fault.forS() * 1000));
+    }
+
+    private void begin(Experiment.Fault fault, ControllerNode leader, long forMs) {
         switch (fault.kind()) {
             case CRASH_LEADER -> crashLeader(leader, forMs);
             case CRASH_ALL -> crashAll(forMs);
--- a/experiment/src/main/java/org/landingridge/experiment/Workload.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Workload.java
@@ -73,28 +73,7 @@
             List<String> made = new ArrayList<>();
             int jobs = s.jobsMin() + random.nextInt(s.jobsMax() - s.jobsMin() + 1);
             for (int i = 0; i < jobs; i++) {
-                JobSpec spec = new JobSpec(
-                                SampleJobs.id(number++),
-                                s.jobClass(),
-                                p.team(),
-                                false,
-                                s.priority(),
-                                s.tasksMin() + random.nextInt(s.tasksMax() - s.tasksMin() + 1),
-                                s.cpus(),
-                                0,
-                                s.cpus(),
-                                "img-" + random.nextInt(4),
-                                0.3,
-                                null,
-                                null,
-                                false,
-                                false,
-                                true,
-                                s.runS() * (0.5 + random.nextDouble()),
-                                0,
-                                0,
-                                null)
-                        .awaiting(awaited);
+                JobSpec spec = stageJob(p.team(), s).awaiting(awaited);
                 made.add(spec.id());
                 ids.add(spec.id());
                 cluster.at(atMs, () -> cluster.users.submitWhenAwaitedAreAccepted(spec));
@@ -144,4 +123,29 @@
         demand.asked(spec, atMs / 1_000.0);
         cluster.at(atMs, () -> cluster.users.submit(spec));
     }
+
+    /** One job of a stage, which awaits none yet. */
+    private JobSpec stageJob(String team, Experiment.Stage stage) {
+        return new JobSpec(
+                SampleJobs.id(number++),
+                stage.jobClass(),
+                team,
+                false,
+                stage.priority(),
+                stage.tasksMin() + random.nextInt(stage.tasksMax() - stage.tasksMin() + 1),
+                stage.cpus(),
+                0,
+                stage.cpus(),
+                "img-" + random.nextInt(4),
+                0.3,
+                null,
+                null,
+                false,
+                false,
+                true,
+                stage.runS() * (0.5 + random.nextDouble()),
+                0,
+                0,
+                null);
+    }
 }
