--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -8,6 +8,7 @@
 import org.landingridge.controller.history.History;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.store.StateClient;
@@ -62,7 +63,7 @@
         barrier(
                 finding,
                 () -> here(id, finding, () -> {
-                    if (!table.partial()) {
+                    if (!table.terminated().partial()) {
                         finding.absent();
                         return;
                     }
@@ -70,8 +71,10 @@
                     // have moved
                     // since the history was looked at, so that is looked at again, past another barrier.
                     client.get(Keys.JOBS + id, answer -> {
-                        TerminatedJob ended =
-                                answer.ok() ? JobTable.ended(answer.body().path("data")) : null;
+                        TerminatedJob ended = answer.ok()
+                                ? StoredJobCodec.termination(answer.body().path("data"))
+                                        .orElse(null)
+                                : null;
                         if (ended != null) {
                             finding.over(ended);
                         } else if (answer.status() == Status.NOT_FOUND) {
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -10,6 +10,7 @@
 import org.landingridge.controller.history.SegmentAddress;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.controller.liveconfig.ConfigurationView;
 import org.landingridge.controller.liveconfig.ConfiguredTeam;
@@ -119,7 +120,7 @@
         } else if (types.isEmpty()) {
             busy(exchange, "the machine types are not known yet");
         } else if (spec.awaits().isEmpty()) {
-            accept(exchange, spec, JobTable.accepted(spec, loop.timeOfDay()), 0);
+            accept(exchange, spec, StoredJobCodec.accepted(spec, loop.timeOfDay()), 0);
         } else if (!pipelines.getAsBoolean()) {
             // A leader of an earlier version would start its tasks at once.
             busy(exchange, "not every controller knows yet that jobs can await others");
@@ -202,10 +203,10 @@
             } else if (unavailable != null) {
                 busy(exchange, unavailable);
             } else if (cancelled) {
-                accept(exchange, spec, JobTable.cancelled(spec), 0);
+                accept(exchange, spec, StoredJobCodec.cancelled(spec), 0);
             } else {
                 JobSpec waiting = spec.awaiting(unfinished);
-                accept(exchange, waiting, JobTable.accepted(waiting, loop.timeOfDay()), 0);
+                accept(exchange, waiting, StoredJobCodec.accepted(waiting, loop.timeOfDay()), 0);
             }
         }
 
@@ -233,7 +234,7 @@
                 || team.gpusMax() > 0 && spec.gpus() * together > team.gpusMax() + 1e-6) {
             return "the job needs more than the limit of team " + spec.team();
         }
-        if (Json.bytes(JobTable.accepted(spec, loop.timeOfDay())).length
+        if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length
                 > settings.stateLimits().valueBytes()) {
             return "its description takes more than the "
                     + settings.stateLimits().valueBytes() + " bytes that can be stored";
@@ -284,7 +285,8 @@
                                 watchCache.committed(key, answer.revision());
                                 table.changed(spec.id(), record, answer.revision());
                             }
-                            boolean cancelled = JobTable.ended(record) != null;
+                            boolean cancelled =
+                                    StoredJobCodec.termination(record).isPresent();
                             exchange.answer(201, describe(spec.id(), cancelled ? "cancelled" : "queued", 0, 0));
                         }
                         case CONFLICT -> conflict(exchange, spec, record, tries);
@@ -349,7 +351,7 @@
 
     private void cancel(Exchange exchange, Job job, int tries) {
         String key = Keys.JOBS + job.id();
-        ObjectNode value = JobTable.ended(job, Job.Status.CANCELLED);
+        ObjectNode value = StoredJobCodec.terminated(job, Job.Status.CANCELLED);
         client.commit(List.of(new Guard(key, watchCache.version(key))), List.of(new Write(key, value, 0)), answer -> {
             if (answer.ok()) {
                 watchCache.committed(key, answer.revision());
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -11,6 +11,7 @@
 import java.util.function.LongSupplier;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.controller.observability.Metrics;
 import org.landingridge.controller.settings.Settings;
@@ -205,7 +206,7 @@
         Map<String, List<Candidate>> batch = batch();
         if (!batch.isEmpty()) {
             read(batch, new HashMap<>());
-        } else if (table.partial() && strays.size() < MOST_STRAYS && loop.now() >= scanNotBefore) {
+        } else if (table.terminated().partial() && strays.size() < MOST_STRAYS && loop.now() >= scanNotBefore) {
             scan();
         } else {
             idle(IDLE_MS);
@@ -232,7 +233,7 @@
     private Map<String, List<Candidate>> batch() {
         long now = loop.now();
         Map<String, List<Candidate>> batch = new LinkedHashMap<>();
-        int surplus = table.ended().size() - KEPT;
+        int surplus = table.terminated().all().size() - KEPT;
         // A few more are waited for: each transaction wakes every controller's watch, however little it moves.
         if (surplus < maxOps / 2 && strays.isEmpty()) {
             return batch;
@@ -245,13 +246,14 @@
                 ops += add(batch, c, maxOps - ops);
             }
         }
-        for (Job job : table.ended()) {
+        for (Job job : table.terminated().all()) {
             if (ops >= maxOps || now - job.endedAt() < MIN_AGE_MS) {
                 break;
             }
             long version = watchCache.version(Keys.JOBS + job.id());
             // What is not in the mirror yet may name the job: a move is thought out on all that came before its end.
-            if (version > watchCache.revision() || table.unstored().contains(job)) {
+            if (version > watchCache.revision()
+                    || table.terminated().unpersisted().contains(job)) {
                 continue;
             }
             boolean due = surplus-- > 0
@@ -425,7 +427,7 @@
         to(State.SCANNING);
         if (scanFrom == null) {
             strayInPass = false;
-            droppedAtStart = table.dropped();
+            droppedAtStart = table.terminated().evictions();
         }
         client.list(Keys.JOBS, scanFrom, SCAN_PAGE, answer -> {
             if (state != State.SCANNING) {
@@ -439,7 +441,7 @@
             for (JsonNode e : page) {
                 scanFrom = Json.text(e, "key");
                 String id = scanFrom.substring(Keys.JOBS.length());
-                TerminatedJob ended = JobTable.ended(e.path("data"));
+                TerminatedJob ended = StoredJobCodec.termination(e.path("data")).orElse(null);
                 if (ended != null && table.get(id) == null) {
                     strayInPass = true;
                     // Those that cannot move would fill the table, and keep all others from moving.
@@ -453,8 +455,8 @@
             if (!Json.flag(answer.body(), "more")) {
                 scanFrom = null;
                 scanNotBefore = strays.isEmpty() ? loop.now() + RESCAN_MS : 0;
-                if (!strayInPass && droppedAtStart == table.dropped()) {
-                    table.complete();
+                if (!strayInPass && droppedAtStart == table.terminated().evictions()) {
+                    table.terminated().complete();
                 }
             }
             idle(SCAN_PAUSE_MS);
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -349,7 +349,7 @@
     public Set<String> needed() {
         Set<String> ids = fleet.jobsOnMachines();
         table.active().forEach(job -> ids.addAll(job.spec().awaits()));
-        table.unstored().forEach(job -> ids.addAll(job.spec().awaits()));
+        table.terminated().unpersisted().forEach(job -> ids.addAll(job.spec().awaits()));
         return ids;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/progress/Cancellations.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/Cancellations.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Document;
 import org.landingridge.controller.store.Keys;
@@ -25,8 +26,8 @@
 
     /** Has every end written that is derived and not stored yet. */
     public void write() {
-        marked.retainAll(table.unstored());
-        for (Job job : table.unstored()) {
+        marked.retainAll(table.terminated().unpersisted());
+        for (Job job : table.terminated().unpersisted()) {
             if (marked.add(job)) {
                 writer.mark(new Cancellation(job));
             }
@@ -47,12 +48,12 @@
 
         @Override
         public JsonNode render() {
-            return JobTable.ended(job, Job.Status.CANCELLED);
+            return StoredJobCodec.terminated(job, Job.Status.CANCELLED);
         }
 
         @Override
         public void stored(long revision) {
-            table.stored(job);
+            table.terminated().persisted(job);
         }
 
         /** After everything that somebody waits for. */
@@ -63,7 +64,7 @@
 
         @Override
         public boolean wanted() {
-            return table.unstored().contains(job);
+            return table.terminated().unpersisted().contains(job);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/progress/Progress.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/Progress.java
@@ -12,6 +12,7 @@
 import org.landingridge.controller.fleet.Task;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Document;
 import org.landingridge.controller.store.Page;
@@ -200,7 +201,7 @@
 
         @Override
         public JsonNode render() {
-            return JobTable.ended(job.job(), Job.Status.DONE);
+            return StoredJobCodec.terminated(job.job(), Job.Status.DONE);
         }
 
         @Override
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -21,6 +21,7 @@
 import org.landingridge.controller.jobs.CancellationLog;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.net.EventLoop;
@@ -128,7 +129,7 @@
     private static void cancel(JobTable table, long revision) {
         JobSpec spec = spec(revision);
         if (table.get(spec.id()) == null) {
-            table.changed(spec.id(), JobTable.accepted(spec, 0), 1);
+            table.changed(spec.id(), StoredJobCodec.accepted(spec, 0), 1);
         }
         table.end(table.get(spec.id()), Job.Status.CANCELLED, 1, revision, true);
     }
@@ -268,7 +269,7 @@
     void foretold() {
         JobTable table = new JobTable(loop::now, id -> {});
         table.cancelled("job-000009", 9);
-        table.changed("job-000009", JobTable.accepted(spec(9), 0), 5);
+        table.changed("job-000009", StoredJobCodec.accepted(spec(9), 0), 5);
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
         assertEquals(List.of(), table.active());
         assertEquals(
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -124,7 +124,9 @@
     /** Looks up what a table does not keep, as the controllers do. */
     private void resolve(JobTable table) {
         for (String id : table.unresolved()) {
-            TerminatedJob ended = model.keys.containsKey(id) ? JobTable.ended(model.keys.get(id)) : null;
+            TerminatedJob ended = model.keys.containsKey(id)
+                    ? StoredJobCodec.termination(model.keys.get(id)).orElse(null)
+                    : null;
             table.resolved(id, ended != null ? ended.how() : model.history.get(id), model.revision);
         }
     }
@@ -143,7 +145,8 @@
                 } else if (job != null) {
                     assertEquals(model.done.contains(id) ? Job.Status.DONE : Job.Status.CANCELLED, job.status(), id);
                 } else {
-                    boolean stored = model.history.containsKey(id) || JobTable.ended(model.keys.get(id)) != null;
+                    boolean stored = model.history.containsKey(id)
+                            || StoredJobCodec.termination(model.keys.get(id)).isPresent();
                     assertTrue(stored, id + " is kept until its key states its end");
                 }
             }
@@ -179,8 +182,8 @@
         model.store(
                 id,
                 cancelled
-                        ? JobTable.cancelled(model.specs.get(id))
-                        : JobTable.accepted(model.specs.get(id).awaiting(unfinished), 0));
+                        ? StoredJobCodec.cancelled(model.specs.get(id))
+                        : StoredJobCodec.accepted(model.specs.get(id).awaiting(unfinished), 0));
         tell(id);
     }
 
@@ -191,7 +194,7 @@
                 String id = pick(those(i -> !model.isOver(i) && model.isReady(i)));
                 if (id != null) {
                     model.done.add(id);
-                    model.store(id, JobTable.ended(tables.get(0).get(id), Job.Status.DONE));
+                    model.store(id, StoredJobCodec.terminated(tables.get(0).get(id), Job.Status.DONE));
                     tell(id);
                 }
             }
@@ -199,20 +202,25 @@
                 String id = pick(those(i -> !model.isOver(i)));
                 if (id != null && random.nextInt(5) == 0) {
                     model.cancelled.add(id);
-                    model.store(id, JobTable.ended(tables.get(0).get(id), Job.Status.CANCELLED));
+                    model.store(id, StoredJobCodec.terminated(tables.get(0).get(id), Job.Status.CANCELLED));
                     tell(id);
                 }
             }
             case 6 -> {
                 // The leader writes what follows, and moves what has ended into the history.
-                for (Job job : List.copyOf(tables.get(0).unstored())) {
-                    model.store(job.id(), JobTable.ended(job, Job.Status.CANCELLED));
+                for (Job job : List.copyOf(tables.get(0).terminated().unpersisted())) {
+                    model.store(job.id(), StoredJobCodec.terminated(job, Job.Status.CANCELLED));
                     tell(job.id());
                 }
-                String id = pick(those(i ->
-                        model.isOver(i) && model.keys.containsKey(i) && JobTable.ended(model.keys.get(i)) != null));
+                String id = pick(those(i -> model.isOver(i)
+                        && model.keys.containsKey(i)
+                        && StoredJobCodec.termination(model.keys.get(i)).isPresent()));
                 if (id != null) {
-                    model.history.put(id, JobTable.ended(model.keys.get(id)).how());
+                    model.history.put(
+                            id,
+                            StoredJobCodec.termination(model.keys.get(id))
+                                    .orElseThrow()
+                                    .how());
                     model.store(id, null);
                     tell(id);
                 }
@@ -242,11 +250,12 @@
         int length = 20_000;
         for (int i = 0; i < length; i++) {
             String id = "job-" + i;
-            table.changed(id, JobTable.accepted(spec(id, i == 0 ? List.of() : List.of("job-" + (i - 1))), 0), i + 1);
+            table.changed(
+                    id, StoredJobCodec.accepted(spec(id, i == 0 ? List.of() : List.of("job-" + (i - 1))), 0), i + 1);
         }
         table.cancelled("job-0", length + 1);
         assertEquals(0, table.active().size());
-        assertEquals(length, table.unstored().size());
+        assertEquals(length, table.terminated().unpersisted().size());
         assertTrue(table.endings().count() == length, "every one can be vouched for");
     }
 
@@ -254,7 +263,7 @@
     @Test
     void anUnknownEndIsWaitedFor() {
         JobTable table = table();
-        table.changed("job-2", JobTable.accepted(spec("job-2", List.of("job-1")), 0), 2);
+        table.changed("job-2", StoredJobCodec.accepted(spec("job-2", List.of("job-1")), 0), 2);
         Job job = table.get("job-2");
         assertFalse(job.ready());
         assertTrue(table.unresolved(job));
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.upgrade.Capabilities;
@@ -215,7 +215,7 @@
         SimulatedCluster.past(w.state, 500_000, 8);
         JobSpec waiting =
                 SimulatedCluster.job(9, "blue", false, 1, 1, 1).awaiting(List.of(SimulatedCluster.id(500_000)));
-        w.state.seed(Keys.JOBS + waiting.id(), JobTable.accepted(waiting, 0));
+        w.state.seed(Keys.JOBS + waiting.id(), StoredJobCodec.accepted(waiting, 0));
         w.rules.specs.put(waiting.id(), waiting);
         w.rules.cancelAsked.add(waiting.id());
         for (long t = 200; t < 3_000; t += 20) {
