--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/history/Candidate.java
@@ -0,0 +1,14 @@
+package org.landingridge.controller.history;
+
+import org.landingridge.controller.jobs.TerminatedJob;
+
+/**
+ * A terminated job that may be moved into the history.
+ *
+ * @param version of the job's own key
+ */
+record Candidate(String id, long version, TerminatedJob end) {
+    SegmentAddress address() {
+        return SegmentAddress.of(id);
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -19,7 +19,7 @@
 /**
  * How the jobs of one range of ids ended. Never changed in place; a job's end, once in, stays as it is.
  *
- * <p>Stored as one record, in base64: a byte for the form, two bits a job (0 not here, 1 done, 2 cancelled), for each
+ * <p>Stored as one record, in base64: a byte for the format, two bits a job (0 not here, 1 done, 2 cancelled), for each
  * done job its number of tasks in as many bytes of seven bits as it needs, and a CRC-32 of all that. 512 jobs of
  * 100,000 tasks each take 1,669 bytes, 2,228 characters. Where the state service's values hold less, a segment that would outgrow
  * them takes no more jobs ({@link Compactor}).
@@ -28,10 +28,12 @@
     /** Ids to a segment. */
     public static final int JOBS = 512;
     /** A value that holds any segment, in bytes. */
-    public static final int MOST_BYTES = 2_300;
+    public static final int MAX_BYTES = 2_300;
 
+    /** The segment that no job is in yet. */
     public static final Segment EMPTY = new Segment(new byte[JOBS / 4], new byte[0]);
-    private static final int FORM = 1;
+
+    private static final int FORMAT = 1;
     private static final int DONE = 1;
     private static final int CANCELLED = 2;
     private static final String FIELD = "ended";
@@ -53,7 +55,11 @@
         };
     }
 
-    /** This segment and more jobs, by offset. One that is here already must have ended the same way. */
+    /**
+     * This segment and more jobs, by offset.
+     *
+     * @throws IllegalStateException if one is here already with another end
+     */
     public Segment with(Map<Integer, TerminatedJob> more) {
         byte[] next = states.clone();
         int[] counts = counts();
@@ -62,34 +68,38 @@
             if (before != null && !before.equals(ended)) {
                 throw new IllegalStateException("offset " + offset + " is " + before + " and would become " + ended);
             }
-            next[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << offset % 4 * 2);
+            next[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
             counts[offset] = ended.tasks();
         });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int i = 0; i < JOBS; i++) {
-            if ((next[i / 4] >> i % 4 * 2 & 3) == DONE) {
-                int n = counts[i];
-                while (n > 0x7f) {
-                    out.write(n & 0x7f | 0x80);
-                    n >>>= 7;
-                }
-                out.write(n);
+            if ((next[i / 4] >> (i % 4 * 2) & 3) == DONE) {
+                writeVarint(out, counts[i]);
             }
         }
         return new Segment(next, out.toByteArray());
     }
 
+    private static void writeVarint(ByteArrayOutputStream out, int number) {
+        int left = number;
+        while (left > 0x7f) {
+            out.write((left & 0x7f) | 0x80);
+            left >>>= 7;
+        }
+        out.write(left);
+    }
+
     /** How many jobs are here. */
     public int size() {
-        int n = 0;
+        int size = 0;
         for (int i = 0; i < JOBS; i++) {
-            n += state(i) == 0 ? 0 : 1;
+            size += state(i) == 0 ? 0 : 1;
         }
-        return n;
+        return size;
     }
 
     private int state(int offset) {
-        return states[offset / 4] >> offset % 4 * 2 & 3;
+        return states[offset / 4] >> (offset % 4 * 2) & 3;
     }
 
     private int[] counts() {
@@ -113,17 +123,21 @@
     public JsonNode json() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(FORM);
+            out.writeByte(FORMAT);
             out.write(states);
             out.write(tasks);
             out.writeInt(crc(bytes.toByteArray(), bytes.size()));
         } catch (IOException e) {
-            throw new UncheckedIOException("a byte array takes everything", e);
+            throw new UncheckedIOException("writing to a byte array cannot fail", e);
         }
         return Json.object().put(FIELD, Base64.getEncoder().encodeToString(bytes.toByteArray()));
     }
 
-    /** Reads a stored value back; whatever it cannot read in full it refuses, and says why. */
+    /**
+     * Reads a stored value back.
+     *
+     * @throws InvalidMessageException if any part of the value cannot be read
+     */
     public static Segment read(JsonNode value) throws InvalidMessageException {
         String text = value == null ? null : Json.text(value, FIELD);
         if (text == null) {
@@ -140,20 +154,20 @@
             throw new InvalidMessageException("it has only " + all.length + " bytes");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(all))) {
-            int form = in.readUnsignedByte();
+            int format = in.readUnsignedByte();
             byte[] states = in.readNBytes(JOBS / 4);
             byte[] tasks = in.readNBytes(body - 1 - states.length);
             if (in.readInt() != crc(all, body)) {
                 throw new InvalidMessageException("its checksum is wrong");
             }
-            if (form != FORM) {
-                throw new InvalidMessageException("its form is " + form + ", this version reads " + FORM);
+            if (format != FORMAT) {
+                throw new InvalidMessageException("its form is " + format + ", this version reads " + FORMAT);
             }
             Segment segment = new Segment(states, tasks);
             segment.check();
             return segment;
         } catch (IOException e) {
-            throw new UncheckedIOException("a byte array fails no read", e);
+            throw new UncheckedIOException("reading from a byte array cannot fail", e);
         }
     }
 
@@ -187,7 +201,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Segment s && Arrays.equals(states, s.states) && Arrays.equals(tasks, s.tasks);
+        return other instanceof Segment segment
+                && Arrays.equals(states, segment.states)
+                && Arrays.equals(tasks, segment.tasks);
     }
 
     @Override
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -134,7 +134,7 @@
         return running;
     }
 
-    /** @param count tasks that run, as the leader says */
+    /** Sets how many tasks run, as the leader says. */
     public void running(int count) {
         running = count;
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -83,7 +83,7 @@
         this.terminated = new TerminatedJobs(retained);
     }
 
-    /** @param newListener replaces the one before; null for none */
+    /** Replaces the listener; null for none. */
     public void listener(Listener newListener) {
         listener = newListener;
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
@@ -9,7 +9,7 @@
 public record TerminatedJob(Job.Status how, int tasks) {
     /** @throws IllegalArgumentException if the job has not ended, or its end is not known */
     public TerminatedJob {
-        if (how != Job.Status.DONE && how != Job.Status.CANCELLED || tasks < 0) {
+        if ((how != Job.Status.DONE && how != Job.Status.CANCELLED) || tasks < 0) {
             throw new IllegalArgumentException(how + " with " + tasks + " tasks is no end");
         }
         tasks = how == Job.Status.DONE ? tasks : 0;
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -149,13 +149,14 @@
         registry.splitOversized();
         progress.splitOversized();
         compactor = new Compactor(
-                context.client(),
-                context.watchCache(),
-                loop,
-                table,
-                context.history(),
-                context.capabilities(),
-                context.metrics(),
+                new Compactor.Dependencies(
+                        context.client(),
+                        context.watchCache(),
+                        loop,
+                        table,
+                        context.history(),
+                        context.capabilities(),
+                        context.metrics()),
                 this,
                 lead::writeGuard,
                 settings.stateLimits(),
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -53,13 +53,7 @@
         history[0] = new History(client, watchCache, metrics);
         capabilities[0] = new Capabilities(client, watchCache, host, name, List.of("a", "b"));
         Compactor compactor = new Compactor(
-                client,
-                watchCache,
-                host,
-                table,
-                history[0],
-                capabilities[0],
-                metrics,
+                new Compactor.Dependencies(client, watchCache, host, table, history[0], capabilities[0], metrics),
                 new Compactor.Owner() {
                     @Override
                     public boolean mayAct() {
