--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -30,7 +30,7 @@
 import org.landingridge.controller.peer.HeartbeatForwarder;
 import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.peer.PeerTransport;
-import org.landingridge.controller.progress.Progress;
+import org.landingridge.controller.progress.CompletionStore;
 import org.landingridge.controller.settings.Policy;
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.BatchWriter;
@@ -310,8 +310,8 @@
                 documents.put(key, value);
                 seenAt.put(key, loop.now());
             }
-            if (key.startsWith(Keys.ROOT + Progress.PREFIX)) {
-                Progress.read(value, table);
+            if (key.startsWith(Keys.ROOT + CompletionStore.PREFIX)) {
+                CompletionStore.read(value, table);
             }
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -20,8 +20,8 @@
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
 import org.landingridge.controller.observability.ActivityTimer.Part;
-import org.landingridge.controller.progress.Cancellations;
-import org.landingridge.controller.progress.Progress;
+import org.landingridge.controller.progress.CancellationWriter;
+import org.landingridge.controller.progress.CompletionStore;
 import org.landingridge.controller.recovery.ObservationWindow;
 import org.landingridge.controller.scheduling.Scheduler;
 import org.landingridge.controller.settings.Policy;
@@ -39,7 +39,7 @@
  * at each election and dropped whole when the lead ends.
  */
 public final class LeaderTerm
-        implements Fleet.Events, Operations.Events, Progress.Events, JobTable.Listener, Compactor.Owner {
+        implements Fleet.Events, Operations.Events, CompletionStore.Events, JobTable.Listener, Compactor.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long PASS_MS = 25;
     /** A pass looks at every machine and job: the pause before it grows by a millisecond for so many of them. */
@@ -56,8 +56,8 @@
     private final JobTable table;
     private final Fleet fleet;
     private final MachineRegistry registry;
-    private final Progress progress;
-    private final Cancellations cancellations;
+    private final CompletionStore progress;
+    private final CancellationWriter cancellations;
     private final Operations operations;
     private final Compactor compactor;
     private final RuntimeForecast forecast;
@@ -102,8 +102,9 @@
         context.incidents().record("this controller took the lead under token " + lead.token());
         registry =
                 new MachineRegistry(root, writer, fleet, settings.stateLimits().valueBytes());
-        progress = new Progress(root, Keys.JOBS, writer, settings.stateLimits().valueBytes(), this);
-        cancellations = new Cancellations(writer, table);
+        progress = new CompletionStore(
+                root, Keys.JOBS, writer, settings.stateLimits().valueBytes(), this);
+        cancellations = new CancellationWriter(writer, table);
         operations = new Operations(
                 loop,
                 context.random(),
@@ -118,8 +119,8 @@
         // unless
         // they are looked at once more, it starts all of a job's tasks again.
         stored.forEach((key, value) -> {
-            if (key.startsWith(root + Progress.PREFIX)) {
-                Progress.read(value, table);
+            if (key.startsWith(root + CompletionStore.PREFIX)) {
+                CompletionStore.read(value, table);
             }
         });
         for (Job job : table.active()) {
@@ -128,7 +129,7 @@
         stored.forEach((key, value) -> {
             if (key.startsWith(root + MachineRegistry.PREFIX)) {
                 registry.takeOver(key, value, seenAt.get(key), lead.previous());
-            } else if (key.startsWith(root + Progress.PREFIX)) {
+            } else if (key.startsWith(root + CompletionStore.PREFIX)) {
                 progress.takeOver(key, value, table);
             }
         });
--- a/controller/src/main/java/org/landingridge/controller/progress/Cancellations.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -11,20 +11,21 @@
 import org.landingridge.controller.store.Keys;
 
 /**
- * Writes the ends of jobs that are cancelled because a job that they need is. No user's answer waits for that: every
- * controller derives such an end from the cancelled job's own key. Once it is written that key may leave for the history.
+ * Writes the ends of jobs that are cancelled because a job that they await is. No user's request waits for that: every
+ * controller derives such an end from the cancelled job's own key. Once it is written that key may move to the history.
  */
-public final class Cancellations {
+public final class CancellationWriter {
     private final BatchWriter writer;
     private final JobTable table;
     private final Set<Job> marked = new HashSet<>();
 
-    public Cancellations(BatchWriter writer, JobTable table) {
+    /** A writer of the ends that the table derives. */
+    public CancellationWriter(BatchWriter writer, JobTable table) {
         this.writer = writer;
         this.table = table;
     }
 
-    /** Has every end written that is derived and not stored yet. */
+    /** Marks every end for writing that is derived and not stored yet. */
     public void write() {
         marked.retainAll(table.terminated().unpersisted());
         for (Job job : table.terminated().unpersisted()) {
