--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -51,7 +51,9 @@
             forecast.expect(group, job, now, timeOfDay);
             all.apply(group, job.id());
             Inherited handedOn = new Inherited(
-                    all.priority(job.spec()), before(group.due, group.lastS), before(group.lastDue, group.lastS));
+                    all.priority(job.spec()),
+                    before(group.due, group.longestRunS),
+                    before(group.lastDue, group.longestRunS));
             for (String needed : job.awaited()) {
                 all.byId.merge(needed, handedOn, Inherited::and);
             }
@@ -84,8 +86,8 @@
         }
         group.due = Math.min(group.due, inherited.due);
         group.lastDue = Math.min(group.lastDue, inherited.lastDue);
-        group.startBy = before(group.due, group.lastS);
-        group.unhurried = false;
-        group.patient = false;
+        group.startBy = before(group.due, group.longestRunS);
+        group.withoutDeadline = false;
+        group.mayWaitForBoots = false;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -133,7 +133,7 @@
             hurried = hurried < 0 ? hurry : hurried * (1 - NEWEST) + hurry * NEWEST;
             hurriedClass.merge(job.spec().jobClass(), hurry, (old, newest) -> old * (1 - NEWEST) + newest * NEWEST);
         }
-        group.patient = hurriedClass.getOrDefault(job.spec().jobClass(), hurry) <= 0.5;
+        group.mayWaitForBoots = hurriedClass.getOrDefault(job.spec().jobClass(), hurry) <= 0.5;
     }
 
     /** Seconds within which the job should be over, from its submission or from when it could start; null: nobody said. */
@@ -146,7 +146,7 @@
         JobSpec spec = job.spec();
         group.startWithinS = startWithin.getOrDefault(spec.jobClass(), 0.0);
         group.runS = runS(spec);
-        group.lastS =
+        group.longestRunS =
                 START_S + RUN_MARGIN * group.runS * (spec.tasks() > 1 ? longest.getOrDefault(spec.jobClass(), 1.0) : 1);
         Double within = within(spec);
         long submitted = now + job.submittedAt() - timeOfDay;
@@ -158,18 +158,18 @@
         if (within == null && group.startWithinS > 0 && !spec.service()) {
             // Its start is expected: what it takes for that is not left to whatever cheap machines there are.
             group.startBy = submitted + Math.round(group.startWithinS * 1000);
-            group.due = group.startBy + Math.round(group.lastS * 1000);
+            group.due = group.startBy + Math.round(group.longestRunS * 1000);
             group.lastDue = now - submitted < STARVED * group.startWithinS * 1000 ? group.due : Long.MAX_VALUE;
             return;
         }
         if (within == null) {
             // Nobody has said by when: dear machines are not for it, unless the cheap ones do not come for long.
-            group.unhurried = !spec.service();
-            group.patient = group.unhurried;
+            group.withoutDeadline = !spec.service();
+            group.mayWaitForBoots = group.withoutDeadline;
             return;
         }
         group.due = submitted + Math.round(within * 1000);
-        group.startBy = group.due - Math.round(group.lastS * 1000);
+        group.startBy = group.due - Math.round(group.longestRunS * 1000);
         if (now - submitted < STARVED * within * 1000) {
             double times = spec.deadlineS() != null ? second : finishAtLast.get(spec.jobClass()) / within;
             group.lastDue = submitted + Math.round(within * times * 1000);
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -107,7 +107,7 @@
                     team,
                     job.notBefore() <= now ? Math.min(placeable, most) : 0);
             group.probing = broken;
-            group.held = job.count(Task.State.PENDING) - placeable;
+            group.blocked = job.count(Task.State.PENDING) - placeable;
             forecast.fill(group, job.job(), now, context.loop().timeOfDay());
             inheritance.apply(group, job.id());
             groups.put(job.id(), group);
@@ -130,7 +130,7 @@
         long idleMs = forecast.idleMs(context.types().values());
         // What an earlier leader may have started cannot be placed during the census: that it does not ask for room now
         // says nothing, and machines given back then were rented again a minute later.
-        double kept = standing.most(now, demand(teams, groups.values()), idleMs);
+        double kept = standing.record(now, demand(teams, groups.values()), idleMs);
         // Nor does a fresh leader know what was asked for in the time that counts: a fleet that stood at a first start
         // was
         // given back within seconds, and rented again.
@@ -196,7 +196,7 @@
 
     private void stop(CandidateNode.Running r) {
         Attempt a = (Attempt) r.attempt;
-        fleet.stop(a, a.spec().checkpointS() > 0 && !r.atOnce ? a.spec().saveS() : 0);
+        fleet.stop(a, a.spec().checkpointS() > 0 && !r.withoutSave ? a.spec().saveS() : 0);
     }
 
     /** Processors that the teams ask for within their guarantees; all that they ask for where they have none. */
@@ -246,17 +246,17 @@
     private List<CandidateNode> nodes(long now, List<Team> teams, Map<String, TaskGroup> groups) {
         List<CandidateNode> nodes = new ArrayList<>();
         if (fleet.anyUnreadable()) {
-            teams.forEach(t -> t.hold(Double.MAX_VALUE, Double.MAX_VALUE));
+            teams.forEach(t -> t.addUnverified(Double.MAX_VALUE, Double.MAX_VALUE));
         }
         for (Machine m : fleet.machines()) {
             boolean usable = fleet.usable(m, now);
             if (fleet.unaccounted(m)) {
                 // It may hold tasks of any team that nobody has reported, as many as fit: they count within the limits.
-                teams.forEach(t -> t.hold(m.kind().cpus(), m.kind().gpus()));
+                teams.forEach(t -> t.addUnverified(m.kind().cpus(), m.kind().gpus()));
             }
             CandidateNode node = new CandidateNode(m.kind(), m.zone(), m.spot(), m, usable, m.images());
             node.draining = fleet.draining(m, now);
-            node.unheard = fleet.unheard(m, now);
+            node.awaitingHeartbeat = fleet.unheard(m, now);
             boolean idle = true;
             boolean unknown = false;
             for (Attempt a : m.attempts().values()) {
@@ -284,7 +284,7 @@
                 } else if (!unknown) {
                     // Nobody here remembers its job: what it takes is unknown, and so is its team.
                     unknown = true;
-                    teams.forEach(t -> t.hold(m.kind().cpus(), m.kind().gpus()));
+                    teams.forEach(t -> t.addUnverified(m.kind().cpus(), m.kind().gpus()));
                 }
                 if (of != null) {
                     of.perZone.merge(m.zone(), 1, Integer::sum);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Prices.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Prices.java
@@ -3,30 +3,37 @@
 import java.util.List;
 import org.landingridge.wire.MachineType;
 
-/** Which machines are cheap and which are dear, by the cloud's current prices. */
+/** Which machines are expensive, by the cloud's current prices. */
 final class Prices {
-    /** A machine whose processors cost so many times the cheapest there are counts as dear. */
-    private static final double DEAR = 1.5;
+    /** A machine whose processors cost so many times the cheapest there are counts as expensive. */
+    private static final double EXPENSIVE = 1.5;
 
     private final double cheapest;
 
     Prices(List<MachineType> types) {
         double least = Double.MAX_VALUE;
-        for (MachineType t : types) {
-            for (boolean spot : new boolean[] {true, false}) {
-                double price = each(t, spot);
-                least = price > 0 ? Math.min(least, price) : least;
-            }
+        for (MachineType type : types) {
+            least = lesser(least, perProcessor(type, true));
+            least = lesser(least, perProcessor(type, false));
         }
         cheapest = least;
     }
 
-    boolean dear(MachineType type, boolean spot) {
-        return each(type, spot) > cheapest * DEAR;
+    /** A price of 0 says that there are none. */
+    private static double lesser(double least, double price) {
+        return price > 0 ? Math.min(least, price) : least;
     }
 
-    /** Price of a processor. */
-    private static double each(MachineType type, boolean spot) {
-        return (spot ? type.spotPrice() : type.price()) / Math.max(1e-9, type.cpus());
+    boolean expensive(MachineType type, boolean spot) {
+        return perProcessor(type, spot) > cheapest * EXPENSIVE;
+    }
+
+    /** Price of a machine. */
+    static double of(MachineType type, boolean spot) {
+        return spot ? type.spotPrice() : type.price();
+    }
+
+    private static double perProcessor(MachineType type, boolean spot) {
+        return of(type, spot) / Math.max(1e-9, type.cpus());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -6,166 +6,189 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * Give-back when idle. Where nothing waits, machines are also vacated on purpose, dear ones first: at the end of a peak
- * each would otherwise be held for minutes by one long task, although cheaper or fuller machines have room for it.
+ * Returns machines that are idle. Where nothing waits, machines are also vacated on purpose, expensive ones first: at the
+ * end of a peak each would otherwise be occupied for minutes by one long task, although cheaper or fuller machines have
+ * room for it.
  */
 final class ScaleIn {
-    /** How long a machine that is not needed stands idle, in milliseconds: the next task may be a report away. */
+    /** How long a machine that is not needed stays idle, in milliseconds: the next task may be one heartbeat away. */
     private static final long NEEDLESS_MS = 3_000;
     /** Room kept beside what is in use, as a share of it: tasks end and begin all the time. */
     private static final double HEADROOM = 0.05;
     /** A task is not moved before it has run for so long, in seconds: each move costs a save and a start. */
-    private static final double SETTLED_S = 30;
-    /** A move costs a save, a fetch and about so many seconds for telling. */
-    private static final double TELLING_S = 2;
+    private static final double MOVABLE_AFTER_S = 30;
+    /** A move costs a save, a fetch and about so many seconds for the commands. */
+    private static final double COMMANDS_S = 2;
     /** A machine is vacated if it becomes free sooner by so many seconds, beside what the moves cost. */
     private static final double GAIN_S = 10;
 
-    private final Scheduler.Input in;
+    private final Scheduler.Input input;
     private final SchedulingPlan plan;
     private final Prices prices;
-    /** Machines that are up, those first that are best done without: the dear ones, and of these the emptiest. */
+    /** Machines that are up, those first that are least needed: the expensive ones, and of these the emptiest. */
     private final List<CandidateNode> up = new ArrayList<>();
-    /** Processors on them, in use on them, and to be kept. */
-    private double there;
 
-    private double used;
-    private double needed;
+    private final double usedCpus;
+    private final double neededCpus;
+    /** Processors of the machines that stay. */
+    private double keptCpus;
 
-    ScaleIn(Scheduler.Input in, SchedulingPlan plan) {
-        this.in = in;
+    ScaleIn(Scheduler.Input input, SchedulingPlan plan) {
+        this.input = input;
         this.plan = plan;
-        prices = new Prices(in.types());
-        for (CandidateNode n : in.nodes()) {
-            if (n.up) {
-                up.add(n);
-                there += n.type.cpus();
-                used += n.type.cpus() - n.cpus;
+        prices = new Prices(input.types());
+        double used = 0;
+        for (CandidateNode node : input.nodes()) {
+            if (node.up) {
+                up.add(node);
+                keptCpus += node.type.cpus();
+                used += node.usedCpus();
             }
         }
-        needed = Math.max(in.standing(), used * (1 + HEADROOM));
-        up.sort(Comparator.comparing((CandidateNode n) -> !dear(n)).thenComparingDouble(n -> n.type.cpus() - n.cpus));
+        usedCpus = used;
+        neededCpus = Math.max(input.standing(), usedCpus * (1 + HEADROOM));
+        up.sort(Comparator.comparing((CandidateNode node) -> !expensive(node))
+                .thenComparingDouble(CandidateNode::usedCpus));
     }
 
-    private boolean dear(CandidateNode n) {
-        return prices.dear(n.type, n.spot);
+    private boolean expensive(CandidateNode node) {
+        return prices.expensive(node.type, node.spot);
     }
 
     void run() {
         if (plan.unplaced > 0) {
             return;
         }
-        idle();
+        returnIdle();
         if (plan.stops.isEmpty()) {
             vacate();
         }
     }
 
-    private void idle() {
-        int room = 0;
-        JobSpec like = in.spare() == null ? null : in.spare().like();
-        for (CandidateNode n : up) {
-            room += like != null && !n.spot ? ScaleOut.roomFor(n, like) : 0;
+    private void returnIdle() {
+        JobSpec service = input.spare() == null ? null : input.spare().like();
+        int spareRoom = 0;
+        for (CandidateNode node : up) {
+            spareRoom += service != null && !node.spot ? node.roomFor(service) : 0;
         }
-        for (CandidateNode n : up) {
-            boolean empty = n.running.isEmpty() && n.cpus >= n.type.cpus() - 1e-9;
-            boolean needless =
-                    empty && (dear(n) || n.draining) && n.idleMs >= NEEDLESS_MS && there - n.type.cpus() >= needed;
-            if (!empty || n.idleMs < in.idleMs() && !needless) {
+        for (CandidateNode node : up) {
+            if (!returnable(node)) {
                 continue;
             }
-            if (like != null && !n.spot) {
-                int here = ScaleOut.roomFor(n, like);
-                if (room - here < in.spare().tasks()) {
+            if (service != null && !node.spot) {
+                int roomHere = node.roomFor(service);
+                if (spareRoom - roomHere < input.spare().tasks()) {
                     continue;
                 }
-                room -= here;
+                spareRoom -= roomHere;
             }
-            there -= n.type.cpus();
-            plan.idle.add(n);
+            keptCpus -= node.type.cpus();
+            plan.idle.add(node);
         }
     }
 
+    /** True for a machine without work that has been idle for long, or sooner for one that is not needed. */
+    private boolean returnable(CandidateNode node) {
+        if (!node.unused()) {
+            return false;
+        }
+        boolean needless = (expensive(node) || node.draining) && node.idleMs >= NEEDLESS_MS && dispensable(node);
+        return needless || node.idleMs >= input.idleMs();
+    }
+
+    private boolean dispensable(CandidateNode node) {
+        return keptCpus - node.type.cpus() >= neededCpus;
+    }
+
     /**
-     * Stops tasks that can save where that empties a machine soon and others have room: dear machines first, then the
+     * Stops tasks that can save where that empties a machine soon and others have room: expensive machines first, then the
      * emptiest.
      */
     private void vacate() {
-        double free = -used * HEADROOM;
-        for (CandidateNode n : up) {
-            free += n.soonCpus;
+        double freeCpus = -usedCpus * HEADROOM;
+        for (CandidateNode node : up) {
+            freeCpus += node.soonCpus();
         }
-        for (int i = 0; i < up.size() && there - up.get(i).type.cpus() >= needed; i++) {
-            CandidateNode n = up.get(i);
-            free -= n.soonCpus;
-            List<CandidateNode.Running> movable = movable(n);
-            double cpus = movable.stream().mapToDouble(r -> r.spec.cpus()).sum();
-            if (movable.isEmpty() || n.draining) {
+        for (int i = 0; i < up.size() && dispensable(up.get(i)); i++) {
+            CandidateNode node = up.get(i);
+            freeCpus -= node.soonCpus();
+            List<CandidateNode.Running> moves = worthMoving(node);
+            if (moves.isEmpty() || node.draining) {
                 continue;
             }
-            if (cpus > free || !move(movable, up.subList(i + 1, up.size()))) {
+            double cpus = moves.stream().mapToDouble(task -> task.spec.cpus()).sum();
+            if (cpus > freeCpus || !move(moves, up.subList(i + 1, up.size()))) {
                 return;
             }
-            free -= cpus;
-            there -= n.type.cpus();
-            plan.vacated.add(n);
+            freeCpus -= cpus;
+            keptCpus -= node.type.cpus();
+            plan.vacated.add(node);
         }
     }
 
     /** Finds room for the tasks on the fullest machines where they fit, and stops them; false where there is none. */
-    private boolean move(List<CandidateNode.Running> tasks, List<CandidateNode> to) {
-        for (CandidateNode.Running r : tasks) {
-            CandidateNode best = null;
-            for (CandidateNode n : to) {
-                plan.steps++;
-                if (!n.draining && n.fitsSoon(r.spec) && (best == null || n.soonCpus < best.soonCpus)) {
-                    best = n;
-                }
-            }
-            if (best == null) {
+    private boolean move(List<CandidateNode.Running> tasks, List<CandidateNode> targets) {
+        for (CandidateNode.Running task : tasks) {
+            CandidateNode target = fullest(task.spec, targets);
+            if (target == null) {
                 return false;
             }
-            best.soonCpus -= r.spec.cpus();
-            best.soonGpus -= r.spec.gpus();
-            best.soonMemory -= r.spec.memoryGb();
+            target.takeSoon(task.spec);
         }
-        for (CandidateNode.Running r : tasks) {
-            r.stopping = true;
-            plan.stops.add(r);
+        for (CandidateNode.Running task : tasks) {
+            task.stopping = true;
+            plan.stops.add(task);
         }
         return true;
     }
 
-    /** The tasks whose move sets the machine free sooner: none where something else holds it as long anyway. */
-    private static List<CandidateNode.Running> movable(CandidateNode n) {
-        double held = 0;
-        for (CandidateNode.Running r : n.running) {
-            if (!movable(r)) {
-                held = Math.max(held, r.spec == null || r.spec.service() ? Double.MAX_VALUE : r.leftS);
+    private CandidateNode fullest(JobSpec spec, List<CandidateNode> nodes) {
+        CandidateNode fullest = null;
+        for (CandidateNode node : nodes) {
+            plan.steps++;
+            if (!node.draining && node.fitsSoon(spec) && (fullest == null || node.soonCpus() < fullest.soonCpus())) {
+                fullest = node;
             }
         }
-        List<CandidateNode.Running> longer = new ArrayList<>();
-        double last = 0;
-        for (CandidateNode.Running r : n.running) {
-            double cost = r.spec == null
-                    ? 0
-                    : r.spec.saveS() + TELLING_S + r.spec.imageGb() / Math.max(0.01, n.type.fetchGbPerS());
-            if (movable(r) && r.leftS > Math.max(held, cost)) {
-                longer.add(r);
-                last = Math.max(last, r.leftS - cost);
+        return fullest;
+    }
+
+    /** The tasks whose move frees the machine sooner: none where something else occupies it as long anyway. */
+    private static List<CandidateNode.Running> worthMoving(CandidateNode node) {
+        double occupiedS = 0;
+        for (CandidateNode.Running task : node.running) {
+            if (!movable(task)) {
+                occupiedS =
+                        Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.leftS);
             }
         }
-        return last > held + GAIN_S ? longer : List.of();
+        List<CandidateNode.Running> moves = new ArrayList<>();
+        double gainS = 0;
+        for (CandidateNode.Running task : node.running) {
+            if (!movable(task)) {
+                continue;
+            }
+            double costS = moveCostS(task, node);
+            if (task.leftS > Math.max(occupiedS, costS)) {
+                moves.add(task);
+                gainS = Math.max(gainS, task.leftS - costS);
+            }
+        }
+        return gainS > occupiedS + GAIN_S ? moves : List.of();
+    }
+
+    private static double moveCostS(CandidateNode.Running task, CandidateNode node) {
+        return task.spec.saveS() + COMMANDS_S + task.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS());
     }
 
-    private static boolean movable(CandidateNode.Running r) {
-        return !r.stopping
-                && r.spec != null
-                && r.spec.checkpointS() > 0
-                && r.spec.spot()
-                && r.spec.zone() == null
-                && !r.spec.oneZone()
-                && !r.spec.spread()
-                && r.ranS >= SETTLED_S;
+    private static boolean movable(CandidateNode.Running task) {
+        return !task.stopping
+                && task.spec != null
+                && task.spec.checkpointS() > 0
+                && task.spec.spot()
+                && task.spec.zone() == null
+                && !task.spec.oneZone()
+                && !task.spec.spread()
+                && task.ranS >= MOVABLE_AFTER_S;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/WindowedMaximum.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/WindowedMaximum.java
@@ -3,22 +3,27 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The largest value of the last while. */
+/** The largest value that was recorded within a window of time. */
 public final class WindowedMaximum {
-    private record Seen(long at, double value) {}
+    private record Sample(long at, double value) {}
 
     /** Falling values: each could still become the largest. */
-    private final Deque<Seen> seen = new ArrayDeque<>();
+    private final Deque<Sample> samples = new ArrayDeque<>();
 
-    /** Notes a value and gives the largest of the last {@code windowMs}. */
-    public double most(long now, double value, long windowMs) {
-        while (!seen.isEmpty() && seen.peekLast().value <= value) {
-            seen.removeLast();
+    /**
+     * Records a value.
+     *
+     * @param now milliseconds; never less than in an earlier call
+     * @return the largest value of the last {@code windowMs}, this one among them
+     */
+    public double record(long now, double value, long windowMs) {
+        while (!samples.isEmpty() && samples.peekLast().value <= value) {
+            samples.removeLast();
         }
-        seen.addLast(new Seen(now, value));
-        while (seen.peekFirst().at < now - windowMs) {
-            seen.removeFirst();
+        samples.addLast(new Sample(now, value));
+        while (samples.peekFirst().at < now - windowMs) {
+            samples.removeFirst();
         }
-        return seen.peekFirst().value;
+        return samples.peekFirst().value;
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -227,7 +227,7 @@
         TaskGroup g =
                 new TaskGroup(spec(n, false, Priority.NORMAL, tasks, 4, false, false, false), "j" + n, n, 0, tasks);
         g.runS = runS;
-        g.lastS = runS;
+        g.longestRunS = runS;
         g.due = Math.round(dueS * 1000);
         g.lastDue = g.due;
         g.startBy = g.due - Math.round(runS * 1000);
@@ -389,11 +389,11 @@
             JobSpec s = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
             TaskGroup spot = new TaskGroup(s, g.job, g.order, 0, 4);
             spot.runS = g.runS;
-            spot.lastS = g.lastS;
+            spot.longestRunS = g.longestRunS;
             spot.due = g.due;
             spot.lastDue = g.lastDue;
             spot.startBy = g.startBy;
-            spot.patient = true;
+            spot.mayWaitForBoots = true;
             queue.add(spot);
         }
         List<CandidateNode> nodes = new ArrayList<>();
@@ -460,11 +460,11 @@
         List<CandidateNode> nodes = new ArrayList<>(List.of(new CandidateNode(T4, "a", false, "up", true, Set.of())));
         if (unheard) {
             CandidateNode n = new CandidateNode(T4, "b", false, "unheard", false, Set.of());
-            n.unheard = true;
+            n.awaitingHeartbeat = true;
             nodes.add(n);
         }
         TaskGroup service = new TaskGroup(spec(1, true, Priority.HIGH, 1, 3, false, false, false), "s", 0, 0, 0);
-        service.held = 1;
+        service.blocked = 1;
         TaskGroup array = new TaskGroup(spec(2, false, arrays, 4, 1, false, false, false), "a", 1, 0, 4);
         return Scheduler.plan(new Scheduler.Input(
                 2_000,
--- a/controller/src/test/java/org/landingridge/controller/settings/DeployedFilesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/settings/DeployedFilesTest.java
@@ -27,6 +27,11 @@
 class DeployedFilesTest {
     private static final Path DEPLOY = Path.of("..", "deploy", "service.toml");
 
+    private static final List<Settings.Peer> PEERS =
+            List.of(new Settings.Peer("rig-1", "b", "10.0.0.2:8081"), new Settings.Peer("rig-2", "", "10.0.0.3:8082"));
+    private static final Map<String, Object> TEAMS =
+            map("red", new Settings.Team("red", 16, 48, 2, 4), "blue", new Settings.Team("blue", 0, 0, 0, 0));
+
     @TempDir
     Path dir;
 
@@ -82,9 +87,7 @@
                 "peerListen",
                 new InetSocketAddress("10.0.0.1", 8081),
                 "peers",
-                List.of(
-                        new Settings.Peer("rig-1", "b", "10.0.0.2:8081"),
-                        new Settings.Peer("rig-2", "", "10.0.0.3:8082")),
+                PEERS,
                 "cloud",
                 "10.2.0.2:8443",
                 "state",
@@ -94,7 +97,7 @@
                 "clockSkewMs",
                 25.5,
                 "teams",
-                map("red", new Settings.Team("red", 16, 48, 2, 4), "blue", new Settings.Team("blue", 0, 0, 0, 0)),
+                TEAMS,
                 "objectives",
                 List.of(
                         new Settings.Objective("finish", "batch", 600, 0.95, 3),
