--- a/controller/src/main/java/org/landingridge/controller/settings/Settings.java
+++ b/controller/src/main/java/org/landingridge/controller/settings/Settings.java
@@ -1,23 +1,29 @@
 package org.landingridge.controller.settings;
 
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.dataformat.toml.TomlFactory;
-import com.google.common.net.HostAndPort;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import org.landingridge.wire.Json;
 
-/** The file that the platform hands over. Unknown fields are ignored, known ones are checked. */
+/**
+ * The file that the platform hands over. Unknown fields are ignored, known ones are checked.
+ *
+ * @param host        name of this controller's host, unique among the controllers
+ * @param zone        its zone; empty where none is given
+ * @param listen      address for users and workers
+ * @param peerListen  address for the other controllers
+ * @param peers       the other controllers
+ * @param cloud       address of the cloud's API, {@code host:port}
+ * @param state       address of the state service, {@code host:port}
+ * @param zones       the cluster's zones
+ * @param clockSkewMs most by which two clocks may differ, in milliseconds
+ * @param teams       the teams by name, in the file's order
+ * @param objectives  what is expected of classes of jobs
+ * @param workers     times that workers keep to
+ * @param stateLimits limits of the state service, announced ones among them
+ * @param cloudLimits limits of the cloud's API
+ * @param machine     what this process may use of its machine
+ */
 public record Settings(
         String host,
         String zone,
@@ -35,15 +41,42 @@
         Cloud cloudLimits,
         Machine machine) {
 
-    /** Another controller, by the address for controllers. */
+    /**
+     * Another controller.
+     *
+     * @param zone empty where none is given
+     * @param addr its address for controllers, {@code host:port}
+     */
     public record Peer(String host, String zone, String addr) {}
 
-    /** A team's guarantee and limit; 0 means none. */
+    /**
+     * A team's guarantee and limit; 0 means none.
+     *
+     * @param cpus    processors that the team is guaranteed
+     * @param cpusMax processors that it may use
+     * @param gpus    GPUs that the team is guaranteed
+     * @param gpusMax GPUs that it may use
+     */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-    /** What is expected of a class of jobs. */
+    /**
+     * What is expected of a class of jobs.
+     *
+     * @param kind     what is measured; unknown kinds are kept
+     * @param jobClass the class, or null for all jobs
+     * @param withinS  the time within which it should happen, in seconds
+     * @param share    share of the jobs for which it should
+     * @param times    multiple of that time after which the objective counts as missed altogether
+     */
     public record Objective(String kind, String jobClass, double withinS, double share, double times) {}
 
+    /**
+     * Times that workers keep to, in seconds.
+     *
+     * @param reportS between two heartbeats
+     * @param leaseS  after the last answered heartbeat, how long a worker goes on
+     * @param cancelS how long a task that is cancelled may take to end
+     */
     public record Workers(double reportS, double leaseS, double cancelS) {}
 
     /**
@@ -55,7 +88,7 @@
      * @param txnOps   puts and deletes to a transaction
      */
     public record State(double rps, double writeRps, double valueKb, int txnOps) {
-        /** The stricter of each: limits that are announced hold from the start, since they come without notice. */
+        /** The stricter of each: limits that are announced apply from the start, since they come without notice. */
         State stricter(State next) {
             return new State(
                     Math.min(rps, next.rps),
@@ -70,178 +103,29 @@
         }
     }
 
+    /**
+     * Limits of the cloud's API.
+     *
+     * @param rps      requests a second
+     * @param listLagS how far its list of machines may be behind, in seconds
+     */
     public record Cloud(double rps, double listLagS) {}
 
+    /**
+     * What this process may use of its machine.
+     *
+     * @param cpu            processors
+     * @param memoryMb       memory in MB; 0 where none is given
+     * @param maxConnections open connections
+     */
     public record Machine(double cpu, double memoryMb, int maxConnections) {}
 
+    /**
+     * Reads the file.
+     *
+     * @throws InvalidSettingsException if it cannot be read, or a field is missing or cannot be used
+     */
     public static Settings read(Path file) throws InvalidSettingsException {
-        JsonNode root;
-        try (JsonParser parser = new TomlFactory().createParser(Files.readAllBytes(file))) {
-            root = Json.read(parser);
-        } catch (IOException e) {
-            throw new InvalidSettingsException(file + ": cannot be read as TOML: " + firstLine(e.getMessage()));
-        }
-        return new Reader(file.toString()).settings(root);
-    }
-
-    private static String firstLine(String text) {
-        return text == null ? "no reason given" : text.lines().findFirst().orElse("");
-    }
-
-    private record Reader(String file) {
-        Settings settings(JsonNode root) throws InvalidSettingsException {
-            List<Peer> peers = new ArrayList<>();
-            Set<String> hosts = new HashSet<>(Set.of(text(root, "", "host_name")));
-            for (JsonNode p : list(root, "known")) {
-                String addr = text(p, "known.", "endpoint");
-                address(addr, "known.endpoint");
-                once(hosts, text(p, "known.", "host_name"), "known.host_name");
-                peers.add(
-                        new Peer(text(p, "known.", "host_name"), p.path("zone").asText(""), addr));
-            }
-            JsonNode cluster = table(root, "", "cluster");
-            JsonNode external = table(root, "", "external");
-            List<String> zones = new ArrayList<>();
-            for (JsonNode z : list(cluster, "zones")) {
-                if (!z.isTextual() || z.textValue().isBlank()) {
-                    throw wrong("cluster.zones", "names of zones");
-                }
-                once(zones, z.textValue(), "cluster.zones");
-            }
-            Map<String, Team> teams = new LinkedHashMap<>();
-            for (JsonNode t : list(cluster, "teams")) {
-                String name = text(t, "cluster.teams.", "name");
-                if (teams.containsKey(name)) {
-                    throw wrong("cluster.teams.name", "each team once, but " + name + " stands twice");
-                }
-                teams.put(
-                        name,
-                        new Team(
-                                name,
-                                number(t, "cluster.teams.", "cpus", 0),
-                                number(t, "cluster.teams.", "cpus_max", 0),
-                                number(t, "cluster.teams.", "gpus", 0),
-                                number(t, "cluster.teams.", "gpus_max", 0)));
-            }
-            List<Objective> objectives = new ArrayList<>();
-            for (JsonNode o : list(cluster, "objectives")) {
-                objectives.add(new Objective(
-                        o.path("kind").asText(""),
-                        o.path("class").asText(null),
-                        number(o, "cluster.objectives.", "within_s", 0),
-                        number(o, "cluster.objectives.", "share", 0),
-                        number(o, "cluster.objectives.", "times", 1)));
-            }
-            String at = "cluster.workers.";
-            JsonNode w = table(cluster, "cluster.", "workers");
-            Workers workers = new Workers(
-                    number(w, at, "report_s", null), number(w, at, "lease_s", null), number(w, at, "cancel_s", 30.0));
-            at = "cluster.state.";
-            JsonNode s = table(cluster, "cluster.", "state");
-            State state = new State(
-                    number(s, at, "rps", null), number(s, at, "write_rps", null), number(s, at, "value_kb", null), (int)
-                            (double) number(s, at, "txn_ops", null));
-            JsonNode n = s.path("next");
-            if (n.isObject()) {
-                at = "cluster.state.next.";
-                state = state.stricter(new State(
-                        number(n, at, "rps", state.rps),
-                        number(n, at, "write_rps", state.writeRps),
-                        number(n, at, "value_kb", state.valueKb),
-                        (int) (double) number(n, at, "txn_ops", state.txnOps)));
-            }
-            if (!(state.rps > 0 && state.writeRps > 0 && state.valueKb > 0)) {
-                throw wrong(at + "rps, write_rps, value_kb", "numbers above 0");
-            }
-            if (state.txnOps < 2) {
-                throw wrong(at + "txn_ops", "at least 2");
-            }
-            at = "cluster.cloud.";
-            JsonNode c = table(cluster, "cluster.", "cloud");
-            Cloud cloud = new Cloud(number(c, at, "rps", null), number(c, at, "list_lag_s", null));
-            JsonNode m = cluster.path("machine_limits");
-            at = "cluster.machine_limits.";
-            Machine machine = new Machine(number(m, at, "cpu", 1.0), number(m, at, "mem_mb", 0), (int)
-                    (double) number(m, at, "max_connections", 1000));
-            String cloudAddr = text(external, "external.", "cloud");
-            address(cloudAddr, "external.cloud");
-            String stateAddr = text(external, "external.", "state");
-            address(stateAddr, "external.state");
-            return new Settings(
-                    text(root, "", "host_name"),
-                    root.path("zone").asText(""),
-                    address(text(root, "", "serve_on"), "serve_on"),
-                    address(text(root, "", "back"), "back"),
-                    List.copyOf(peers),
-                    cloudAddr,
-                    stateAddr,
-                    List.copyOf(zones),
-                    number(cluster, "cluster.", "skew_ms", 0),
-                    teams,
-                    List.copyOf(objectives),
-                    workers,
-                    state,
-                    cloud,
-                    machine);
-        }
-
-        private void once(Collection<String> names, String name, String field) throws InvalidSettingsException {
-            if (names.contains(name)) {
-                throw wrong(field, "each name once, but " + name + " stands twice");
-            }
-            names.add(name);
-        }
-
-        private InvalidSettingsException wrong(String field, String expected) {
-            return new InvalidSettingsException(file + ": field " + field + ": expected " + expected);
-        }
-
-        private JsonNode table(JsonNode parent, String at, String field) throws InvalidSettingsException {
-            JsonNode n = parent.get(field);
-            if (n == null || !n.isObject()) {
-                throw wrong(at + field, "a table");
-            }
-            return n;
-        }
-
-        private JsonNode list(JsonNode parent, String field) throws InvalidSettingsException {
-            JsonNode n = parent.path(field);
-            if (!n.isMissingNode() && !n.isArray()) {
-                throw wrong(field, "a list");
-            }
-            return n;
-        }
-
-        private String text(JsonNode parent, String at, String field) throws InvalidSettingsException {
-            JsonNode n = parent.get(field);
-            if (n == null || !n.isTextual() || n.textValue().isBlank()) {
-                throw wrong(at + field, "a text");
-            }
-            return n.textValue();
-        }
-
-        private double number(JsonNode parent, String at, String field, Number otherwise)
-                throws InvalidSettingsException {
-            JsonNode n = parent.get(field);
-            if (n == null && otherwise != null) {
-                return otherwise.doubleValue();
-            }
-            if (n == null || !n.isNumber() || !(n.doubleValue() >= 0) || otherwise == null && n.doubleValue() == 0) {
-                throw wrong(at + field, otherwise == null ? "a number above 0" : "a number, 0 or more");
-            }
-            return n.doubleValue();
-        }
-
-        private InetSocketAddress address(String text, String field) throws InvalidSettingsException {
-            try {
-                HostAndPort address = HostAndPort.fromString(text);
-                if (address.hasPort() && !address.getHost().isEmpty()) {
-                    return new InetSocketAddress(address.getHost(), address.getPort());
-                }
-            } catch (IllegalArgumentException e) {
-                // said below
-            }
-            throw wrong(field, "an address such as 10.0.0.1:8080");
-        }
+        return SettingsReader.read(file);
     }
 }
