--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -226,12 +226,12 @@
             if (!otherIsHeard(m.host())) {
                 relay.heard(m.host());
                 jobs.leaderHeard(m.comesShort());
-                metrics.busy.during(Part.DISPLAY, () -> showRunning(m.counts()));
+                metrics.busy.during(Part.STATUS, () -> showRunning(m.counts()));
             }
         } else if (message instanceof PeerMessage.Heartbeat m) {
             Http.Exchange exchange = relay.carried(m);
             if (leaderTerm != null && lead.mayAct()) {
-                metrics.busy.during(Part.CARRIED, () -> report(exchange));
+                metrics.busy.during(Part.FORWARDED_HEARTBEATS, () -> report(exchange));
             } else {
                 exchange.answer(503, new byte[0]);
             }
@@ -243,7 +243,7 @@
     /** The counts are for display: users poll any controller, only the leader knows what runs. */
     private void tellRunning() {
         if (leaderTerm != null && lead.mayAct()) {
-            metrics.busy.during(Part.DISPLAY, this::announce);
+            metrics.busy.during(Part.STATUS, this::announce);
         }
         loop.after(1_000, this::tellRunning);
     }
@@ -383,7 +383,7 @@
         String path = exchange.path();
         String method = exchange.method();
         if (path.equals("/hello")) {
-            only("POST", method, exchange, () -> metrics.busy.during(Part.REPORTS, () -> report(exchange)));
+            only("POST", method, exchange, () -> metrics.busy.during(Part.HEARTBEATS, () -> report(exchange)));
         } else if (path.equals("/ready")) {
             only(
                     "GET",
@@ -423,7 +423,7 @@
     }
 
     private void user(Runnable request) {
-        metrics.busy.during(Part.USERS, request);
+        metrics.busy.during(Part.API, request);
     }
 
     private static void only(String wanted, String method, Http.Exchange exchange, Runnable served) {
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -239,7 +239,7 @@
             loop.after(Math.max(PASS_MS, (fleet.size() + table.active().size()) / PASS_STEP), () -> {
                 passDue = false;
                 if (!closed) {
-                    context.metrics().busy.during(Part.PASS, pass::run);
+                    context.metrics().busy.during(Part.SCHEDULING, pass::run);
                     recovery.look(loop.now());
                 }
             });
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -74,7 +74,7 @@
             if (!moreCpus && !moreGpus) {
                 return;
             }
-            if (moreCpus && running.spec.cpus() > 0 || moreGpus && running.spec.gpus() > 0) {
+            if ((moreCpus && running.spec.cpus() > 0) || (moreGpus && running.spec.gpus() > 0)) {
                 stops.add(running);
                 freedCpus += running.spec.cpus();
                 freedGpus += running.spec.gpus();
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -119,8 +119,10 @@
             return true;
         }
         boolean spare = input.teams().get(running.team).canSpare(running.spec);
-        return order < 0 && (guaranteed || spare)
-                || order == 0 && guaranteed && spare && running.team != group.team && !running.spec.service();
+        if (order < 0) {
+            return guaranteed || spare;
+        }
+        return order == 0 && guaranteed && spare && running.team != group.team && !running.spec.service();
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -56,7 +56,7 @@
         for (TaskGroup group : order) {
             int waiting = group.waiting + within.getOrDefault(group, 0) + beyond.getOrDefault(group, 0);
             work += waiting * group.runS * group.spec.cpus();
-            if (waiting == 0 || !group.withoutDeadline && !GroupOrder.hasDeadline(group)) {
+            if (waiting == 0 || !(group.withoutDeadline || GroupOrder.hasDeadline(group))) {
                 continue;
             }
             if (starved(group)) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -188,7 +188,7 @@
         Pool best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : input.types()) {
-            if (!type.fits(group.spec) || !expensive && prices.expensive(type, spot)) {
+            if (!type.fits(group.spec) || (!expensive && prices.expensive(type, spot))) {
                 continue;
             }
             double share = shareOf(type, group);
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -197,7 +197,7 @@
             LOG.warn("an answer to a watch was malformed and is dropped");
             return false;
         }
-        busy.during(ActivityTimer.Part.MIRROR, () -> apply(events));
+        busy.during(ActivityTimer.Part.WATCH, () -> apply(events));
         revision = Math.max(revision, to);
         // While everything is read again, what a watch brings is not the whole.
         viewAt = state == State.FOLLOWING ? Math.max(viewAt, sent) : viewAt;
--- a/controller/src/test/java/org/landingridge/controller/settings/DeployedFilesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/settings/DeployedFilesTest.java
@@ -60,7 +60,7 @@
             try {
                 values.put(component.getName(), component.getAccessor().invoke(of));
             } catch (ReflectiveOperationException e) {
-                throw new AssertionError(component.getName(), e);
+                throw new LinkageError(component.getName(), e);
             }
         }
         return values;
