--- a/controller/src/main/java/org/landingridge/controller/cli/Main.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/Main.java
@@ -22,11 +22,12 @@
             "LOG_LEVEL (error, info, debug) sets what is logged to standard error."
         })
 public final class Main implements Runnable {
-    private static final Set<String> LEVELS = Set.of("error", "warn", "info", "debug", "trace");
+    private static final Set<String> LOG_LEVELS = Set.of("error", "warn", "info", "debug", "trace");
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
+    /** Runs a command, or a controller; without one of them the process ends with 2. */
     public static void main(String[] args) {
         logging();
         if (args.length == 2 && args[0].equals("--config")) {
@@ -55,17 +56,18 @@
     /** Sets up the log, by {@code LOG_LEVEL}; before anything is logged. */
     public static void logging() {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", LEVELS.contains(level) ? level : "info");
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", LOG_LEVELS.contains(level) ? level : "info");
         System.setProperty("org.slf4j.simpleLogger.log.org.xnio", "warn");
         System.setProperty("org.slf4j.simpleLogger.log.io.undertow", "warn");
         System.setProperty("org.slf4j.simpleLogger.log.org.jboss", "warn");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
-        // Without a format each line tells the milliseconds since the start: a date format costs start-up time.
+        // Without a format each line has the milliseconds since the start: a date format costs start-up time.
         System.setProperty("org.jboss.logging.provider", "slf4j");
     }
 
+    /** Refuses a command line without a command. */
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
--- a/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
@@ -18,24 +18,32 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
+import picocli.CommandLine.Mixin;
 
 /** Runs a controller until it is killed. */
 @Command(name = "run", mixinStandardHelpOptions = true, description = "Run a controller.")
 public final class RunCommand implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "the platform's settings (TOML)")
-    private String config;
+    private static final Logger LOG = LoggerFactory.getLogger(RunCommand.class);
+    private static final int LEAST_IDLE_CONNECTIONS = 16;
+    /** Of all connections that the process may have, one in so many may be an idle one to others. */
+    private static final int IDLE_CONNECTIONS_DIVISOR = 8;
 
-    @Option(names = "--operators", paramLabel = "FILE", description = "the operators' settings (JSON)")
-    private String operators;
+    @Mixin
+    private SettingsOptions files;
 
+    /** Starts the controller; negative while it runs on, else the exit code. */
     @Override
     public Integer call() {
-        int code = run(config, operators);
+        int code = run(files.config(), files.operators());
         return code == 0 ? -1 : code;
     }
 
-    /** Starts everything and returns 0 while it runs on, or says in one line why it can't and returns the exit code. */
+    /**
+     * Starts everything.
+     *
+     * @param operators the operators' file, or null
+     * @return 0 while it runs on; else the exit code, and one line on standard error says why it cannot
+     */
     static int run(String config, String operators) {
         Settings settings;
         Policy policy;
@@ -55,32 +63,39 @@
         }
     }
 
+    /** Puts a controller together with its sockets, and starts it on its event loop. */
     static void start(Settings settings, Policy policy) throws IOException {
-        Logger log = LoggerFactory.getLogger(RunCommand.class);
         XnioWorker worker = XnioEventLoop.worker();
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-        HttpClient client = new HttpClient(
-                worker.getIoThread(), loop, Math.max(16, settings.machine().maxConnections() / 8));
-        // Incarnations must differ between processes: a host's processes start at different times, and hosts differ.
-        long seed = settings.host().hashCode() * 0x9E3779B97F4A7C15L + System.currentTimeMillis();
-        AtomicReference<Controller> controllerOf = new AtomicReference<>();
+        HttpClient client = new HttpClient(worker.getIoThread(), loop, idleConnections(settings));
+        AtomicReference<Controller> started = new AtomicReference<>();
         XnioPeerTransport peers =
                 new XnioPeerTransport(worker, loop, settings.peers(), settings.peerListen(), message -> {
-                    // A process that is back at once hears the others before it is ready: such a record is lost, as any
-                    // may be.
-                    Controller ready = controllerOf.get();
+                    // A process that is back at once receives from the others before it is ready: such a message is
+                    // lost, as any may be.
+                    Controller ready = started.get();
                     if (ready != null) {
                         ready.received(message);
                     }
                 });
-        Controller controller = new Controller(loop, client, peers, new SplittableRandom(seed), settings, policy);
-        controllerOf.set(controller);
+        Controller controller =
+                new Controller(loop, client, peers, new SplittableRandom(seed(settings)), settings, policy);
+        started.set(controller);
         HttpServer server = new HttpServer(worker, settings.listen(), JobSpec.MAX_BODY, controller::serve);
         loop.after(
                 0,
                 () -> controller.start(() -> {
                     server.start();
-                    log.info("{} serves on {}", settings.host(), settings.listen());
+                    LOG.info("{} serves on {}", settings.host(), settings.listen());
                 }));
     }
+
+    private static int idleConnections(Settings settings) {
+        return Math.max(LEAST_IDLE_CONNECTIONS, settings.machine().maxConnections() / IDLE_CONNECTIONS_DIVISOR);
+    }
+
+    /** Incarnations must differ between processes: a host's processes start at different times, and hosts differ. */
+    private static long seed(Settings settings) {
+        return settings.host().hashCode() * 0x9E3779B97F4A7C15L + System.currentTimeMillis();
+    }
 }
