--- a/cli/src/main/java/org/landingridge/cli/BenchmarkHistoryCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/BenchmarkHistoryCommand.java
@@ -12,10 +12,18 @@
 
 /** Measures what a history of ended jobs costs a controller. */
 @Command(
-        name = "probe-history",
+        name = "benchmark-history",
         mixinStandardHelpOptions = true,
         description = "Start a controller beside a state service full of ended jobs, and measure it.")
-final class BenchmarkHistoryCommand implements Callable<Integer> {
+class BenchmarkHistoryCommand implements Callable<Integer> {
+    /** The command under its former name, for scripts that still call it. */
+    @Command(
+            name = "probe-history",
+            hidden = true,
+            mixinStandardHelpOptions = true,
+            description = "The former name of benchmark-history.")
+    static final class FormerName extends BenchmarkHistoryCommand {}
+
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
@@ -41,14 +49,23 @@
             throw new ParameterException(spec.commandLine(), "--jar: there is no file " + jar);
         }
         System.out.println("form       ended      ready ms   requests   peak MB   failed");
-        boolean ok = true;
-        for (int n : ended) {
-            HistoryBenchmark.Result r = new HistoryBenchmark().measure(jar, form, n, limitS);
-            System.out.printf(
-                    "%-10s %-10d %-10d %-10d %-9.1f %s%n",
-                    r.form(), r.ended(), r.readyMs(), r.requests(), r.peakKb() / 1024.0, String.join("; ", r.failed()));
-            ok &= r.failed().isEmpty();
+        boolean allKept = true;
+        for (int jobs : ended) {
+            HistoryBenchmark.Result result = new HistoryBenchmark().measure(jar, form, jobs, limitS);
+            print(result);
+            allKept &= result.failed().isEmpty();
         }
-        return ok ? 0 : 1;
+        return allKept ? 0 : 1;
+    }
+
+    private static void print(HistoryBenchmark.Result result) {
+        System.out.printf(
+                "%-10s %-10d %-10d %-10d %-9.1f %s%n",
+                result.form(),
+                result.ended(),
+                result.readyMs(),
+                result.requests(),
+                result.peakKb() / 1024.0,
+                String.join("; ", result.failed()));
     }
 }
--- a/cli/src/main/java/org/landingridge/cli/ConfigCommand.java
+++ b/cli/src/main/java/org/landingridge/cli/ConfigCommand.java
@@ -7,13 +7,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.UUID;
 import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
 import org.landingridge.net.Http.Outcome;
 import org.landingridge.net.Http.Reply;
 import org.landingridge.wire.Json;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
@@ -30,7 +31,8 @@
             ConfigCommand.Wait.class
         })
 final class ConfigCommand implements Runnable {
-    private static final String PATH = "/api/config";
+    /** The API of the live configuration. */
+    static final String PATH = "/api/config";
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -41,10 +43,13 @@
     }
 
     @Command(name = "show", mixinStandardHelpOptions = true, description = "Show by what a controller acts now.")
-    static final class Show extends UserCommands.Caller {
+    static final class Show implements Callable<Integer> {
+        @Mixin
+        private ServerOption server;
+
         @Override
         public Integer call() throws Exception {
-            return ask("GET", PATH, null);
+            return server.ask("GET", PATH, null);
         }
     }
 
@@ -52,50 +57,21 @@
             name = "history",
             mixinStandardHelpOptions = true,
             description = "Show the last changes, the newest first.")
-    static final class History extends UserCommands.Caller {
+    static final class History implements Callable<Integer> {
+        @Mixin
+        private ServerOption server;
+
         @Override
         public Integer call() throws Exception {
-            return ask("GET", PATH + "/history", null);
-        }
-    }
-
-    /** A change: whoever sends it once more with the same key makes it once. */
-    abstract static class Change extends UserCommands.Caller {
-        @Option(names = "--by", required = true, description = "who makes the change")
-        private String by;
-
-        @Option(names = "--why", required = true, description = "the reason")
-        private String why;
-
-        @Option(
-                names = "--expected",
-                defaultValue = "-1",
-                description = "number that has to hold, as config show tells it")
-        private long expected;
-
-        @Option(names = "--key", description = "of an earlier try whose answer was lost")
-        private String key;
-
-        @Option(names = "--dry-run", description = "only say what would be")
-        private boolean dryRun;
-
-        int send(ObjectNode change) throws IOException, InterruptedException {
-            String used = key == null ? UUID.randomUUID().toString() : key;
-            change.put("key", used)
-                    .put("by", by)
-                    .put("why", why)
-                    .put("expected", expected)
-                    .put("dryRun", dryRun);
-            int code = ask("POST", PATH, Json.bytes(change));
-            if (code != 0 && !dryRun) {
-                System.err.println("landingridge: to ask for the same change again, add --key " + used);
-            }
-            return code;
+            return server.ask("GET", PATH + "/history", null);
         }
     }
 
     @Command(name = "set", mixinStandardHelpOptions = true, description = "Change teams.")
-    static final class Set extends Change {
+    static final class Set implements Callable<Integer> {
+        @Mixin
+        private ChangeOptions options;
+
         @Parameters(paramLabel = "FILE", description = "set, add and remove (JSON)")
         private Path file;
 
@@ -106,18 +82,21 @@
                 System.err.println("landingridge: " + file + ": expected a JSON object with set, add or remove");
                 return 2;
             }
-            return send(object);
+            return options.send(object);
         }
     }
 
     @Command(name = "rollback", mixinStandardHelpOptions = true, description = "Take back every change since a number.")
-    static final class Rollback extends Change {
+    static final class Rollback implements Callable<Integer> {
+        @Mixin
+        private ChangeOptions options;
+
         @Parameters(paramLabel = "NUMBER", description = "the number to go back to")
         private long number;
 
         @Override
         public Integer call() throws Exception {
-            return send(Json.object().put("rollback", number));
+            return options.send(Json.object().put("rollback", number));
         }
     }
 
@@ -144,14 +123,10 @@
 
         @Override
         public Integer call() throws Exception {
-            long end = System.nanoTime() + timeoutS * 1_000_000_000L;
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
             List<String> behind = new ArrayList<>(servers);
             while (!behind.isEmpty() && System.nanoTime() < end) {
-                for (String server : List.copyOf(behind)) {
-                    if (reached(server)) {
-                        behind.remove(server);
-                    }
-                }
+                removeReached(behind);
                 if (!behind.isEmpty()) {
                     Thread.sleep(PAUSE_MS);
                 }
@@ -163,6 +138,14 @@
             return behind.isEmpty() ? 0 : 1;
         }
 
+        private void removeReached(List<String> behind) throws IOException, InterruptedException {
+            for (String server : List.copyOf(behind)) {
+                if (reached(server)) {
+                    behind.remove(server);
+                }
+            }
+        }
+
         private boolean reached(String server) throws IOException, InterruptedException {
             Reply reply = ControllerCall.to(server, "GET", PATH, null);
             JsonNode body = reply.outcome() == Outcome.ANSWERED ? Json.parse(reply.body()) : null;
--- a/cli/src/main/java/org/landingridge/cli/ControllerCall.java
+++ b/cli/src/main/java/org/landingridge/cli/ControllerCall.java
@@ -14,6 +14,12 @@
 
     private ControllerCall() {}
 
+    /**
+     * Calls a controller and waits for the answer.
+     *
+     * @param server its address for users, {@code host:port}
+     * @param body the request's body, or null
+     */
     static Reply to(String server, String method, String path, byte[] body) throws IOException, InterruptedException {
         XnioWorker worker = XnioEventLoop.worker();
         try {
--- a/cli/src/main/java/org/landingridge/cli/Main.java
+++ b/cli/src/main/java/org/landingridge/cli/Main.java
@@ -22,6 +22,7 @@
             UserCommands.Status.class,
             LocalCommand.class,
             BenchmarkHistoryCommand.class,
+            BenchmarkHistoryCommand.FormerName.class,
             ExperimentCommand.class,
             CapacityCommand.class,
             ConfigCommand.class
@@ -35,11 +36,13 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
+    /** Runs a command; without one the process ends with 2. */
     public static void main(String[] args) {
         org.landingridge.controller.cli.Main.logging();
         org.landingridge.controller.cli.Main.execute(new Main(), args);
     }
 
+    /** Refuses a command line without a command. */
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
