--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -221,14 +221,14 @@
         if (!leaderView.otherIsHeard(message.host())) {
             forwarder.heard(message.host());
             jobs.leaderHeard(message.comesShort());
-            metrics.busy.during(Part.DISPLAY, () -> runningCounts.show(message.counts()));
+            metrics.busy.during(Part.STATUS, () -> runningCounts.show(message.counts()));
         }
     }
 
     private void forwardedHeartbeatReceived(PeerMessage.Heartbeat message) {
         Http.Exchange exchange = forwarder.carried(message);
         if (leaderTerm != null && lead.mayAct()) {
-            metrics.busy.during(Part.CARRIED, () -> heartbeats.receive(exchange));
+            metrics.busy.during(Part.FORWARDED_HEARTBEATS, () -> heartbeats.receive(exchange));
         } else {
             exchange.answer(503, new byte[0]);
         }
@@ -236,7 +236,7 @@
 
     private void announceEverySecond() {
         if (leaderTerm != null && lead.mayAct()) {
-            metrics.busy.during(Part.DISPLAY, runningCounts::announce);
+            metrics.busy.during(Part.STATUS, runningCounts::announce);
         }
         loop.after(1_000, this::announceEverySecond);
     }
--- a/controller/src/main/java/org/landingridge/controller/RequestRouter.java
+++ b/controller/src/main/java/org/landingridge/controller/RequestRouter.java
@@ -48,7 +48,7 @@
     void serve(Http.Exchange exchange) {
         switch (exchange.path()) {
             case "/hello" ->
-                only(POST, exchange, () -> metrics.busy.during(Part.REPORTS, () -> heartbeats.receive(exchange)));
+                only(POST, exchange, () -> metrics.busy.during(Part.HEARTBEATS, () -> heartbeats.receive(exchange)));
             case "/ready" -> only(GET, exchange, () -> ready(exchange));
             case JOBS -> only(POST, exchange, () -> user(() -> jobs.submit(exchange)));
             case "/metrics" ->
@@ -91,7 +91,7 @@
     }
 
     private void user(Runnable request) {
-        metrics.busy.during(Part.USERS, request);
+        metrics.busy.during(Part.API, request);
     }
 
     private static void only(String method, Http.Exchange exchange, Runnable served) {
