--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -14,6 +14,7 @@
 import org.landingridge.controller.api.JobLookup;
 import org.landingridge.controller.api.JobService;
 import org.landingridge.controller.cloud.CloudClient;
+import org.landingridge.controller.election.ElectionSettings;
 import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.history.History;
 import org.landingridge.controller.history.SegmentAddress;
@@ -28,6 +29,7 @@
 import org.landingridge.controller.observability.IncidentReport;
 import org.landingridge.controller.observability.Metrics;
 import org.landingridge.controller.peer.HeartbeatForwarder;
+import org.landingridge.controller.peer.PeerGroup;
 import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.peer.PeerTransport;
 import org.landingridge.controller.progress.Progress;
@@ -36,6 +38,7 @@
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.StoreAccess;
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.controller.upgrade.Capabilities;
 import org.landingridge.net.EventLoop;
@@ -119,29 +122,20 @@
         capabilities = new Capabilities(client, watchCache, loop, settings.host(), others);
         relay = new HeartbeatForwarder(loop, peers, random, settings.host(), mostReports());
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
+        StoreAccess store = new StoreAccess(client, watchCache, loop);
         lead = new Leadership(
-                client,
-                watchCache,
-                loop,
+                store,
                 random,
-                Keys.LEADER,
-                settings.host(),
-                holdMs,
-                Leadership.blindMs(
-                        settings.workers().cancelS(), settings.workers().leaseS(), holdMs),
-                others,
-                peers,
+                new PeerGroup(settings.host(), others, peers),
+                new ElectionSettings(
+                        Keys.LEADER,
+                        holdMs,
+                        ElectionSettings.freshnessMs(
+                                settings.workers().cancelS(), settings.workers().leaseS(), holdMs)),
                 table.endings(),
                 this);
         BatchWriter writer = new BatchWriter(
-                client,
-                watchCache,
-                loop,
-                settings.stateLimits(),
-                WRITER_SHARE,
-                Keys.LEADER,
-                lead::writeGuard,
-                metrics.busy);
+                store, settings.stateLimits(), WRITER_SHARE, Keys.LEADER, lead::writeGuard, metrics.busy);
         cloud = new CloudClient(
                 http, loop, settings.cloud(), settings.cloudLimits().rps());
         JobLookup lookup = new JobLookup(client, watchCache, table, history);
@@ -221,14 +215,14 @@
             lead.refused(m);
         } else if (message instanceof PeerMessage.HandOver m) {
             lead.handedOver(m);
-        } else if (message instanceof PeerMessage.Running m) {
+        } else if (message instanceof PeerMessage.RunningCounts m) {
             // The sign of life of a leader of the past may come late: it may not hide the one that is heard.
             if (!otherIsHeard(m.host())) {
                 relay.heard(m.host());
-                jobs.leaderHeard(m.comesShort());
+                jobs.leaderHeard(m.writesStarved());
                 metrics.busy.during(Part.DISPLAY, () -> showRunning(m.counts()));
             }
-        } else if (message instanceof PeerMessage.Heartbeat m) {
+        } else if (message instanceof PeerMessage.ForwardedHeartbeat m) {
             Http.Exchange exchange = relay.carried(m);
             if (leaderTerm != null && lead.mayAct()) {
                 metrics.busy.during(Part.CARRIED, () -> report(exchange));
@@ -254,7 +248,7 @@
         boolean comesShort = parts.writer().starved();
         jobs.leaderHeard(comesShort);
         for (String other : others) {
-            peers.send(other, new PeerMessage.Running(settings.host(), counts, comesShort));
+            peers.send(other, new PeerMessage.RunningCounts(settings.host(), counts, comesShort));
         }
     }
 
@@ -301,7 +295,7 @@
                 leaderSince = loop.now();
             }
         } else if (key.equals(Keys.LEADER_LAST)) {
-            lead.lastChanged(value);
+            lead.lastLeaderChanged(value);
         } else {
             if (value == null) {
                 documents.remove(key);
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
@@ -0,0 +1,51 @@
+package org.landingridge.controller.election;
+
+import java.util.List;
+import org.landingridge.controller.store.StateClient.Guard;
+import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.StoreAccess;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The revision at which the leader's key was put last by this controller: every command carries it. */
+final class FencingToken {
+    private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
+    private final StoreAccess store;
+    private final String key;
+    private final LeaderLease lease;
+    private long value;
+    private boolean raising;
+
+    FencingToken(StoreAccess store, String key, LeaderLease lease) {
+        this.store = store;
+        this.key = key;
+        this.lease = lease;
+    }
+
+    long value() {
+        return value;
+    }
+
+    /** The revision of an election that was won, or of a raise whose answer got lost. */
+    void set(long revision) {
+        value = revision;
+    }
+
+    /** Puts the leader's key once more, under the same lease, unless that is under way. */
+    void raise(LeaderRecord leader) {
+        if (raising) {
+            return;
+        }
+        raising = true;
+        long before = value;
+        List<Write> writes = List.of(new Write(key, leader.toJson(), leader.lease()));
+        store.client().commit(List.of(new Guard(key, before)), writes, answer -> {
+            raising = false;
+            if (lease.id() == leader.lease() && answer.ok()) {
+                value = Math.max(value, answer.revision());
+                store.cache().committed(key, value);
+                LOG.info("token raised from {} to {}", before, value);
+            }
+        });
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -1,31 +1,27 @@
 package org.landingridge.controller.election;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
 import java.util.random.RandomGenerator;
 import org.landingridge.controller.jobs.CancellationLog;
+import org.landingridge.controller.peer.PeerGroup;
 import org.landingridge.controller.peer.PeerMessage;
-import org.landingridge.controller.peer.PeerTransport;
-import org.landingridge.controller.store.StateClient;
-import org.landingridge.controller.store.StateClient.Guard;
-import org.landingridge.controller.store.StateClient.Status;
-import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.StoreAccess;
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.net.EventLoop;
-import org.landingridge.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads. One key, bound to a lease of the state service, names the leader; the revision at which it was put is the
- * token. The right to act runs from when the last successful renewal was sent, for the lease's life less drift.
+ * Whether this controller leads, and may act. One key, bound to a lease of the state service, names the leader; the revision
+ * at which it was put is the fencing token. The right to act runs from when the last successful renewal was sent, for the
+ * lease's duration less drift.
  */
 public final class Leadership {
     /**
-     * LEADING by the lease. PROMISED: the state service does not answer, but every other controller has promised not
-     * to take the lead for a while. SUSPENDED: neither, or it is too long since all cancellations were known; no command
-     * is given, but if the lease turns out to be alive the leader goes on under the same token, since then no one else can
-     * have led meanwhile.
+     * LEADING by the lease. PROMISED: the state service does not answer, but every other controller has promised not to take
+     * the lead for a while. SUSPENDED: neither, or it is too long since all cancellations were known; no command is given,
+     * but if the lease turns out to be alive the leader goes on under the same token, since then no one else can have led
+     * meanwhile.
      */
     public enum State {
         FOLLOWING,
@@ -37,8 +33,10 @@
 
     /** Told of every change of state. */
     public interface Listener {
+        /** This controller leads under the token, and its copy of the state holds all that was written before. */
         void elected(long token);
 
+        /** This controller does not lead any more. */
         void deposed();
 
         /** Another controller knows the job to be cancelled, at this revision. */
@@ -46,197 +44,138 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    private static final String LEASE = "lease";
-    /** Steady clocks differ by 0.05 %; a tenth of a percent and some milliseconds cover both sides. */
-    static final double DRIFT = 0.001;
+    private static final long RETRY_MS = 200;
+    /** A renewal that is late by more than this lets the leader ask for promises. */
+    private static final long LATE_RENEWAL_MS = 100;
 
-    static final long MARGIN_MS = 60;
-    /** From the end of a lease until its tasks are gone, and from the look at the clock until a 200 is sent. */
-    private static final long LAPSE_MARGIN_MS = 1_000;
-
-    private final StateClient client;
     private final WatchCache watchCache;
     private final EventLoop loop;
-    private final RandomGenerator random;
-    private final String key;
-    private final String lastKey;
-    private final String host;
-    private final String incarnation;
-    private final long leaseMs;
-    /** So long after the last time of which all cancellations are known a worker may still be answered. */
-    private final long blindMs;
-
+    private final PeerGroup peers;
+    private final ElectionSettings settings;
     private final Listener listener;
-    private final PeerTransport peers;
-    private final List<String> others;
-    private State state = State.FOLLOWING;
-    private long lease;
-    private long token;
+    private final String incarnation;
+    private final LeadershipState state = new LeadershipState();
+    private final LeaderLease lease;
+    private final FencingToken token;
+    private final LeaderElection election;
+    private final Promises promises;
     /** When this controller took the lead last; what it knows may be a watch's wait old then. */
     private long wonAt;
 
-    private long rightUntil = Long.MIN_VALUE / 2;
-    private String leaderHost;
-    private String leaderIncarnation;
-    /** The host that led last, by a key that stays when the leader's lease ends. */
-    private String lastHost;
-
-    private String lastIncarnation;
-    private boolean renewing;
-    private boolean raising;
-    private boolean suspecting;
-    private boolean learning;
-    private long claimNotBefore;
-    private long silentSince;
-    /** The token under which the last leader began, before this one. */
-    private long previous;
-
-    private long renewed = Long.MIN_VALUE / 2;
-    /** The claim whose transaction is out; null while there is none. */
-    private Claim claimed;
-    /** The leader that has stepped down by its own word, by its token: its key may be replaced. */
-    private long handedOver;
-
-    private final long started;
-    private final Promises promises;
+    private long quiescentSince;
+    private long previousToken;
+    private boolean verifying;
 
     /**
-     * One try to take the lead.
-     *
-     * @param lease    the state service's lease that the key is bound to
-     * @param sent     when that was asked for
-     * @param silent   since when no earlier leader can have answered a worker
-     * @param previous the token under which the last leader began
-     */
-    private record Claim(long lease, long sent, long silent, long previous) {
-        /**
-         * True if this is the claim that put the value: an earlier one of the same process, carried out late, has bound the key to
-         * another lease, which nobody renews.
-         */
-        boolean put(JsonNode value) {
-            return Json.integer(value, LEASE, 0) == lease;
-        }
-    }
-
-    /**
-     * @param blindMs see {@link #blindMs(double, double, long)}
-     * @param endings the cancellations that this process knows
+     * @param random        draws this process' incarnation and the pauses before claims
+     * @param cancellations the cancellations that this process knows
      */
     public Leadership(
-            StateClient client,
-            WatchCache watchCache,
-            EventLoop loop,
+            StoreAccess store,
             RandomGenerator random,
-            String key,
-            String host,
-            long leaseMs,
-            long blindMs,
-            List<String> others,
-            PeerTransport peers,
-            CancellationLog endings,
+            PeerGroup peers,
+            ElectionSettings settings,
+            CancellationLog cancellations,
             Listener listener) {
-        this.blindMs = blindMs;
-        this.client = client;
-        this.watchCache = watchCache;
-        this.loop = loop;
-        this.random = random;
-        this.key = key;
-        this.lastKey = key + "-last";
-        this.host = host;
-        this.incarnation = Long.toUnsignedString(random.nextLong(), 36);
-        this.leaseMs = leaseMs;
-        this.listener = listener;
-        this.others = List.copyOf(others);
+        this.watchCache = store.cache();
+        this.loop = store.loop();
         this.peers = peers;
-        this.promises = new Promises(
-                client, loop, peers, key, host, this.others, random.nextLong(), endings, watchCache::loaded);
-        this.started = loop.now();
-    }
-
-    /**
-     * For how long a leader that may lack a cancellation can go on answering workers: their leases, which each answer
-     * renews, have to be over before {@code cancelS} is. Where settings leave less than a lease's life for that, that much
-     * is taken: no leader could serve otherwise, and what was confirmed may then run on for the difference.
-     */
-    public static long blindMs(double cancelS, double leaseS, long leadLeaseMs) {
-        long left = (long) (cancelS * 1000 * (1 - DRIFT)) - (long) (leaseS * 1000 * (1 + 2 * DRIFT)) - LAPSE_MARGIN_MS;
-        return Math.max(leadLeaseMs, left);
-    }
-
+        this.settings = settings;
+        this.listener = listener;
+        this.incarnation = Long.toUnsignedString(random.nextLong(), 36);
+        CancellationReports reports =
+                new CancellationReports(loop, peers.others(), random.nextLong(), cancellations, watchCache::loaded);
+        this.promises = new Promises(store.client(), loop, peers, settings.key(), reports);
+        this.lease = new LeaderLease(store.client(), loop, settings.leaseMs());
+        this.token = new FencingToken(store, settings.key(), lease);
+        this.election = new LeaderElection(
+                store,
+                random,
+                settings,
+                new LeaderRecord(peers.host(), incarnation, 0),
+                state,
+                promises::bound,
+                this::won);
+    }
+
+    /** Begins to follow, to claim and to renew, by a timer of its own. */
     public void start() {
         tick();
     }
 
+    /** The state in the election. */
     public State state() {
-        return state;
+        return state.current();
     }
 
+    /** Names this process among all processes of its host. */
     public String incarnation() {
         return incarnation;
     }
 
     /** The host in the leader's key, null while there is none. */
     public String leaderHost() {
-        return leaderHost;
+        return election.leader().host();
     }
 
+    /** The fencing token under which this controller leads, or led last. */
     public long token() {
-        return token;
+        return token.value();
     }
 
     /** Since when, by the loop's clock, no earlier leader can have answered a worker. */
-    public long silentSince() {
-        return silentSince;
+    public long quiescentSince() {
+        return quiescentSince;
     }
 
     /** The token under which the last leader began, before this one; 0 where there was none. */
-    public long previous() {
-        return previous;
+    public long previousToken() {
+        return previousToken;
     }
 
     /** Version of the leader's key that the leader's writes are conditional on; 0 while this process may not write. */
     public long writeGuard() {
-        return leads() ? token : 0;
+        return leads() ? token.value() : 0;
     }
 
+    /** True while this controller leads, whether it may act now or not. */
     public boolean leads() {
-        return state == State.LEADING || state == State.PROMISED || state == State.SUSPENDED;
+        return state.leads();
     }
 
-    /** True while a command or a renewal of a lease may be given: checked right before each. */
+    /** True while a command or a renewal of a worker's lease may be given: checked right before each. */
     public boolean mayAct() {
-        return (state == State.LEADING || state == State.PROMISED) && loop.now() < Math.min(rightUntil, sightUntil());
+        return state.active() && withinRights();
+    }
+
+    private boolean withinRights() {
+        return loop.now() < Math.min(lease.validUntil(), freshnessDeadline());
     }
 
     /**
      * Every cancellation that any controller told a user before this time, by the loop's clock, is known here: by what was
-     * read of the state, or by the word of all others.
+     * read of the state, or by the reports of all others.
      */
-    public long known() {
-        return Math.max(watchCache.viewAt(), promises.known());
+    public long cancellationsKnownAt() {
+        return Math.max(watchCache.viewAt(), promises.cancellationsKnownAt());
     }
 
     /**
-     * Until when workers may be answered without more news of cancellations. Beyond it the lead ends by itself: the tasks
-     * of a job that some user was told is cancelled could otherwise run on for as long as an outage lasts. What is cancelled
-     * now must be off its machine by then and a lease of the machine.
+     * Until when workers may be answered without more news of cancellations, by the loop's clock. Beyond it the lead ends by
+     * itself: the tasks of a job that some user was told is cancelled could otherwise run on for as long as an outage lasts.
+     * What is cancelled now must be off its machine by then and a lease of the machine.
      */
-    public long sightUntil() {
-        return known() + blindMs;
+    public long freshnessDeadline() {
+        return cancellationsKnownAt() + settings.freshnessMs();
     }
 
-    /** The mirror's news of the leader's key. */
+    /** The watch's news of the leader's key; null where it has been deleted. */
     public void keyChanged(JsonNode value, long version) {
-        leaderHost = value == null ? null : Json.text(value, "host");
-        leaderIncarnation = value == null ? null : Json.text(value, "incarnation");
-        if (claimed != null && incarnation.equals(leaderIncarnation) && claimed.put(value)) {
-            // Its answer is late or lost, and the others follow this controller already.
-            won(claimed, version);
-        }
-        if (leads() && version > token) {
-            if (incarnation.equals(leaderIncarnation)) {
+        election.leaderChanged(value, version);
+        if (leads() && version > token.value()) {
+            if (election.selfIsNamed()) {
                 // A token that was raised by a write of ours whose answer got lost.
-                token = version;
+                token.set(version);
             } else {
                 stepDown("another controller holds the key");
             }
@@ -244,334 +183,156 @@
         consider();
     }
 
-    /** The mirror's news of the key that names the last leader, for as long as no other follows. */
-    public void lastChanged(JsonNode value) {
-        lastHost = value == null ? null : Json.text(value, "host");
-        lastIncarnation = value == null ? null : Json.text(value, "incarnation");
-    }
-
-    private void to(State next) {
-        if (next != state) {
-            LOG.info("leadership: {} -> {}", state, next);
-            state = next;
-        }
+    /** The watch's news of the key that names the last leader, for as long as no other follows. */
+    public void lastLeaderChanged(JsonNode value) {
+        election.lastLeaderChanged(value);
     }
 
     private void tick() {
-        switch (state) {
+        switch (state.current()) {
             case FOLLOWING -> consider();
-            case LEADING, PROMISED, SUSPENDED -> {
-                boolean blind = loop.now() >= sightUntil();
-                if (state == State.LEADING && blind && loop.now() < rightUntil && loop.now() - wonAt > leaseMs) {
-                    // The lease is renewed and nothing can be read, as where the state service is too slow for it.
-                    handOver("this controller cannot read what changes");
-                    break;
-                }
-                if (state != State.SUSPENDED && (blind || loop.now() >= rightUntil)) {
-                    if (blind) {
-                        LOG.warn(
-                                "all cancellations are known only up to {} ms ago: no worker is answered any more",
-                                loop.now() - known());
-                    }
-                    to(State.SUSPENDED);
-                }
-                if (loop.now() - renewed > leaseMs * 2 / 5 + 100) {
-                    ask();
-                }
-                renew(leaseMs / 3);
-            }
+            case LEADING, PROMISED, SUSPENDED -> maintain();
             case CLAIMING -> {}
         }
-        loop.after(leaseMs / 6, this::tick);
+        loop.after(settings.leaseMs() / 6, this::tick);
     }
 
-    /**
-     * Claims the lead where the key is free, or where it names an earlier process of this very host. Called whenever
-     * that may have become so.
-     */
-    public void consider() {
-        if (state != State.FOLLOWING) {
+    private void maintain() {
+        boolean stale = loop.now() >= freshnessDeadline();
+        if (state.is(State.LEADING) && stale && lease.valid() && loop.now() - wonAt > settings.leaseMs()) {
+            // The lease is renewed and nothing can be read, as where the state service is too slow for it.
+            handOver("this controller cannot read what changes");
             return;
         }
-        // A claim needs the state service: without a sign of life from it there is no point in trying.
-        if (learning
-                || !watchCache.following()
-                || loop.now() < claimNotBefore
-                || loop.now() - watchCache.lastAnswer() > 2_500) {
-            return;
+        if (!state.is(State.SUSPENDED) && (stale || !lease.valid())) {
+            suspend(stale);
         }
-        boolean mine = host.equals(leaderHost);
-        boolean given = handedOver != 0 && handedOver == watchCache.version(key);
-        if (leaderHost != null && !mine && !given || promises.bound()) {
-            return;
-        }
-        // An earlier process of this host may have promised a leader not to lead. No such promise binds where the last
-        // leader was an earlier process of this very host, which is dead, or where no one has led yet.
-        boolean free = mine || given || host.equals(lastHost) || watchCache.version(lastKey) == 0;
-        if (!free && loop.now() - started < Promises.LIFE_MS * 1.01) {
-            return;
+        if (lease.sinceRenewal() > settings.leaseMs() * 2 / 5 + LATE_RENEWAL_MS) {
+            promises.ask(token.value(), watchCache.revision());
         }
-        to(State.CLAIMING);
-        long seen = watchCache.version(key);
-        long seenLast = watchCache.version(lastKey);
-        // Whatever an earlier process of this host answered is over since this process began. What this one answered
-        // when it
-        // had the lead before is not: counted from its start, all leases of its own former leader term would be long
-        // over.
-        long silent = host.equals(lastHost) && !incarnation.equals(lastIncarnation) ? started : loop.now();
-        // The earlier process of this host is dead: no need to draw lots with the others.
-        loop.after(mine ? 0 : random.nextInt(60), () -> claim(seen, seenLast, silent));
-    }
-
-    private void claim(long seen, long seenLast, long silent) {
-        long sent = loop.now();
-        client.grant(leaseMs, granted -> {
-            if (!granted.ok() || Json.integer(granted.body(), "permit", 0) == 0) {
-                claimFailed(300);
-                return;
-            }
-            Claim claim = new Claim(Json.integer(granted.body(), "permit", 0), sent, silent, seenLast);
-            claimed = claim;
-            List<Write> writes =
-                    List.of(new Write(key, name(claim.lease), claim.lease), new Write(lastKey, name(claim.lease), 0));
-            // What was concluded from the last leader's name holds only if no one has led since.
-            List<Guard> guards = List.of(new Guard(key, seen), new Guard(lastKey, seenLast));
-            client.commit(guards, writes, answer -> {
-                if (claimed != claim) {
-                    // Settled by the mirror's news.
-                    return;
-                }
-                if (answer.ok()) {
-                    watchCache.committed(lastKey, answer.revision());
-                    won(claim, answer.revision());
-                } else if (answer.status() == Status.UNKNOWN) {
-                    settleClaim(claim);
-                } else {
-                    claimFailed(claim, 200);
-                    if (answer.status() == Status.CONFLICT) {
-                        // Somebody was quicker. Who that is has to be read first: claims made before are lost as well,
-                        // and
-                        // seven controllers that make them keep the state service from the winner.
-                        learn();
-                    }
-                }
-            });
-        });
-    }
-
-    /** What the leader's key says of this process. */
-    private JsonNode name(long lease) {
-        return Json.object().put("host", host).put("incarnation", incarnation).put(LEASE, lease);
-    }
-
-    /** The claim may have been carried out: the key itself tells. */
-    private void settleClaim(Claim claim) {
-        client.get(key, answer -> {
-            if (claimed != claim) {
-                return;
-            }
-            JsonNode value = answer.ok() ? answer.body().path("data") : null;
-            if (value != null && incarnation.equals(Json.text(value, "incarnation")) && claim.put(value)) {
-                won(claim, Json.integer(answer.body(), "stamp", 0));
-            } else if (answer.status() == Status.REFUSED || answer.status() == Status.UNKNOWN) {
-                loop.after(300, () -> settleClaim(claim));
-            } else {
-                // Not there yet; it may still arrive, and is then given up by letting its lease go.
-                claimFailed(claim, 300);
-            }
-        });
+        lease.renew(settings.leaseMs() / 3, this::renewed, () -> stepDown("the lease has ended"));
     }
 
-    /** Makes no claim before the mirror has brought what was there when this is called. */
-    private void learn() {
-        learning = true;
-        watchCache.barrier(
-                () -> {
-                    learning = false;
-                    consider();
-                },
-                () -> loop.after(200, () -> learning = false));
+    private void suspend(boolean stale) {
+        if (stale) {
+            LOG.warn(
+                    "all cancellations are known only up to {} ms ago: no worker is answered any more",
+                    loop.now() - cancellationsKnownAt());
+        }
+        state.to(State.SUSPENDED);
     }
 
-    private void claimFailed(Claim claim, long pauseMs) {
-        claimed = null;
-        client.release(claim.lease, ignored -> {});
-        claimFailed(pauseMs);
+    private void renewed() {
+        if (withinRights()) {
+            state.to(State.LEADING);
+        }
     }
 
-    private void claimFailed(long pauseMs) {
-        claimNotBefore = loop.now() + pauseMs;
-        to(State.FOLLOWING);
+    /**
+     * Claims the lead where the key is free, or where it names an earlier process of this very host. Called whenever that may
+     * have become so.
+     */
+    public void consider() {
+        election.consider();
     }
 
-    private void won(Claim claim, long revision) {
-        claimed = null;
-        lease = claim.lease;
-        silentSince = claim.silent;
-        previous = claim.previous;
+    private void won(LeaderElection.Claim claim, long revision) {
+        lease.begin(claim.lease(), claim.sentAt());
+        quiescentSince = claim.quiescentSince();
+        previousToken = claim.previousToken();
         wonAt = loop.now();
-        token = revision;
-        rightUntil = right(claim.sent);
-        renewed = claim.sent;
-        leaderHost = host;
-        leaderIncarnation = incarnation;
-        lastHost = host;
-        lastIncarnation = incarnation;
-        watchCache.committed(key, revision);
-        to(State.LEADING);
-        awaitMirror();
+        token.set(revision);
+        watchCache.committed(settings.key(), revision);
+        state.to(State.LEADING);
+        awaitCurrentView();
     }
 
     /** The new leader's view must hold everything that was written before it was elected. */
-    private void awaitMirror() {
-        long elected = token;
+    private void awaitCurrentView() {
+        long elected = token.value();
         watchCache.barrier(
                 () -> {
-                    if (leads() && token == elected) {
+                    if (leads() && token.value() == elected) {
                         listener.elected(elected);
                     }
                 },
-                () -> loop.after(200, () -> {
-                    if (leads() && token == elected) {
-                        awaitMirror();
+                () -> loop.after(RETRY_MS, () -> {
+                    if (leads() && token.value() == elected) {
+                        awaitCurrentView();
                     }
                 }));
     }
 
-    private long right(long sent) {
-        return sent + (long) (leaseMs * (1 - DRIFT)) - MARGIN_MS;
-    }
-
-    private void renew(long timeoutMs) {
-        if (renewing) {
-            return;
-        }
-        renewing = true;
-        long sent = loop.now();
-        long mine = lease;
-        client.renew(mine, Math.max(500, timeoutMs), answer -> {
-            renewing = false;
-            if (!leads() || lease != mine) {
-                return;
-            }
-            if (answer.ok()) {
-                renewed(sent);
-            } else if (answer.status() == Status.NOT_FOUND || answer.status() == Status.NO_LEASE) {
-                stepDown("the lease has ended");
-            }
-        });
-    }
-
-    private void renewed(long sent) {
-        renewed = Math.max(renewed, sent);
-        rightUntil = Math.max(rightUntil, right(sent));
-        if (loop.now() < Math.min(rightUntil, sightUntil())) {
-            to(State.LEADING);
-        }
-    }
-
     /**
      * Takes a higher token under the same lease. Commands given under the old one that are still on their way are then
      * refused by every worker that has seen the new one.
      */
     public void raiseToken() {
-        if (state != State.LEADING || raising) {
-            return;
+        if (state.is(State.LEADING)) {
+            token.raise(election.self(lease.id()));
         }
-        raising = true;
-        long mine = lease;
-        long old = token;
-        client.commit(List.of(new Guard(key, old)), List.of(new Write(key, name(mine), mine)), answer -> {
-            raising = false;
-            if (leads() && lease == mine && answer.ok()) {
-                token = Math.max(token, answer.revision());
-                watchCache.committed(key, token);
-                LOG.info("token raised from {} to {}", old, token);
-            }
-        });
     }
 
     /** A worker has seen a higher token than ours: the state service is asked who leads, past a barrier. */
     public void suspect() {
-        if (!suspecting) {
-            suspecting = true;
-            watchCache.barrier(() -> suspecting = false, () -> suspecting = false);
+        if (!verifying) {
+            verifying = true;
+            watchCache.barrier(() -> verifying = false, () -> verifying = false);
         }
     }
 
-    // ---- promises ----
-
-    /** Asks every other controller not to lead for a while: the state service does not answer this one. */
-    private void ask() {
-        promises.ask(token, watchCache.revision());
-    }
-
     /** Another controller asks for a promise; whoever leads, or may be about to, gives none. */
     public void asked(PeerMessage.Ask ask) {
-        promises.asked(ask, () -> leads() || state == State.CLAIMING);
+        promises.asked(ask, () -> leads() || state.is(State.CLAIMING));
     }
 
+    /** Another controller has given its promise, and reports the cancellations that it knows. */
     public void granted(PeerMessage.Grant grant) {
-        promises.heard(grant, e -> listener.cancelled(e.id(), e.revision()));
-        if (!leads() || grant.token() != token) {
+        promises.reported(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
+        if (!leads() || grant.token() != token.value()) {
             return;
         }
-        long until = promises.granted(grant);
-        // Promises extend a right that has not run out. They never revive one: in between, someone may have led.
-        if (loop.now() < rightUntil && until > rightUntil) {
-            rightUntil = until;
-            if (loop.now() < sightUntil()) {
-                to(State.PROMISED);
-            }
+        if (lease.extendByPromises(promises.granted(grant)) && loop.now() < freshnessDeadline()) {
+            state.to(State.PROMISED);
         }
     }
 
+    /** Another controller gives no promise, since it can use the state service or leads. */
     public void refused(PeerMessage.Refuse refusal) {
         // One that comes late tells of an earlier trouble: in an outage it would cost the lead that the others have
         // promised.
         if (!leads()
-                || refusal.token() != token
-                || loop.now() - renewed < leaseMs / 2
+                || refusal.token() != token.value()
+                || lease.sinceRenewal() < settings.leaseMs() / 2
                 || !promises.askedLately(refusal.number())) {
             return;
         }
         // Someone else can use the state service. One more try of our own, then the lead goes to that controller.
-        long mine = lease;
-        long sent = loop.now();
-        client.renew(mine, Promises.PROBE_MS, answer -> {
-            if (!leads() || lease != mine) {
-                return;
-            }
-            if (answer.ok()) {
-                renewed(sent);
-            } else {
-                handOver(refusal.host() + " can use the state service and this controller cannot");
-            }
-        });
+        lease.tryRenewal(
+                Promises.PROBE_MS,
+                this::renewed,
+                () -> handOver(refusal.host() + " can use the state service and this controller cannot"));
     }
 
     /** Steps down for good and tells the others that the key may be replaced. */
     private void handOver(String why) {
-        long given = token;
+        long ended = token.value();
         stepDown(why);
-        for (String other : others) {
-            peers.send(other, new PeerMessage.HandOver(host, given));
-        }
+        peers.sendToOthers(new PeerMessage.HandOver(peers.host(), ended));
     }
 
-    /** The leader of this token gives no more commands, by its own word. */
-    public void handedOver(PeerMessage.HandOver word) {
-        handedOver = word.token();
+    /** The leader of this token gives no more commands, as it says itself. */
+    public void handedOver(PeerMessage.HandOver handOver) {
+        election.handedOver(handOver.token());
         consider();
     }
 
     private void stepDown(String why) {
         LOG.warn("stepping down: {}", why);
-        lease = 0;
-        rightUntil = Long.MIN_VALUE / 2;
+        lease.end();
         promises.clear();
-        claimNotBefore = loop.now() + leaseMs;
-        to(State.FOLLOWING);
+        election.pause(settings.leaseMs());
+        state.to(State.FOLLOWING);
         listener.deposed();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -339,7 +339,7 @@
         Machine m = new Machine(id, addr, kind, zone, spot, loop.now());
         if (addr != null) {
             m.written = true;
-            m.answered = Math.min(silentSince, lead.silentSince());
+            m.answered = Math.min(silentSince, lead.quiescentSince());
             m.answeredBefore = m.answered;
             unverifiedMachines.add(m);
         }
@@ -348,7 +348,7 @@
 
     /** A page of the roster cannot be read: machines that nobody knows may hold anything, for as long as a lease lasts. */
     void unreadable() {
-        unverifiedMachines.unreadable(lead.silentSince() + leaseMs);
+        unverifiedMachines.unreadable(lead.quiescentSince() + leaseMs);
     }
 
     /** True while machines that nobody knows may hold tasks of any team, nobody knows how many. */
@@ -436,7 +436,7 @@
                 if (a.job.equals(job.id())) {
                     attempts.disown(a);
                     // Its user may have been told at any time since all cancellations were known last.
-                    a.offBy = job.status() == Job.Status.CANCELLED ? lead.sightUntil() : a.offBy;
+                    a.offBy = job.status() == Job.Status.CANCELLED ? lead.freshnessDeadline() : a.offBy;
                     some = true;
                 }
             }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -127,7 +127,7 @@
         }
         stored.forEach((key, value) -> {
             if (key.startsWith(root + MachineRegistry.PREFIX)) {
-                registry.takeOver(key, value, seenAt.get(key), lead.previous());
+                registry.takeOver(key, value, seenAt.get(key), lead.previousToken());
             } else if (key.startsWith(root + Progress.PREFIX)) {
                 progress.takeOver(key, value, table);
             }
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -173,7 +173,7 @@
         if (configuration.number() == 0) {
             return false;
         }
-        long age = now - context.lead().known();
+        long age = now - context.lead().cancellationsKnownAt();
         if (age > ASK_AGAIN_MS && !asking) {
             asking = true;
             context.watchCache().barrier(() -> asking = false, () -> asking = false);
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -0,0 +1,172 @@
+package org.landingridge.controller.peer;
+
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.landingridge.controller.jobs.CancellationLog;
+
+/**
+ * The form of messages on the wire: records of DataOutputStream, a byte of the type and the sender first. Fields that later
+ * versions added stand last, and a record without them is read as one of an earlier version.
+ */
+final class PeerMessageCodec {
+    private PeerMessageCodec() {}
+
+    static byte[] encode(PeerMessage message) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        DataOutputStream out = new DataOutputStream(bytes);
+        try {
+            out.writeByte(message.type().code());
+            out.writeUTF(message.host());
+            writeFields(out, message);
+        } catch (IOException e) {
+            throw new UncheckedIOException("a byte array takes everything", e);
+        }
+        return bytes.toByteArray();
+    }
+
+    private static void writeFields(DataOutputStream out, PeerMessage message) throws IOException {
+        switch (message.type()) {
+            case ASK -> write(out, (PeerMessage.Ask) message);
+            case GRANT -> write(out, (PeerMessage.Grant) message);
+            case REFUSE -> write(out, (PeerMessage.Refuse) message);
+            case HAND_OVER -> out.writeLong(((PeerMessage.HandOver) message).token());
+            case RUNNING_COUNTS -> write(out, (PeerMessage.RunningCounts) message);
+            case FORWARDED_HEARTBEAT -> write(out, (PeerMessage.ForwardedHeartbeat) message);
+            case ANSWER -> write(out, (PeerMessage.Answer) message);
+        }
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.Ask ask) throws IOException {
+        out.writeLong(ask.token());
+        out.writeLong(ask.number());
+        out.writeLong(ask.knownRevision());
+        out.writeLong(ask.incarnation());
+        out.writeLong(ask.position());
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.Grant grant) throws IOException {
+        out.writeLong(grant.token());
+        out.writeLong(grant.number());
+        out.writeBoolean(grant.report() != null);
+        if (grant.report() != null) {
+            write(out, grant.report());
+        }
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.CancellationReport report) throws IOException {
+        out.writeLong(report.incarnation());
+        out.writeLong(report.from());
+        out.writeLong(report.to());
+        out.writeBoolean(report.complete());
+        out.writeInt(report.cancellations().size());
+        for (CancellationLog.Ending cancellation : report.cancellations()) {
+            out.writeLong(cancellation.revision());
+            out.writeUTF(cancellation.id());
+        }
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.Refuse refusal) throws IOException {
+        out.writeLong(refusal.token());
+        out.writeLong(refusal.number());
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.RunningCounts running) throws IOException {
+        out.writeInt(running.counts().size());
+        for (Map.Entry<String, Integer> count : running.counts().entrySet()) {
+            out.writeUTF(count.getKey());
+            out.writeInt(count.getValue());
+        }
+        out.writeBoolean(running.writesStarved());
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.ForwardedHeartbeat heartbeat) throws IOException {
+        out.writeLong(heartbeat.number());
+        writeBody(out, heartbeat.body());
+    }
+
+    private static void write(DataOutputStream out, PeerMessage.Answer answer) throws IOException {
+        out.writeLong(answer.number());
+        out.writeInt(answer.status());
+        writeBody(out, answer.body());
+    }
+
+    private static void writeBody(DataOutputStream out, byte[] body) throws IOException {
+        out.writeInt(body.length);
+        out.write(body);
+    }
+
+    /** Reads one record; anything malformed is an IOException. */
+    static PeerMessage decode(DataInputStream in) throws IOException {
+        int code = in.readUnsignedByte();
+        String host = in.readUTF();
+        return switch (PeerRecordType.of(code)) {
+            case ASK -> readAsk(host, in);
+            case GRANT -> readGrant(host, in);
+            case REFUSE -> new PeerMessage.Refuse(host, in.readLong(), in.readLong());
+            case HAND_OVER -> new PeerMessage.HandOver(host, in.readLong());
+            case RUNNING_COUNTS -> readRunningCounts(host, in);
+            case FORWARDED_HEARTBEAT -> new PeerMessage.ForwardedHeartbeat(host, in.readLong(), readBody(in));
+            case ANSWER -> new PeerMessage.Answer(host, in.readLong(), in.readInt(), readBody(in));
+        };
+    }
+
+    /** A controller of an earlier version does not ask for the others' reports. */
+    private static PeerMessage readAsk(String host, DataInputStream in) throws IOException {
+        return new PeerMessage.Ask(
+                host,
+                in.readLong(),
+                in.readLong(),
+                in.available() > 0 ? in.readLong() : Long.MAX_VALUE,
+                in.available() > 0 ? in.readLong() : 0,
+                in.available() > 0 ? in.readLong() : 0);
+    }
+
+    /** A controller of an earlier version gives no report. */
+    private static PeerMessage readGrant(String host, DataInputStream in) throws IOException {
+        long token = in.readLong();
+        long number = in.readLong();
+        boolean reports = in.available() > 0 && in.readBoolean();
+        return new PeerMessage.Grant(host, token, number, reports ? readReport(in) : null);
+    }
+
+    private static PeerMessage.CancellationReport readReport(DataInputStream in) throws IOException {
+        long incarnation = in.readLong();
+        long from = in.readLong();
+        long to = in.readLong();
+        boolean complete = in.readBoolean();
+        int size = in.readInt();
+        if (size < 0 || size > PeerMessage.MAX_BYTES) {
+            throw new IOException(size + " cancellations");
+        }
+        List<CancellationLog.Ending> cancellations = new ArrayList<>();
+        for (int i = 0; i < size; i++) {
+            cancellations.add(new CancellationLog.Ending(in.readLong(), in.readUTF()));
+        }
+        return new PeerMessage.CancellationReport(incarnation, from, to, complete, cancellations);
+    }
+
+    /** A leader of a version before 0.3 says nothing of its writes. */
+    private static PeerMessage readRunningCounts(String host, DataInputStream in) throws IOException {
+        int size = in.readInt();
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        for (int i = 0; i < size; i++) {
+            counts.put(in.readUTF(), in.readInt());
+        }
+        return new PeerMessage.RunningCounts(host, counts, in.available() > 0 && in.readBoolean());
+    }
+
+    private static byte[] readBody(DataInputStream in) throws IOException {
+        int length = in.readInt();
+        if (length < 0 || length > PeerMessage.MAX_BYTES) {
+            throw new IOException("a body of " + length + " bytes");
+        }
+        return in.readNBytes(length);
+    }
+}
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
@@ -0,0 +1,34 @@
+package org.landingridge.controller.peer;
+
+import java.io.IOException;
+
+/** The types of records between controllers, each with the byte that its record begins with. */
+public enum PeerRecordType {
+    ASK(1),
+    GRANT(2),
+    REFUSE(3),
+    HAND_OVER(4),
+    RUNNING_COUNTS(5),
+    FORWARDED_HEARTBEAT(6),
+    ANSWER(7);
+
+    private static final PeerRecordType[] ALL = values();
+    private final int code;
+
+    PeerRecordType(int code) {
+        this.code = code;
+    }
+
+    int code() {
+        return code;
+    }
+
+    static PeerRecordType of(int code) throws IOException {
+        for (PeerRecordType type : ALL) {
+            if (type.code == code) {
+                return type;
+            }
+        }
+        throw new IOException("unknown record type " + code);
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -9,6 +9,7 @@
 import java.util.function.LongSupplier;
 import org.landingridge.controller.observability.ActivityTimer;
 import org.landingridge.controller.settings.Settings;
+import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.controller.store.StateClient.Guard;
 import org.landingridge.controller.store.StateClient.Write;
 import org.landingridge.net.EventLoop;
@@ -17,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the leader's documents in groups, one transaction at a time, within the service's write rate. Every
- * transaction is conditional on the leader's key and on the current version of each document, so one that arrives
- * late, or from a leader of the past, changes nothing.
+ * Writes the leader's documents in batches, one transaction at a time, within the service's write rate. Every transaction is
+ * conditional on the leader's key and on the current version of each document, so one that arrives late, or from a leader of
+ * the past, changes nothing.
  */
 public final class BatchWriter {
     private enum State {
@@ -32,6 +33,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(BatchWriter.class);
     private static final long STARVED_MS = 3_000;
     private static final long REFUSED_PAUSE_MS = 250;
+    private static final long SHORTEST_PAUSE_MS = 20;
+    private static final long REREAD_PAUSE_MS = 50;
+    private static final long RETRY_REREAD_MS = 300;
     /** A transaction takes 64 KiB, keys and conditions included. */
     private static final int MOST_BYTES = 60_000;
     /** What a write takes beside its value. */
@@ -49,26 +53,49 @@
     private State state = State.IDLE;
     private int maxOps;
     private long nextAllowed;
+    /** Counts the leader terms: what an earlier one began is dropped when its answer comes. */
     private long epoch;
+
     private long refusedAt = Long.MIN_VALUE / 2;
 
+    /** One transaction in the making. */
+    private static final class Batch {
+        private final List<Guard> guards = new ArrayList<>();
+        private final List<Write> writes = new ArrayList<>();
+        private final List<Document> documents = new ArrayList<>();
+        private int bytes;
+
+        Batch(Guard leader) {
+            guards.add(leader);
+        }
+
+        boolean hasRoom(int size) {
+            return bytes + size <= MOST_BYTES;
+        }
+
+        void add(Document document, JsonNode value, long version) {
+            guards.add(new Guard(document.key(), version));
+            writes.add(new Write(document.key(), value, 0));
+            documents.add(document);
+        }
+    }
+
     /**
      * @param limits        of the state service
      * @param share         of the puts and deletes a second, what the leader may use
      * @param leaderVersion version of the leader's key, or 0 while this process may not write
+     * @param busy          takes the time of each write
      */
     public BatchWriter(
-            StateClient client,
-            WatchCache watchCache,
-            EventLoop loop,
+            StoreAccess store,
             Settings.State limits,
             double share,
             String leaderKey,
             LongSupplier leaderVersion,
             ActivityTimer busy) {
-        this.client = client;
-        this.watchCache = watchCache;
-        this.loop = loop;
+        this.client = store.client();
+        this.watchCache = store.cache();
+        this.loop = store.loop();
         this.maxOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
         this.msPerWrite = 1000.0 / (limits.writeRps() * share);
@@ -77,12 +104,11 @@
         this.busy = busy;
     }
 
+    /** Has the document written soon, as it will be then. */
     public void mark(Document document) {
         dirty.add(document);
         if (state == State.IDLE) {
-            to(State.WAITING);
-            loop.after(
-                    Math.max(20, nextAllowed - loop.now()), () -> busy.during(ActivityTimer.Part.WRITES, this::write));
+            schedule(0);
         }
     }
 
@@ -91,7 +117,7 @@
         return state == State.IDLE && dirty.isEmpty();
     }
 
-    /** True if the state service refused a group lately, and something still waits to be written. */
+    /** True if the state service refused a batch lately, and something still waits to be written. */
     public boolean starved() {
         return !idle() && loop.now() - refusedAt < STARVED_MS;
     }
@@ -107,108 +133,132 @@
         state = next;
     }
 
+    private void schedule(long atLeastMs) {
+        to(State.WAITING);
+        loop.after(
+                Math.max(atLeastMs, Math.max(SHORTEST_PAUSE_MS, nextAllowed - loop.now())),
+                () -> busy.during(ActivityTimer.Part.WRITES, this::write));
+    }
+
     private void write() {
         if (state != State.WAITING) {
             return;
         }
-        dirty.removeIf(d -> !d.wanted());
+        dirty.removeIf(document -> !document.wanted());
         long leader = leaderVersion.getAsLong();
         if (dirty.isEmpty() || leader == 0) {
             to(State.IDLE);
             return;
         }
-        List<Document> group = dirty.stream()
+        List<Document> candidates = candidates();
+        Batch batch = assemble(candidates, new Guard(leaderKey, leader));
+        if (batch.writes.isEmpty()) {
+            again(candidates.isEmpty() ? REFUSED_PAUSE_MS : 0);
+        } else {
+            commit(batch);
+        }
+    }
+
+    private List<Document> candidates() {
+        return dirty.stream()
                 .filter(Document::ready)
                 .sorted(Comparator.comparingInt(Document::rank))
                 .limit(maxOps)
                 .toList();
-        List<Guard> guards = new ArrayList<>();
-        List<Write> writes = new ArrayList<>();
-        guards.add(new Guard(leaderKey, leader));
-        int bytes = 0;
-        List<Document> taken = new ArrayList<>();
-        for (Document d : group) {
-            JsonNode value = d.render();
+    }
+
+    private Batch assemble(List<Document> candidates, Guard leader) {
+        Batch batch = new Batch(leader);
+        for (Document document : candidates) {
+            JsonNode value = document.render();
             int length = value == null ? 0 : Json.bytes(value).length;
-            int size = length + OVERHEAD_BYTES;
-            if (bytes + size > MOST_BYTES) {
+            if (!batch.hasRoom(length + OVERHEAD_BYTES)) {
                 break;
             }
+            dirty.remove(document);
             if (length > valueBytes) {
                 // It would be refused, and all that goes with it, again and again.
-                LOG.error("{} takes {} bytes of {}: it cannot be stored", d.key(), length, valueBytes);
-                dirty.remove(d);
-                d.refused();
+                LOG.error("{} takes {} bytes of {}: it cannot be stored", document.key(), length, valueBytes);
+                document.refused();
                 continue;
             }
-            bytes += size;
-            long version = watchCache.version(d.key());
-            dirty.remove(d);
-            if (value == null && version == 0) {
-                loop.after(0, () -> d.stored(watchCache.revision()));
-                continue;
-            }
-            guards.add(new Guard(d.key(), version));
-            writes.add(new Write(d.key(), value, 0));
-            taken.add(d);
+            batch.bytes += length + OVERHEAD_BYTES;
+            add(batch, document, value);
         }
-        if (writes.isEmpty()) {
-            again(group.isEmpty() ? REFUSED_PAUSE_MS : 0);
-            return;
+        return batch;
+    }
+
+    private void add(Batch batch, Document document, JsonNode value) {
+        long version = watchCache.version(document.key());
+        if (value == null && version == 0) {
+            // There is nothing to delete.
+            loop.after(0, () -> document.stored(watchCache.revision()));
+        } else {
+            batch.add(document, value, version);
         }
+    }
+
+    private void commit(Batch batch) {
         to(State.WRITING);
-        nextAllowed = loop.now() + Math.round(msPerWrite * writes.size());
+        nextAllowed = loop.now() + Math.round(msPerWrite * batch.writes.size());
         long began = epoch;
-        client.commit(guards, writes, answer -> {
-            if (began != epoch) {
-                return;
-            }
-            switch (answer.status()) {
-                case OK -> {
-                    for (Write w : writes) {
-                        if (w.value() == null) {
-                            watchCache.deleted(w.key(), answer.revision());
-                        } else {
-                            watchCache.committed(w.key(), answer.revision());
-                        }
-                    }
-                    for (Document d : taken) {
-                        d.stored(answer.revision());
-                    }
-                    again(0);
-                }
-                case REFUSED -> {
-                    refusedAt = loop.now();
-                    taken.forEach(Document::refused);
-                    dirty.addAll(taken);
-                    again(REFUSED_PAUSE_MS);
-                }
-                case INVALID -> invalid(taken);
-                default -> {
-                    // Unknown, or another version than ours: what holds now is read before anything is said again.
-                    LOG.info("a group of {} writes ended {}: reading again", writes.size(), answer.status());
-                    dirty.addAll(taken);
-                    to(State.REREADING);
-                    reread(began);
-                }
+        client.commit(batch.guards, batch.writes, answer -> {
+            if (began == epoch) {
+                committed(batch, answer);
             }
         });
     }
 
+    private void committed(Batch batch, Answer answer) {
+        switch (answer.status()) {
+            case OK -> {
+                stored(batch, answer.revision());
+                again(0);
+            }
+            case REFUSED -> {
+                refusedAt = loop.now();
+                batch.documents.forEach(Document::refused);
+                dirty.addAll(batch.documents);
+                again(REFUSED_PAUSE_MS);
+            }
+            case INVALID -> invalid(batch.documents);
+            case CONFLICT, NOT_FOUND, NO_LEASE, TOO_OLD, UNKNOWN -> {
+                // Unknown, or another version than ours: what holds now is read before anything is said again.
+                LOG.info("a batch of {} writes ended {}: reading again", batch.writes.size(), answer.status());
+                dirty.addAll(batch.documents);
+                to(State.REREADING);
+                reread(epoch);
+            }
+        }
+    }
+
+    private void stored(Batch batch, long revision) {
+        for (Write write : batch.writes) {
+            if (write.value() == null) {
+                watchCache.deleted(write.key(), revision);
+            } else {
+                watchCache.committed(write.key(), revision);
+            }
+        }
+        for (Document document : batch.documents) {
+            document.stored(revision);
+        }
+    }
+
     /**
-     * The state service takes less than its announced limits. A smaller group may pass; a single document that does not is
+     * The state service takes less than its announced limits. A smaller batch may pass; a single document that does not is
      * left as it is until it changes, since asked for the same again the service would refuse for ever.
      */
-    private void invalid(List<Document> group) {
-        group.forEach(Document::refused);
-        if (group.size() > 1) {
-            maxOps = group.size() / 2;
-            LOG.warn("a group of {} writes is invalid: {} at most from now on", group.size(), maxOps);
-            dirty.addAll(group);
+    private void invalid(List<Document> documents) {
+        documents.forEach(Document::refused);
+        if (documents.size() > 1) {
+            maxOps = documents.size() / 2;
+            LOG.warn("a batch of {} writes is invalid: {} at most from now on", documents.size(), maxOps);
+            dirty.addAll(documents);
         } else {
             LOG.error(
                     "{} cannot be stored: the state service calls it invalid",
-                    group.get(0).key());
+                    documents.get(0).key());
         }
         again(REFUSED_PAUSE_MS);
     }
@@ -217,23 +267,20 @@
         watchCache.barrier(
                 () -> {
                     if (began == epoch) {
-                        again(50);
+                        again(REREAD_PAUSE_MS);
                     }
                 },
-                () -> loop.after(300, () -> {
+                () -> loop.after(RETRY_REREAD_MS, () -> {
                     if (began == epoch) {
                         reread(began);
                     }
                 }));
     }
 
-    private void again(long atLeast) {
+    private void again(long atLeastMs) {
         to(State.IDLE);
         if (!dirty.isEmpty()) {
-            to(State.WAITING);
-            loop.after(
-                    Math.max(atLeast, Math.max(20, nextAllowed - loop.now())),
-                    () -> busy.during(ActivityTimer.Part.WRITES, this::write));
+            schedule(atLeastMs);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/store/Document.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Document.java
@@ -4,6 +4,7 @@
 
 /** One stored value that the leader keeps up to date through the {@link BatchWriter}. */
 public interface Document {
+    /** Where it is stored. */
     String key();
 
     /** The value as it should be now; null deletes the key. */
--- a/controller/src/main/java/org/landingridge/controller/store/Page.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Page.java
@@ -18,6 +18,7 @@
 
     private boolean everStored;
 
+    /** @param key where the page is stored */
     protected Page(String key) {
         this.key = key;
     }
@@ -57,7 +58,7 @@
     /** Written without rows that no other page holds yet, a leader that reads it then would not know of them. */
     @Override
     public final boolean ready() {
-        successors.removeIf(p -> p.everStored);
+        successors.removeIf(page -> page.everStored);
         return successors.isEmpty();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -77,15 +77,16 @@
                 return page;
             }
         }
-        int n = 0;
-        while (taken(prefix + n)) {
-            n++;
+        int number = 0;
+        while (taken(prefix + number)) {
+            number++;
         }
-        return open(prefix + n);
+        return open(prefix + number);
     }
 
     private boolean taken(String key) {
-        return reserved.contains(key) || pages.stream().anyMatch(p -> p.key().equals(key));
+        return reserved.contains(key)
+                || pages.stream().anyMatch(page -> page.key().equals(key));
     }
 
     /** Moves what a page holds beyond its limit to other pages, and has all of them written. */
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -6,23 +6,28 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.landingridge.controller.observability.ActivityTimer;
 import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.controller.store.StateClient.Status;
 import org.landingridge.net.EventLoop;
-import org.landingridge.wire.Json;
+import org.landingridge.wire.state.StateChange;
+import org.landingridge.wire.state.StateChanges;
+import org.landingridge.wire.state.StateEntry;
+import org.landingridge.wire.state.StateListing;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A copy of everything under one prefix, kept current by a watch, and the read barrier on it. The mirror keeps the
- * versions; what the values mean is its listeners' business. The watch may be wider than what is read at the start: then
- * the listener hears of changes to keys that it has to read by itself.
+ * A copy of everything under one prefix, kept current by a watch, and the read barrier on it. The cache keeps the versions;
+ * what the values mean is its listener's business. The watch may be wider than what is read at the start: then the listener
+ * hears of changes to keys that it has to read by itself.
  */
 public final class WatchCache {
-    /** Told of every change in order; {@code value} is null for a deletion. */
+    /** Told of what changes. */
     public interface Listener {
+        /** A change, in order; {@code value} is null for a deletion. */
         void changed(String key, JsonNode value, long version);
 
         /** Changes may have been missed, outside of what is now read again. */
@@ -36,6 +41,9 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
     private static final long WATCH_MS = 10_000;
+    private static final int PAGE_ENTRIES = 500;
+    private static final long RETRY_LOAD_MS = 300;
+    private static final long RETRY_WATCH_MS = 400;
     private final StateClient client;
     private final EventLoop loop;
     private final String prefix;
@@ -55,12 +63,22 @@
     private boolean barrierDue;
     private boolean barrierRunning;
 
-    /** A caller at the barrier; {@code since} lets it give up in time. */
+    /** A caller at the barrier. */
     private record Waiter(Runnable passed, Runnable failed) {}
 
+    /**
+     * A reading of all pages.
+     *
+     * @param unseen   keys known before that no page has shown yet
+     * @param revision of the first page; -1 before it has come
+     * @param beganAt  when the first page was asked for
+     */
+    private record Load(Set<String> unseen, long revision, long beganAt) {}
+
     /**
      * @param prefix  what is read at the start and kept
      * @param watched a prefix of it: what the listener is told of
+     * @param pauseMs between two watches, and before a barrier, in milliseconds
      */
     public WatchCache(
             StateClient client,
@@ -79,14 +97,17 @@
         this.listener = listener;
     }
 
+    /** Reads everything, and follows the changes from there on. */
     public void start() {
-        load(null, new HashSet<>(versions.keySet()), -1, loop.now());
+        load(null, new Load(new HashSet<>(versions.keySet()), -1, loop.now()));
     }
 
+    /** False until everything has been read, and while it is read again. */
     public boolean following() {
         return state == State.FOLLOWING;
     }
 
+    /** Everything up to this revision is known here; -1 before anything is. */
     public long revision() {
         return revision;
     }
@@ -149,17 +170,17 @@
         List<Waiter> group = waiting;
         waiting = new ArrayList<>();
         if (state != State.FOLLOWING) {
-            group.forEach(w -> w.failed.run());
+            group.forEach(waiter -> waiter.failed.run());
             return;
         }
         barrierRunning = true;
-        long sent = loop.now();
+        long sentAt = loop.now();
         client.watch(watched, revision, 0, answer -> {
             barrierRunning = false;
-            boolean passed = answer.ok() && apply(answer, sent);
+            boolean passed = answer.ok() && apply(answer, sentAt);
             note(answer);
-            for (Waiter w : group) {
-                (passed ? w.passed : w.failed).run();
+            for (Waiter waiter : group) {
+                (passed ? waiter.passed : waiter.failed).run();
             }
         });
     }
@@ -172,10 +193,10 @@
 
     private void follow() {
         long from = revision;
-        long sent = loop.now();
+        long sentAt = loop.now();
         client.watch(watched, from, WATCH_MS, answer -> {
             note(answer);
-            if (answer.ok() && apply(answer, sent)) {
+            if (answer.ok() && apply(answer, sentAt)) {
                 // The pause gathers changes: one request of the shared rate then brings many.
                 loop.after(pauseMs, this::follow);
             } else if (answer.status() == Status.TOO_OLD) {
@@ -184,91 +205,97 @@
                 listener.lost();
                 start();
             } else {
-                loop.after(400, this::follow);
+                loop.after(RETRY_WATCH_MS, this::follow);
             }
         });
     }
 
-    /** @param sent when it was asked for: how late the answer comes, and how old it then is, nobody knows */
-    private boolean apply(Answer answer, long sent) {
-        long to = answer.revision();
-        JsonNode events = answer.body().get("events");
-        if (to < 0 || events == null || !events.isArray()) {
+    /** @param sentAt when it was asked for: how late the answer comes, and how old it then is, nobody knows */
+    private boolean apply(Answer answer, long sentAt) {
+        Optional<StateChanges> changes = answer.changes();
+        if (changes.isEmpty()) {
             LOG.warn("an answer to a watch was malformed and is dropped");
             return false;
         }
-        busy.during(ActivityTimer.Part.MIRROR, () -> apply(events));
-        revision = Math.max(revision, to);
+        busy.during(ActivityTimer.Part.MIRROR, () -> apply(changes.get().changes()));
+        revision = Math.max(revision, changes.get().revision());
         // While everything is read again, what a watch brings is not the whole.
-        viewAt = state == State.FOLLOWING ? Math.max(viewAt, sent) : viewAt;
+        viewAt = state == State.FOLLOWING ? Math.max(viewAt, sentAt) : viewAt;
         return true;
     }
 
-    private void apply(JsonNode events) {
+    private void apply(List<StateChange> changes) {
         long before = revision;
-        for (JsonNode e : events) {
-            long version = Json.integer(e, "stamp", -1);
+        for (StateChange change : changes) {
             // Watch and barrier overlap: what the other has applied already is passed over.
-            if (version > before) {
-                String put = Json.text(e, "write");
-                String gone = Json.text(e, "delete");
-                if (put != null) {
-                    if (put.startsWith(prefix)) {
-                        versions.put(put, version);
-                    }
-                    listener.changed(put, e.get("data"), version);
-                } else if (gone != null) {
-                    versions.remove(gone);
-                    listener.changed(gone, null, version);
+            if (change.version() > before) {
+                apply(change);
+            }
+        }
+    }
+
+    private void apply(StateChange change) {
+        switch (change.kind()) {
+            case PUT -> {
+                if (change.key().startsWith(prefix)) {
+                    versions.put(change.key(), change.version());
                 }
             }
+            case DELETE -> versions.remove(change.key());
         }
+        listener.changed(change.key(), change.value(), change.version());
     }
 
     /**
-     * Reads all pages. The first page's revision is where the watch begins: changes made while later pages are read
-     * then come once more, which does no harm.
-     *
-     * @param unseen keys known before that no page has shown yet
-     * @param began  when the first page was asked for
+     * Reads all pages. The first page's revision is where the watch begins: changes made while later pages are read then come
+     * once more, which does no harm.
      */
-    private void load(String after, Set<String> unseen, long start, long began) {
-        client.list(prefix, after, 500, answer -> {
+    private void load(String after, Load load) {
+        client.list(prefix, after, PAGE_ENTRIES, answer -> {
             note(answer);
-            JsonNode entries = answer.ok() ? answer.body().get("entries") : null;
-            if (entries == null || !entries.isArray() || answer.revision() < 0) {
-                loop.after(300, () -> load(after, unseen, start, after == null ? loop.now() : began));
+            StateListing page = answer.listing().orElse(null);
+            if (page == null || page.revision() < 0) {
+                loop.after(
+                        RETRY_LOAD_MS,
+                        () -> load(after, after == null ? new Load(load.unseen, load.revision, loop.now()) : load));
                 return;
             }
-            long from = start < 0 ? answer.revision() : start;
+            long from = load.revision < 0 ? page.revision() : load.revision;
             String last = after;
-            for (JsonNode e : entries) {
-                last = Json.text(e, "key");
-                long version = Json.integer(e, "stamp", 0);
-                unseen.remove(last);
-                if (version != version(last)) {
-                    versions.put(last, version);
-                    listener.changed(last, e.get("data"), version);
-                }
-            }
-            if (Json.flag(answer.body(), "more") && last != null) {
-                load(last, unseen, from, began);
-                return;
+            for (StateEntry entry : page.entries()) {
+                last = entry.key();
+                loaded(entry, load);
             }
-            for (String key : unseen) {
-                if (versions.remove(key) != null) {
-                    listener.changed(key, null, from);
-                }
-            }
-            boolean first = revision < 0;
-            revision = from;
-            state = State.FOLLOWING;
-            loaded = true;
-            viewAt = Math.max(viewAt, began);
-            if (first) {
-                LOG.info("read {} keys of the state service at revision {}", versions.size(), from);
+            if (page.more() && last != null) {
+                load(last, new Load(load.unseen, from, load.beganAt));
+            } else {
+                loaded(load, from);
             }
-            follow();
         });
     }
+
+    private void loaded(StateEntry entry, Load load) {
+        load.unseen.remove(entry.key());
+        if (entry.version() != version(entry.key())) {
+            versions.put(entry.key(), entry.version());
+            listener.changed(entry.key(), entry.value(), entry.version());
+        }
+    }
+
+    private void loaded(Load load, long from) {
+        for (String key : load.unseen) {
+            if (versions.remove(key) != null) {
+                listener.changed(key, null, from);
+            }
+        }
+        boolean first = revision < 0;
+        revision = from;
+        state = State.FOLLOWING;
+        loaded = true;
+        viewAt = Math.max(viewAt, load.beganAt);
+        if (first) {
+            LOG.info("read {} keys of the state service at revision {}", versions.size(), from);
+        }
+        follow();
+    }
 }
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -14,6 +14,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -21,6 +22,7 @@
 import org.landingridge.controller.jobs.CancellationLog;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.peer.PeerGroup;
 import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.net.EventLoop;
@@ -29,7 +31,7 @@
 import org.landingridge.wire.Json;
 import org.landingridge.wire.Priority;
 
-/** The others' word on cancellations, against a plain list of who knew what when. */
+/** The others' reports of cancellations, against a plain list of who knew what when. */
 class PromisesTest {
     private static final List<String> OTHERS = List.of("rig-1", "rig-2");
     private long now = 1_000;
@@ -60,9 +62,14 @@
 
     private final Map<String, Giver> givers = new LinkedHashMap<>();
     private final List<PeerMessage> toAsker = new ArrayList<>();
-    private int lives;
+    private int incarnations;
 
-    /** One of the others, with what all lives of its host have told users. */
+    private Promises promises(PeerGroup peers, long incarnation, CancellationLog log, BooleanSupplier stateRead) {
+        CancellationReports reports = new CancellationReports(loop, peers.others(), incarnation, log, stateRead);
+        return new Promises(client, loop, peers, "leader", reports);
+    }
+
+    /** One of the others, with what all incarnations of its host have told users. */
     private final class Giver {
         private final String host;
         private final Map<Long, Long> toldAt = new LinkedHashMap<>();
@@ -79,16 +86,8 @@
         void begin() {
             table = new JobTable(loop::now, id -> {});
             whole = false;
-            promises = new Promises(
-                    client,
-                    loop,
-                    (to, m) -> toAsker.add(m),
-                    "leader",
-                    host,
-                    List.of("rig-0"),
-                    ++lives,
-                    table.endings(),
-                    () -> whole);
+            PeerGroup peers = new PeerGroup(host, List.of("rig-0"), (to, m) -> toAsker.add(m));
+            promises = promises(peers, ++incarnations, table.endings(), () -> whole);
         }
 
         void read(Map<Long, Long> all) {
@@ -136,21 +135,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     @DisplayName(
-            "whoever calls a time known has all that was told before: words lost, late, twice, in pages, from former lives")
+            "whoever calls a time known has all that was told before: reports lost, late, twice, in pages, from former incarnations")
     void nothingIsMissing(long seed) {
         Random random = new Random(seed);
         Set<Long> here = new HashSet<>();
         List<PeerMessage> asks = new ArrayList<>();
-        Promises asker = new Promises(
-                client,
-                loop,
-                (to, m) -> asks.add(new Addressed(to, m).route()),
-                "leader",
-                "rig-0",
-                OTHERS,
-                77,
-                new CancellationLog(),
-                () -> true);
+        PeerGroup peers = new PeerGroup("rig-0", OTHERS, (to, m) -> asks.add(new Addressed(to, m).route()));
+        Promises asker = promises(peers, 77, new CancellationLog(), () -> true);
         OTHERS.forEach(h -> givers.put(h, new Giver(h)));
         Map<Long, Long> stored = new LinkedHashMap<>();
         long revision = 10;
@@ -191,13 +182,13 @@
                 int at = random.nextInt(toAsker.size());
                 PeerMessage m = random.nextInt(5) == 0 ? toAsker.get(at) : toAsker.remove(at);
                 if (random.nextInt(4) > 0 && m instanceof PeerMessage.Grant grant) {
-                    asker.heard(grant, e -> here.add(e.revision()));
+                    asker.reported(grant, e -> here.add(e.revision()));
                 }
                 if (toAsker.size() > 30) {
                     toAsker.subList(0, 20).clear();
                 }
             }
-            long known = asker.known();
+            long known = asker.cancellationsKnownAt();
             knownAdvanced += known > 0 ? 1 : 0;
             for (Giver giver : givers.values()) {
                 long view = since;
@@ -235,7 +226,7 @@
     }
 
     @Test
-    @DisplayName("records of an earlier version have no word, and are no proof of anything; cut off ones are refused")
+    @DisplayName("records of an earlier version have no report, and are no proof of anything; cut off ones are refused")
     void earlierVersionsAndNonsense() throws IOException {
         byte[] grant = new PeerMessage.Grant("rig-1", 3, 4, null).encode();
         byte[] before = java.util.Arrays.copyOf(grant, grant.length - 1);
@@ -246,7 +237,7 @@
                 "rig-1",
                 3,
                 4,
-                new PeerMessage.Word(
+                new PeerMessage.CancellationReport(
                         9,
                         0,
                         2,
@@ -280,19 +271,20 @@
 
     @Test
     @DisplayName("how long a leader may go on without news leaves a lease before cancel_s is over, on every deployment")
-    void blind() {
+    void freshness() {
         double[][] deployments = {{30, 10}, {45, 20}, {40, 10}, {46.5, 26.5}, {47, 22}};
         for (double[] d : deployments) {
-            long blind = Leadership.blindMs(d[0], d[1], 3_000);
-            assertTrue(blind > 3_000, blind + " ms with " + d[0]);
-            assertTrue(blind * 1.0005 + d[1] * 1_000.5 + 500 < d[0] * 1_000 * 0.9995, blind + " ms with " + d[0]);
+            long fresh = ElectionSettings.freshnessMs(d[0], d[1], 3_000);
+            assertTrue(fresh > 3_000, fresh + " ms with " + d[0]);
+            assertTrue(fresh * 1.0005 + d[1] * 1_000.5 + 500 < d[0] * 1_000 * 0.9995, fresh + " ms with " + d[0]);
         }
-        assertEquals(3_000, Leadership.blindMs(15, 20, 3_000), "where it cannot be kept, the lead still works");
+        assertEquals(
+                3_000, ElectionSettings.freshnessMs(15, 20, 3_000), "where it cannot be kept, the lead still works");
     }
 
     @Test
     @DisplayName(
-            "a record that has let go of something the leader lacks gives no word; it comes in pages where it has all")
+            "a record that has let go of something the leader lacks gives no report; it comes in pages where it has all")
     void theRecordIsBounded() {
         JobTable table = new JobTable(loop::now, id -> {});
         for (long revision = 1; revision <= 6_000; revision++) {
--- a/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
+++ b/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
@@ -37,11 +37,11 @@
     private final List<PeerMessage> sent = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
 
-    private HeartbeatForwarder life(long seed) {
-        HeartbeatForwarder relay = new HeartbeatForwarder(
+    private HeartbeatForwarder incarnation(long seed) {
+        HeartbeatForwarder forwarder = new HeartbeatForwarder(
                 LOOP, (host, message) -> sent.add(message), new SplittableRandom(seed), "rig-1", 100);
-        relay.heard("rig-0");
-        return relay;
+        forwarder.heard("rig-0");
+        return forwarder;
     }
 
     private Http.Exchange report(String machine) {
@@ -69,13 +69,13 @@
     }
 
     @Test
-    @DisplayName("an answer to a report that the former life carried is not handed to another machine")
-    void answerForTheFormerLife() {
-        life(1).report("rig-0", report("m-1"));
-        HeartbeatForwarder present = life(2);
+    @DisplayName("an answer to a report that the former incarnation forwarded is not handed to another machine")
+    void answerForTheFormerIncarnation() {
+        incarnation(1).report("rig-0", report("m-1"));
+        HeartbeatForwarder present = incarnation(2);
         present.report("rig-0", report("m-2"));
-        for (PeerMessage m : sent) {
-            PeerMessage.Heartbeat carried = (PeerMessage.Heartbeat) m;
+        for (PeerMessage message : sent) {
+            PeerMessage.ForwardedHeartbeat carried = (PeerMessage.ForwardedHeartbeat) message;
             present.answered(new PeerMessage.Answer(
                     "rig-0", carried.number(), 200, ("that of " + new String(carried.body())).getBytes()));
         }
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -18,6 +18,7 @@
 import org.landingridge.controller.store.Page;
 import org.landingridge.controller.store.PageTable;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.StoreAccess;
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.emulator.EmulatedStateService;
 import org.landingridge.emulator.Simulation;
@@ -78,9 +79,7 @@
         watchCache.start();
         sim.run(500);
         BatchWriter writer = new BatchWriter(
-                client,
-                watchCache,
-                host,
+                new StoreAccess(client, watchCache, host),
                 new Settings.State(100, 10, 1, writesToATransaction),
                 1.0,
                 LEADER,
@@ -114,9 +113,7 @@
         watchCache.start();
         sim.run(500);
         BatchWriter writer = new BatchWriter(
-                client,
-                watchCache,
-                host,
+                new StoreAccess(client, watchCache, host),
                 new Settings.State(100, 10, 1, 8),
                 1.0,
                 LEADER,
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -204,7 +204,7 @@
         SimulatedCluster.ControllerNode leader = w.leader();
         w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id));
         w.nodes.stream().filter(n -> n != leader).forEach(n -> {
-            PeerMessage late = new PeerMessage.Running(
+            PeerMessage late = new PeerMessage.RunningCounts(
                     w.nodes.stream()
                             .filter(o -> o != n && o != leader)
                             .findFirst()
