--- a/emulator/src/main/java/org/landingridge/emulator/FileStore.java
+++ b/emulator/src/main/java/org/landingridge/emulator/FileStore.java
@@ -7,14 +7,14 @@
 import org.h2.mvstore.MVStore;
 import org.landingridge.wire.Json;
 
-/** Keeps the stand-in state service in a file (H2's MVStore), so that it goes on where it was after a kill. */
+/** Keeps the emulated state service in a file (H2's MVStore), so that it goes on where it was after a kill. */
 public final class FileStore implements AutoCloseable {
     private static final String REVISION = "revision";
     private final MVStore store;
     private final MVMap<String, String> values;
     private final MVMap<String, Long> versions;
-    private final MVMap<String, Long> bound;
-    private final MVMap<Long, Long> lives;
+    private final MVMap<String, Long> leases;
+    private final MVMap<Long, Long> durations;
     private final MVMap<String, Long> meta;
 
     /** @param file created where it is missing; a second process on the same file is refused by the store's lock */
@@ -26,44 +26,47 @@
                 .open();
         values = store.openMap("values");
         versions = store.openMap("versions");
-        bound = store.openMap("bound");
-        lives = store.openMap("lives");
+        leases = store.openMap("bound");
+        durations = store.openMap("lives");
         meta = store.openMap("meta");
     }
 
     /** Fills {@code keys} with what was kept; returns the revision. */
-    long load(SortedMap<String, EmulatedStateService.Entry> keys) {
+    long load(SortedMap<String, StoredValue> keys) {
         values.forEach((key, value) -> keys.put(
                 key,
-                new EmulatedStateService.Entry(
+                new StoredValue(
                         Json.parse(value.getBytes(StandardCharsets.UTF_8)),
                         versions.get(key),
-                        bound.getOrDefault(key, 0L))));
+                        leases.getOrDefault(key, 0L))));
         return meta.getOrDefault(REVISION, 0L);
     }
 
-    long life(long lease) {
-        return lives.getOrDefault(lease, 0L);
+    /** The duration of a lease in milliseconds; 0 where it is not known. */
+    long durationMs(long lease) {
+        return durations.getOrDefault(lease, 0L);
     }
 
-    void granted(long lease, long lifeMs) {
-        lives.put(lease, lifeMs);
+    /** Keeps the duration of a lease. */
+    void granted(long lease, long durationMs) {
+        durations.put(lease, durationMs);
     }
 
-    void changed(String key, EmulatedStateService.Entry entry, long revision) {
-        if (entry == null) {
+    /** Keeps the value of a key, or its deletion where {@code stored} is null. */
+    void changed(String key, StoredValue stored, long revision) {
+        if (stored == null) {
             values.remove(key);
             versions.remove(key);
-            bound.remove(key);
+            leases.remove(key);
         } else {
-            values.put(key, Json.text(entry.value()));
-            versions.put(key, entry.version());
-            bound.put(key, entry.lease());
+            values.put(key, Json.text(stored.value()));
+            versions.put(key, stored.version());
+            leases.put(key, stored.lease());
         }
         meta.put(REVISION, revision);
     }
 
-    /** Makes everything so far last. */
+    /** Makes everything so far durable. */
     void commit() {
         store.commit();
     }
--- a/emulator/src/test/java/org/landingridge/emulator/FileStoreTest.java
+++ b/emulator/src/test/java/org/landingridge/emulator/FileStoreTest.java
@@ -33,8 +33,8 @@
     @Test
     void goesOnAfterAKill(@TempDir Path dir) {
         Simulation.Host first = sim.host("s");
-        try (FileStore shelf = new FileStore(dir.resolve("state.mv"))) {
-            EmulatedStateService state = new EmulatedStateService(first, shelf);
+        try (FileStore file = new FileStore(dir.resolve("state.mv"))) {
+            EmulatedStateService state = new EmulatedStateService(first, file);
             long lease = call(state, "POST", "/holds", "{\"lifeMs\":3000}")
                     .get("permit")
                     .longValue();
@@ -44,8 +44,8 @@
             call(state, "POST", "/commit", "{\"writes\":[{\"delete\":\"c\"}]}");
         }
         first.kill();
-        try (FileStore shelf = new FileStore(dir.resolve("state.mv"))) {
-            EmulatedStateService state = new EmulatedStateService(sim.host("s2"), shelf);
+        try (FileStore file = new FileStore(dir.resolve("state.mv"))) {
+            EmulatedStateService state = new EmulatedStateService(sim.host("s2"), file);
             JsonNode a = call(state, "GET", "/store/a", null);
             assertEquals(1, a.get("stamp").longValue());
             assertEquals(1, a.get("data").get("n").intValue());
--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
@@ -174,7 +174,7 @@
                 (int) world.over("done"),
                 (int) world.over("cancelled"),
                 world.rules.repeats,
-                world.state.tooMany,
+                world.state.tooMany(),
                 samples,
                 recoveries.stream().map(RecoveryTimeline::result).toList(),
                 orders.counts(),
@@ -183,7 +183,7 @@
                 served.figures(world.rules, plan.durationS(), 4.0 * plan.machines() * 2),
                 busy,
                 world.state.requests(),
-                world.state.mostWrites,
+                world.state.mostWrites(),
                 leaderKb,
                 (System.nanoTime() - began) / 1e9);
     }
--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
@@ -302,15 +302,13 @@
 
     /** The state service's limits fall without notice. */
     void limitsFall(Settings.State limits) {
-        state.valueBytes = limits.valueBytes();
-        state.txnOps = limits.txnOps();
-        state.writeRps = Math.min(state.writeRps, limits.writeRps());
+        state.limitSizes(limits.valueBytes(), limits.txnOps());
+        state.lowerWriteRate(limits.writeRps());
     }
 
     /** From here on the state service refuses what is beyond its limits. */
     void enforceLimits() {
-        state.rps = setup.state.rps();
-        state.writeRps = setup.state.writeRps();
+        state.limitRates(setup.state.rps(), setup.state.writeRps());
     }
 
     private String bootWorker(EmulatedCloud.Box box) {
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -74,7 +74,7 @@
             }
             case READ_AGAIN -> {
                 // Few changes are kept, and one controller cannot read for a while: it reads everything again.
-                w.state.keptChanges = 10;
+                w.state.keepChanges(10);
                 w.at(10_000, () -> w.state.refuse("rig-1", true));
                 w.at(22_000, () -> w.state.refuse("rig-1", false));
             }
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -11,7 +11,7 @@
 
     static void kept(SimulatedCluster w) {
         assertEquals(List.of(), w.rules.broken);
-        assertEquals(0, w.state.tooLarge);
+        assertEquals(0, w.state.tooLarge());
     }
 
     /** Once all troubles are over: nobody waits for 90 s beside room for it, and every one of these jobs finds an answer. */
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -98,7 +98,7 @@
         ended();
         long leader = JOBS + 3;
         if (blind) {
-            state.blindTo.add(SegmentAddress.ROOT);
+            state.ignoreGuards(SegmentAddress.ROOT);
         }
         side("a", true, leader);
         side("b", false, leader);
@@ -148,7 +148,7 @@
     void whoDoesNotLeadMovesNothing(boolean blind) throws InvalidMessageException {
         ended();
         if (blind) {
-            state.blindTo.add(Keys.LEADER);
+            state.ignoreGuards(Keys.LEADER);
         }
         side("a", true, JOBS + 2);
         sim.run(60_000);
@@ -161,7 +161,7 @@
     void whatHasChangedMeanwhileStays(boolean blind) throws InvalidMessageException {
         ended();
         if (blind) {
-            state.blindTo.add(Keys.JOBS);
+            state.ignoreGuards(Keys.JOBS);
         }
         Simulation.Host other = sim.host("other");
         rewrite(other, new StateClient(sim.client(other), "state"));
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -451,7 +451,7 @@
         SimulatedCluster.ControllerNode leader = w.leader();
         int starts = w.rules.starts;
         w.at(46_000, () -> {
-            w.state.unread.add(leader.host.name);
+            w.state.withholdWatches(leader.host.name);
             w.state.dropWatches();
         });
         cancelled(w, w.nodes.get((leader.index + 1) % 3), 46_200, FIRST, CANCELLED);
@@ -459,7 +459,7 @@
         assertEquals(CANCELLED, w.over("cancelled"));
         assertEquals(0, left(w));
         assertTrue(w.leader() != leader, "another leads");
-        w.at(90_000, w.state.unread::clear);
+        w.at(90_000, w.state::answerWatches);
         w.sim.run(120_000);
         kept(w);
         assertEquals(starts, w.rules.starts);
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -81,7 +81,7 @@
         kept(w);
         assertEquals("done", w.rules.told.get("job-000007"));
         assertTrue(moved(w) > 500, moved(w) + " moved");
-        assertTrue(w.state.mostWrites <= 20, w.state.mostWrites + " changes in a second");
+        assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " changes in a second");
     }
 
     /** The leader dies again and again, at moments that no step of a move is spared from. */
@@ -143,7 +143,7 @@
     void readAgainWhileJobsMove(long seed) {
         SimulatedCluster w = new SimulatedCluster(seed, 10);
         w.ended(100_000, MANY, 1);
-        w.state.keptChanges = 8;
+        w.state.keepChanges(8);
         questions(w, 2_000, 290_000, 200);
         for (int i = 0; i < 10; i++) {
             int n = i;
@@ -245,7 +245,7 @@
         assertEquals("done", w.rules.told.get(id));
         assertTrue(past(w, id), "it has moved");
         if (blind) {
-            w.state.blindTo.add(SegmentAddress.ROOT);
+            w.state.ignoreGuards(SegmentAddress.ROOT);
         }
         w.sim.heal();
         w.sim.run(200_000);
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -166,7 +166,7 @@
         if (refused) {
             w.refuse(leader, 20_000);
         } else {
-            w.state.unread.add(leader.host.name);
+            w.state.withholdWatches(leader.host.name);
         }
         SimulatedCluster.ControllerNode other =
                 w.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
@@ -177,7 +177,7 @@
         assertTrue(
                 w.rules.starts - startsThen[0] <= 4,
                 (w.rules.starts - startsThen[0]) + " starts of two processors' limit 1");
-        w.state.unread.clear();
+        w.state.answerWatches();
         w.sim.run(40_000);
         assertEquals(2, w.configuration(w.nodes.get(0)).get("number").intValue());
     }
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -101,15 +101,14 @@
             assertTrue(Json.bytes(state.value(key)).length <= 1_024, key);
         }
         assertEquals(3, state.keys("lr/page/").size());
-        assertEquals(0, state.tooLarge);
+        assertEquals(0, state.tooLarge());
     }
 
     /** A service that takes less than it announced: no group is sent for ever, and a document that passes alone is stored. */
     @Test
     void refusedForSizeIsNotRepeatedForEver() {
         state.seed(LEADER, Json.object());
-        state.txnOps = 2;
-        state.valueBytes = 600;
+        state.limitSizes(600, 2);
         watchCache.start();
         sim.run(500);
         BatchWriter writer = new BatchWriter(
@@ -130,7 +129,7 @@
         }
         sim.run(20_000);
         assertEquals(List.of("lr/page/1", "lr/page/2", "lr/page/3"), state.keys("lr/page/"));
-        assertTrue(state.tooLarge < 10, state.tooLarge + " were sent");
+        assertTrue(state.tooLarge() < 10, state.tooLarge() + " were sent");
         assertTrue(writer.idle());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
@@ -27,7 +27,7 @@
                 throw new AssertionError("nobody leads after 5 s");
             }
         }
-        System.out.println("requests " + w.state.requestsOf.get(leader.host.name));
+        System.out.println("requests " + w.state.requestsOf().get(leader.host.name));
         // Old jobs, at the ends of the history and within: asked for, submitted once more, cancelled.
         for (int n : new int[] {0, 6, 7, 511, 512, ended / 2, ended - 2, ended - 1}) {
             boolean cancelled = n % 7 == 0;
@@ -64,15 +64,16 @@
             }
         }
         // The leader dies, and the next one leads as soon.
-        int before =
-                w.state.requestsOf.values().stream().mapToInt(Integer::intValue).sum();
+        int before = w.state.requestsOf().values().stream()
+                .mapToInt(Integer::intValue)
+                .sum();
         w.leader().crash(1_000);
         w.sim.run(50_000);
         if (w.leader() == null || w.state.value(Keys.LEADER) == null) {
             throw new AssertionError("nobody leads after the leader's death");
         }
         System.out.println("answered by "
-                + (w.state.requestsOf.values().stream()
+                + (w.state.requestsOf().values().stream()
                                 .mapToInt(Integer::intValue)
                                 .sum()
                         - before) + " requests more");
@@ -129,6 +130,6 @@
             }
         }
         assertEquals(10_000, usable);
-        assertEquals(0, w.state.tooLarge);
+        assertEquals(0, w.state.tooLarge());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -87,13 +87,12 @@
     @DisplayName("the whole deployment stays within the state service's rates, through a takeover too")
     void statesRates() {
         SimulatedCluster w = grown(231);
-        w.state.mostRequests = 0;
-        w.state.mostWrites = 0;
+        w.state.resetPeaks();
         w.sim.run(60_000);
         w.leader().crash(4_000);
         w.sim.run(90_000);
-        assertTrue(w.state.mostRequests <= 200, w.state.mostRequests + " requests in one second");
-        assertTrue(w.state.mostWrites <= 20, w.state.mostWrites + " changes in one second");
+        assertTrue(w.state.mostRequests() <= 200, w.state.mostRequests() + " requests in one second");
+        assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " changes in one second");
         kept(w);
     }
 
@@ -111,8 +110,7 @@
         SimulatedCluster.ControllerNode leader = w.leader();
         int takeovers = w.metric(leader, "landingridge_takeovers");
         // The settings say 200 requests and 20 changes a second: 240 jobs at once are twelve seconds' worth of changes.
-        w.state.rps = 200;
-        w.state.writeRps = 20;
+        w.state.limitRates(200, 20);
         for (int i = 100; i < 340; i++) {
             w.submit(SimulatedCluster.job(i, "red", false, 1, 0.5, 2));
         }
@@ -123,7 +121,7 @@
                 .sum();
         assertTrue(refused > 100, refused + " refused, with the time to come back, and none held back");
         w.sim.run(150_000);
-        assertTrue(w.state.tooMany > 0);
+        assertTrue(w.state.tooMany() > 0);
         assertEquals(240, w.over("done"), "every job is accepted in the end, and runs");
         assertEquals(leader, w.leader());
         assertEquals(takeovers, w.metric(leader, "landingridge_takeovers"), "the lead was kept throughout");
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -80,7 +80,7 @@
 
     private void settled(int arrays) {
         assertEquals(List.of(), w.rules.broken);
-        assertEquals(0, w.state.tooLarge);
+        assertEquals(0, w.state.tooLarge());
         assertEquals(SERVICES, services());
         assertEquals(arrays, w.over("done"));
     }
