--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -10,8 +10,8 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * What each controller reports of the jobs that it knows to be cancelled, with its promises. Users were told so by one of
- * them, and a leader that has lost the state service learns it in no other way.
+ * What each controller reports of the jobs that it knows to be cancelled, with its promises. One of them has confirmed it to the
+ * user, and a leader that has lost the state service learns it in no other way.
  */
 final class CancellationReports {
     private final EventLoop loop;
@@ -23,7 +23,7 @@
     /** By host. */
     private final Map<String, Received> received = new HashMap<>();
 
-    /** How far the log of one controller is known here, and before when everything that it told users is. */
+    /** How far the log of one controller is known here, and before when everything that it confirmed to users is. */
     private static final class Received {
         private long incarnation;
         private long position;
@@ -44,8 +44,8 @@
      * @param others      hosts of the other controllers
      * @param incarnation of this process
      * @param log         the cancellations that this process knows
-     * @param stateRead   whether it has read the state whole: before, it cannot vouch for what its former incarnation told
-     *                    users
+     * @param stateRead   whether it has read the state whole: before, it cannot vouch for what its former incarnation
+     *                    confirmed to users
      */
     CancellationReports(
             EventLoop loop, List<String> others, long incarnation, CancellationLog log, BooleanSupplier stateRead) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Every cancellation that another controller told a user before this time, by the loop's clock, is known here. */
+    /** Every cancellation that another controller confirmed to a user before this time, by the loop's clock, is known here. */
     long knownAt() {
         long before = loop.now();
         for (String other : others) {
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -36,7 +36,7 @@
      */
     record Claim(long lease, long sentAt, long quiescentSince, long previousToken) {}
 
-    /** Told of an election that was won. */
+    /** Called when an election is won. */
     interface Winner {
         /** @param token the revision at which the claim put the leader's key */
         void won(Claim claim, long token);
@@ -216,7 +216,7 @@
         }
     }
 
-    /** The claim may have been carried out: the key itself tells. */
+    /** The claim may have been carried out: the key itself shows it. */
     private void resolve(Claim claim) {
         store.client().get(settings.key(), answer -> {
             if (pending != claim) {
@@ -235,7 +235,7 @@
 
     /**
      * True if this is the claim that put the record: an earlier one of the same process, carried out late, has bound the key
-     * to another lease, which nobody renews.
+     * to another lease, which is not renewed any more.
      */
     private boolean put(Claim claim, LeaderRecord stored) {
         return self.incarnation().equals(stored.incarnation()) && stored.lease() == claim.lease;
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -31,7 +31,7 @@
         SUSPENDED
     }
 
-    /** Told of every change of state. */
+    /** Called for every change of state. */
     public interface Listener {
         /** This controller leads under the token, and its copy of the state holds all that was written before. */
         void elected(long token);
@@ -153,7 +153,7 @@
     }
 
     /**
-     * Every cancellation that any controller told a user before this time, by the loop's clock, is known here: by what was
+     * Every cancellation that any controller confirmed to a user before this time, by the loop's clock, is known here: by what was
      * read of the state, or by the reports of all others.
      */
     public long cancellationsKnownAt() {
@@ -162,7 +162,7 @@
 
     /**
      * Until when workers may be answered without more news of cancellations, by the loop's clock. Beyond it the lead ends by
-     * itself: the tasks of a job that some user was told is cancelled could otherwise run on for as long as an outage lasts.
+     * itself: the tasks of a job whose cancellation was confirmed could otherwise run on for as long as an outage lasts.
      * What is cancelled now must be off its machine by then and a lease of the machine.
      */
     public long freshnessDeadline() {
@@ -299,7 +299,7 @@
 
     /** Another controller gives no promise, since it can use the state service or leads. */
     public void refused(PeerMessage.Refuse refusal) {
-        // One that comes late tells of an earlier trouble: in an outage it would cost the lead that the others have
+        // One that comes late is about an earlier failure: in an outage it would cost the lead that the others have
         // promised.
         if (!leads()
                 || refusal.token() != token.value()
@@ -314,7 +314,7 @@
                 () -> handOver(refusal.host() + " can use the state service and this controller cannot"));
     }
 
-    /** Steps down for good and tells the others that the key may be replaced. */
+    /** Steps down for good and lets the others know that the key may be replaced. */
     private void handOver(String why) {
         long ended = token.value();
         stepDown(why);
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -114,12 +114,12 @@
         reports.received(grant, askedAt.get(grant.number()), cancelled);
     }
 
-    /** Every cancellation that another controller told a user before this time, by the loop's clock, is known here. */
+    /** Every cancellation that another controller confirmed to a user before this time, by the loop's clock, is known here. */
     long cancellationsKnownAt() {
         return reports.knownAt();
     }
 
-    /** Until when nobody else will lead by the promises given so far; long past while one of them is missing. */
+    /** Until when no other controller will lead by the promises given so far; long past while one of them is missing. */
     long granted(PeerMessage.Grant grant) {
         Long sentAt = askedAt.get(grant.number());
         if (sentAt == null || !peers.others().contains(grant.host())) {
@@ -133,7 +133,7 @@
         return ClockDrift.safeEnd(oldest, DURATION_MS);
     }
 
-    /** True if the request of this number was sent so lately that an answer to it tells of the present. */
+    /** True if the request of this number was sent so lately that an answer to it describes the present. */
     boolean askedLately(long number) {
         Long sentAt = askedAt.get(number);
         return sentAt != null && loop.now() - sentAt < DURATION_MS;
--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -49,7 +49,7 @@
         this.number = random.nextLong();
     }
 
-    /** A sign of life of the leader. */
+    /** A message of this leader has come. */
     public void heard(String leader) {
         heardHost = leader;
         heardAt = loop.now();
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
@@ -0,0 +1,92 @@
+package org.landingridge.controller.peer;
+
+import java.io.ByteArrayInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.IoUtils;
+import org.xnio.StreamConnection;
+import org.xnio.conduits.ConduitStreamSourceChannel;
+
+/** Reads frames off one controller's connection until it ends: four bytes of length, then one record. */
+final class PeerFrameReader {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
+    private static final int LENGTH_BYTES = 4;
+    private static final int INITIAL_BYTES = 2048;
+    private final StreamConnection connection;
+    private final Consumer<PeerMessage> receiver;
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
+
+    PeerFrameReader(StreamConnection connection, Consumer<PeerMessage> receiver) {
+        this.connection = connection;
+        this.receiver = receiver;
+    }
+
+    void start() {
+        ConduitStreamSourceChannel source = connection.getSourceChannel();
+        source.setReadListener(this::drain);
+        source.resumeReads();
+    }
+
+    private void drain(ConduitStreamSourceChannel source) {
+        try {
+            int count;
+            while ((count = source.read(buffer)) > 0) {
+                takeFrames();
+            }
+            if (count < 0) {
+                IoUtils.safeClose(connection);
+            }
+        } catch (IOException e) {
+            LOG.debug("a controller's connection failed: {}", e.toString());
+            IoUtils.safeClose(connection);
+        }
+    }
+
+    private void takeFrames() throws IOException {
+        buffer.flip();
+        while (buffer.remaining() >= LENGTH_BYTES) {
+            int length = buffer.getInt(buffer.position());
+            if (length < 1 || length > PeerMessage.MAX_BYTES) {
+                throw new IOException("a frame of " + length + " bytes");
+            }
+            if (buffer.remaining() < LENGTH_BYTES + length) {
+                if (buffer.capacity() < LENGTH_BYTES + length) {
+                    grow(LENGTH_BYTES + length);
+                    return;
+                }
+                break;
+            }
+            buffer.getInt();
+            byte[] frame = new byte[length];
+            buffer.get(frame);
+            deliver(frame);
+        }
+        buffer.compact();
+    }
+
+    private void grow(int bytes) {
+        ByteBuffer larger = ByteBuffer.allocate(bytes);
+        larger.put(buffer);
+        buffer = larger;
+    }
+
+    private void deliver(byte[] frame) {
+        PeerMessage message;
+        try {
+            message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(frame)));
+        } catch (IOException e) {
+            // A frame of its own: what follows it can be read all the same.
+            LOG.warn("a controller's record of {} bytes cannot be read and is dropped: {}", frame.length, e.toString());
+            return;
+        }
+        try {
+            receiver.accept(message);
+        } catch (RuntimeException e) {
+            LOG.error("a record of {} failed", message.host(), e);
+        }
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * The leader's sign of life.
+     * The leader sends it every second, which shows that it is reachable.
      *
      * @param counts        how many tasks run of each job, for display
      * @param writesStarved whether the leader gets fewer changes into the state service than it has to make
--- a/controller/src/main/java/org/landingridge/controller/store/Keys.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Keys.java
@@ -1,8 +1,8 @@
 package org.landingridge.controller.store;
 
-/** Where things are kept in the state service. */
+/** The keys of the state service. */
 public final class Keys {
-    /** What every controller mirrors is kept under this prefix. */
+    /** What every controller keeps a copy of is stored under this prefix. */
     public static final String ROOT = "lr/";
     /** One key a job that is live, or has ended lately. */
     public static final String JOBS = ROOT + "job/";
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -25,7 +25,7 @@
  * hears of changes to keys that it has to read by itself.
  */
 public final class WatchCache {
-    /** Told of what changes. */
+    /** Called for what changes. */
     public interface Listener {
         /** A change, in order; {@code value} is null for a deletion. */
         void changed(String key, JsonNode value, long version);
@@ -77,7 +77,7 @@
 
     /**
      * @param prefix  what is read at the start and kept
-     * @param watched a prefix of it: what the listener is told of
+     * @param watched a prefix of it: what the listener is called for
      * @param pauseMs between two watches, and before a barrier, in milliseconds
      */
     public WatchCache(
@@ -210,7 +210,7 @@
         });
     }
 
-    /** @param sentAt when it was asked for: how late the answer comes, and how old it then is, nobody knows */
+    /** @param sentAt when it was asked for: how late the answer comes, and how old it then is, is not known */
     private boolean apply(Answer answer, long sentAt) {
         Optional<StateChanges> changes = answer.changes();
         if (changes.isEmpty()) {
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -49,7 +49,41 @@
     private final EventLoop loop;
     private final String host;
     private final TreeSet<String> hosts;
-    private final Map<String, Map<Feature, Integer>> announced = new HashMap<>();
+    /** What each controller has announced, by host. */
+    private final Map<String, Levels> announced = new HashMap<>();
+
+    /** The stored announcement of one controller: a level for each feature, 0 for one that it does not know. */
+    private static final class Levels {
+        private final Map<Feature, Integer> levels = new EnumMap<>(Feature.class);
+
+        /** A controller that has announced nothing is read from null. */
+        static Levels read(JsonNode announcement) {
+            Levels read = new Levels();
+            for (Feature feature : Feature.values()) {
+                read.levels.put(feature, announcement == null ? 0 : (int) Json.integer(announcement, feature.field, 0));
+            }
+            return read;
+        }
+
+        int of(Feature feature) {
+            return levels.get(feature);
+        }
+
+        /** These levels, raised to what this version knows. */
+        Levels raised() {
+            Levels raised = new Levels();
+            for (Feature feature : Feature.values()) {
+                raised.levels.put(feature, Math.max(of(feature), LEVEL));
+            }
+            return raised;
+        }
+
+        JsonNode toJson() {
+            ObjectNode announcement = Json.object();
+            levels.forEach((feature, level) -> announcement.put(feature.field, level));
+            return announcement;
+        }
+    }
 
     /** @param others the other controllers' hosts */
     public Capabilities(StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> others) {
@@ -61,53 +95,51 @@
         hosts.add(host);
     }
 
-    /** The mirror's news of one controller's announcement; null: it has been removed. */
+    /** The watch's news of one controller's announcement; null: it has been removed. */
     public void changed(String key, JsonNode value) {
-        Map<Feature, Integer> levels = new EnumMap<>(Feature.class);
-        for (Feature feature : Feature.values()) {
-            levels.put(feature, value == null ? 0 : (int) Json.integer(value, feature.field, 0));
-        }
-        announced.put(key.substring(ROOT.length()), levels);
+        announced.put(key.substring(ROOT.length()), Levels.read(value));
     }
 
-    private int level(String of, Feature feature) {
-        Map<Feature, Integer> levels = announced.get(of);
-        return levels == null ? 0 : levels.get(feature);
+    private Levels levels(String of) {
+        Levels levels = announced.get(of);
+        return levels == null ? Levels.read(null) : levels;
     }
 
     /** Announces what this version knows, where an earlier process of this host has not done so. */
     public void announce() {
+        Levels before = levels(host);
         boolean missing = false;
-        ObjectNode levels = Json.object();
         for (Feature feature : Feature.values()) {
-            int before = level(host, feature);
-            if (before > LEVEL) {
+            if (before.of(feature) > LEVEL) {
                 LOG.error("a later version has run on {}: what it wrote may not be readable here ({})", host, feature);
             }
-            missing |= before < LEVEL;
-            levels.put(feature.field, Math.max(before, LEVEL));
+            missing |= before.of(feature) < LEVEL;
         }
         if (!missing) {
             return;
         }
         if (watchCache.following()) {
-            String key = ROOT + host;
-            client.commit(
-                    List.of(new Guard(key, watchCache.version(key))), List.of(new Write(key, levels, 0)), answer -> {});
+            store(before.raised());
         }
-        // Until the mirror brings it back: an answer that got lost and a refusal are the same from here.
+        // Until the watch brings it back: an answer that got lost and a refusal are the same from here.
         loop.after(RETRY_MS, this::announce);
     }
 
+    private void store(Levels levels) {
+        String key = ROOT + host;
+        List<Guard> guards = List.of(new Guard(key, watchCache.version(key)));
+        client.commit(guards, List.of(new Write(key, levels.toJson(), 0)), answer -> {});
+    }
+
     /** The controllers that have not announced that they know the feature. */
     public List<String> unaware(Feature feature) {
-        List<String> all = new ArrayList<>();
-        for (String h : hosts) {
-            if (level(h, feature) < LEVEL) {
-                all.add(h);
+        List<String> unaware = new ArrayList<>();
+        for (String controller : hosts) {
+            if (levels(controller).of(feature) < LEVEL) {
+                unaware.add(controller);
             }
         }
-        return all;
+        return unaware;
     }
 
     /** True if every controller has announced that it knows the feature. */
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -56,7 +56,7 @@
             return () -> {};
         }
     };
-    /** Nobody can use the state service. */
+    /** No controller can use the state service. */
     private final StateClient client =
             new StateClient((addr, method, path, body, timeoutMs, done) -> done.accept(Http.Reply.NOT_SENT), "state");
 
@@ -69,10 +69,10 @@
         return new Promises(client, loop, peers, "leader", reports);
     }
 
-    /** One of the others, with what all incarnations of its host have told users. */
+    /** One of the others, with what all incarnations of its host have confirmed to users. */
     private final class Giver {
         private final String host;
-        private final Map<Long, Long> toldAt = new LinkedHashMap<>();
+        private final Map<Long, Long> confirmedAt = new LinkedHashMap<>();
         private JobTable table;
         private boolean whole;
         private Promises promises;
@@ -135,7 +135,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     @DisplayName(
-            "whoever calls a time known has all that was told before: reports lost, late, twice, in pages, from former incarnations")
+            "whoever calls a time known has all that was confirmed before: reports lost, late, twice, in pages, from former incarnations")
     void nothingIsMissing(long seed) {
         Random random = new Random(seed);
         Set<Long> here = new HashSet<>();
@@ -158,16 +158,16 @@
                     stored.put(++revision, now);
                     if (g.whole) {
                         g.know(revision);
-                        g.toldAt.put(revision, now);
+                        g.confirmedAt.put(revision, now);
                     }
                 }
             } else if (what < 45 && !stored.isEmpty()) {
-                // It hears of another's, and tells it when asked; in whatever order.
+                // It learns of another's, and confirms it when asked; in whatever order.
                 List<Long> all = new ArrayList<>(stored.keySet());
                 long r = all.get(Math.max(0, all.size() - 1 - random.nextInt(50)));
                 if (g.whole) {
                     g.know(r);
-                    g.toldAt.putIfAbsent(r, now);
+                    g.confirmedAt.putIfAbsent(r, now);
                 }
             } else if (what < 47) {
                 g.begin();
@@ -192,10 +192,10 @@
             knownAdvanced += known > 0 ? 1 : 0;
             for (Giver giver : givers.values()) {
                 long view = since;
-                giver.toldAt.forEach((r, at) -> assertTrue(
+                giver.confirmedAt.forEach((r, at) -> assertTrue(
                         at >= known || r <= view || here.contains(r),
-                        () -> r + " told by " + giver.host + " at " + at + " is missing, though all is known before "
-                                + known));
+                        () -> r + " confirmed by " + giver.host + " at " + at
+                                + " is missing, though all is known before " + known));
             }
         }
         assertTrue(knownAdvanced > 1_000, "it was known most of the time: " + knownAdvanced);
@@ -256,7 +256,7 @@
 
     @Test
     @DisplayName("a cancellation that is heard of before the job itself ends the job when it comes")
-    void foretold() {
+    void cancelledBeforeItIsKnown() {
         JobTable table = new JobTable(loop::now, id -> {});
         table.cancelled("job-000009", 9);
         table.changed("job-000009", JobTable.accepted(spec(9), 0), 5);
--- a/emulator/src/main/java/org/landingridge/emulator/EmulatedStateService.java
+++ b/emulator/src/main/java/org/landingridge/emulator/EmulatedStateService.java
@@ -62,7 +62,7 @@
         return store.keys(prefix);
     }
 
-    /** Puts a value as it would stand after a change of its own, with no watch told: what was there before a history. */
+    /** Puts a value as it would stand after a change of its own, which no watch brings: what was there before a history. */
     public void seed(String key, JsonNode value) {
         store.seed(key, value);
     }
--- a/emulator/src/main/java/org/landingridge/emulator/VersionedStore.java
+++ b/emulator/src/main/java/org/landingridge/emulator/VersionedStore.java
@@ -11,7 +11,7 @@
 import org.landingridge.wire.state.StateListing;
 import org.landingridge.wire.state.StateRequest;
 
-/** The keys of the emulated state service, their versions, and the changes that a watch can still be told of. */
+/** The keys of the emulated state service, their versions, and the changes that a watch can still bring. */
 final class VersionedStore {
     /** A listing holds no more entries, and no more bytes, than this. */
     private static final int PAGE_ENTRIES = 1_000;
@@ -92,7 +92,7 @@
         return bound;
     }
 
-    /** Puts a value in a revision of its own that no watch is told of. */
+    /** Puts a value in a revision of its own that no watch brings. */
     void seed(String key, JsonNode value) {
         keys.put(key, new StoredValue(value, ++revision, 0));
         forgotten = revision;
