--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -9,6 +9,7 @@
 import org.landingridge.controller.api.JobLookup;
 import org.landingridge.controller.api.JobService;
 import org.landingridge.controller.cloud.CloudClient;
+import org.landingridge.controller.election.ElectionSettings;
 import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.history.History;
 import org.landingridge.controller.history.SegmentAddress;
@@ -22,6 +23,7 @@
 import org.landingridge.controller.observability.IncidentReport;
 import org.landingridge.controller.observability.Metrics;
 import org.landingridge.controller.peer.HeartbeatForwarder;
+import org.landingridge.controller.peer.PeerGroup;
 import org.landingridge.controller.peer.PeerMessage;
 import org.landingridge.controller.peer.PeerTransport;
 import org.landingridge.controller.progress.CompletionStore;
@@ -30,6 +32,7 @@
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.StoreAccess;
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.controller.upgrade.Capabilities;
 import org.landingridge.net.EventLoop;
@@ -99,29 +102,14 @@
         capabilities = new Capabilities(client, watchCache, loop, settings.host(), others);
         forwarder = new HeartbeatForwarder(loop, peers, random, settings.host(), maxWaitingHeartbeats());
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
-        lead = new Leadership(
-                client,
-                watchCache,
-                loop,
-                random,
-                Keys.LEADER,
-                settings.host(),
-                holdMs,
-                Leadership.blindMs(
-                        settings.workers().cancelS(), settings.workers().leaseS(), holdMs),
-                others,
-                peers,
-                table.endings(),
-                this);
+        StoreAccess store = new StoreAccess(client, watchCache, loop);
+        PeerGroup group = new PeerGroup(settings.host(), others, peers);
+        long freshnessMs = ElectionSettings.freshnessMs(
+                settings.workers().cancelS(), settings.workers().leaseS(), holdMs);
+        ElectionSettings election = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
+        lead = new Leadership(store, random, group, election, table.endings(), this);
         BatchWriter writer = new BatchWriter(
-                client,
-                watchCache,
-                loop,
-                settings.stateLimits(),
-                WRITER_SHARE,
-                Keys.LEADER,
-                lead::writeGuard,
-                metrics.busy);
+                store, settings.stateLimits(), WRITER_SHARE, Keys.LEADER, lead::writeGuard, metrics.busy);
         cloud = new CloudClient(
                 http, loop, settings.cloud(), settings.cloudLimits().rps());
         JobLookup lookup = new JobLookup(client, watchCache, table, history);
@@ -207,25 +195,25 @@
             lead.refused(m);
         } else if (message instanceof PeerMessage.HandOver m) {
             lead.handedOver(m);
-        } else if (message instanceof PeerMessage.Running m) {
+        } else if (message instanceof PeerMessage.RunningCounts m) {
             runningCountsReceived(m);
-        } else if (message instanceof PeerMessage.Heartbeat m) {
+        } else if (message instanceof PeerMessage.ForwardedHeartbeat m) {
             forwardedHeartbeatReceived(m);
         } else if (message instanceof PeerMessage.Answer m) {
             forwarder.answered(m);
         }
     }
 
-    private void runningCountsReceived(PeerMessage.Running message) {
+    private void runningCountsReceived(PeerMessage.RunningCounts message) {
         // The sign of life of a former leader may come late: it may not hide the one that is heard now.
         if (!leaderView.otherIsHeard(message.host())) {
             forwarder.heard(message.host());
-            jobs.leaderHeard(message.comesShort());
+            jobs.leaderHeard(message.writesStarved());
             metrics.busy.during(Part.STATUS, () -> runningCounts.show(message.counts()));
         }
     }
 
-    private void forwardedHeartbeatReceived(PeerMessage.Heartbeat message) {
+    private void forwardedHeartbeatReceived(PeerMessage.ForwardedHeartbeat message) {
         Http.Exchange exchange = forwarder.carried(message);
         if (leaderTerm != null && lead.mayAct()) {
             metrics.busy.during(Part.FORWARDED_HEARTBEATS, () -> heartbeats.receive(exchange));
@@ -263,7 +251,7 @@
                 lead.keyChanged(value, version);
                 leaderView.leaderKeyChanged(before);
             } else if (key.equals(Keys.LEADER_LAST)) {
-                lead.lastChanged(value);
+                lead.lastLeaderChanged(value);
             } else {
                 leaderDocumentChanged(key, value);
             }
--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -49,7 +49,7 @@
         boolean starved = writer.starved();
         jobs.leaderHeard(starved);
         for (String other : otherHosts) {
-            peers.send(other, new PeerMessage.Running(ownHost, counts, starved));
+            peers.send(other, new PeerMessage.RunningCounts(ownHost, counts, starved));
         }
     }
 
--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
@@ -152,7 +152,7 @@
                 (int) cluster.over("done"),
                 (int) cluster.over("cancelled"),
                 cluster.checker.repeats,
-                cluster.state.tooMany,
+                cluster.state.tooMany(),
                 measurements.samples,
                 measurements.recoveries.stream().map(RecoveryTimeline::result).toList(),
                 orders.counts(),
@@ -161,7 +161,7 @@
                 demand.figures(cluster.checker, plan.durationS(), 4.0 * plan.machines() * 2),
                 measurements.activity,
                 cluster.state.requests(),
-                cluster.state.mostWrites,
+                cluster.state.mostWrites(),
                 leaderKb,
                 (System.nanoTime() - beganNanos) / 1e9);
     }
