--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
@@ -0,0 +1,37 @@
+package org.landingridge.controller.cloud;
+
+import java.util.List;
+import org.landingridge.controller.cloud.NextAction.Observation;
+import org.landingridge.net.Http;
+import org.landingridge.wire.CloudError;
+import org.landingridge.wire.RentResponse;
+
+/**
+ * What one call of an operation showed.
+ *
+ * @param text     the same for people; it is stored with the operation
+ * @param machines names that the answer lists: of the machines rented
+ */
+record CallOutcome(Observation observation, String text, List<String> machines) {
+    static CallOutcome of(Http.Reply reply) {
+        if (reply.is(200)) {
+            List<String> machines = RentResponse.parse(reply.body()).machines();
+            return new CallOutcome(Observation.SUCCEEDED, "200", machines);
+        }
+        if (reply.is(400)) {
+            return without(Observation.FAILED_TERMINAL, "malformed");
+        }
+        if (reply.is(503) && CloudError.parse(reply.body()).isNoCapacity()) {
+            return without(Observation.FAILED_TERMINAL, "no capacity");
+        }
+        return without(
+                Observation.UNAVAILABLE,
+                reply.outcome() == Http.Outcome.ANSWERED
+                        ? "status " + reply.status()
+                        : reply.outcome().name());
+    }
+
+    private static CallOutcome without(Observation observation, String text) {
+        return new CallOutcome(observation, text, List.of());
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -1,164 +1,205 @@
 package org.landingridge.controller.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
+import java.util.function.Consumer;
 import org.landingridge.controller.store.Document;
-import org.landingridge.wire.Json;
+import org.landingridge.wire.CloudRequest;
+import org.landingridge.wire.RentRequest;
+import org.landingridge.wire.ReturnRequest;
 
-/** The record of one rent or give-back: its key and request never change; what was seen of it does. */
+/** One rent or return. Its key and request never change; what was observed of it does. */
 public final class Operation implements Document {
+    /** What the operation does; the names are stored and shown. */
     public enum Kind {
+        /** Scale out: a {@link RentRequest}. */
         RENT,
-        GIVE_BACK
+        /** Scale in: a {@link ReturnRequest}. */
+        GIVE_BACK;
+
+        static Kind of(CloudRequest request) {
+            if (request instanceof RentRequest) {
+                return RENT;
+            }
+            return GIVE_BACK;
+        }
     }
 
-    /** DISPATCHED covers the moment between the writing of the record and the first answer. */
+    /** How far the operation has come; the names are stored and shown. */
     public enum State {
+        /** From the writing of the record to the first answer. */
         DISPATCHED,
+        /** A call had no clear outcome; it is sent again. */
         UNKNOWN,
+        /** The outcome has been unclear for longer than the query limit; it is still sent again. */
         ESCALATED,
+        /** The cloud has confirmed it. */
         SUCCEEDED,
+        /** The cloud has refused it for good. */
         FAILED,
-        FORGOTTEN
+        /** The record is being deleted. */
+        FORGOTTEN;
+
+        /** True while the outcome is not known. */
+        boolean open() {
+            return this == DISPATCHED || this == UNKNOWN || this == ESCALATED;
+        }
+
+        private boolean leadsTo(State next) {
+            return switch (this) {
+                case DISPATCHED, UNKNOWN, ESCALATED -> next != FORGOTTEN && next != DISPATCHED;
+                case SUCCEEDED, FAILED -> next == FORGOTTEN;
+                case FORGOTTEN -> false;
+            };
+        }
     }
 
+    /** The last part of the key prefix of operations. */
     public static final String PREFIX = "op/";
+
+    /** Ranks among the documents to be written: a closed operation follows the registry with the machines it brought. */
+    private static final int RANK_NEW = 3;
+
+    private static final int RANK_OPEN = 6;
+    private static final int RANK_CLOSED = 8;
+
     private final String root;
-    private final String key;
-    private final Kind kind;
-    private final ObjectNode request;
+    private final String name;
+    private final CloudRequest request;
     private final long dispatchedAt;
-    private final Operations owner;
-    private State state = State.DISPATCHED;
-    private String seen = "";
-    /** Token of the leader that works on it. */
-    private long claimedBy;
-
-    boolean written;
-    int tries;
-    long firstTry = -1;
-    long settledAt;
-
-    Operation(
-            String root,
-            String key,
-            Kind kind,
-            ObjectNode request,
-            long dispatchedAt,
-            long claimedBy,
-            Operations owner) {
+    /** Fencing token of the leader that works on it. */
+    private final long claimedBy;
+
+    private final Consumer<Operation> onStored;
+    private State state;
+    private String lastOutcome;
+    private boolean written;
+    private int calls;
+    private long firstCallAt = -1;
+
+    private Operation(String root, String name, StoredOperation record, long claimedBy, Consumer<Operation> onStored) {
         this.root = root;
-        this.key = key;
-        this.kind = kind;
-        this.request = request;
-        this.dispatchedAt = dispatchedAt;
+        this.name = name;
+        this.request = record.request();
+        this.state = record.state();
+        this.lastOutcome = record.lastOutcome();
+        this.dispatchedAt = record.dispatchedAt();
         this.claimedBy = claimedBy;
-        this.owner = owner;
+        this.onStored = onStored;
     }
 
-    /** Reads a record back; the caller claims it by writing it anew under its own token. Null where it makes no sense. */
-    static Operation read(String root, String key, JsonNode n, long claimedBy, Operations owner) {
-        if (!named(Kind.values(), Json.text(n, "kind"))
-                || !named(State.values(), Json.text(n, "state"))
-                || !(n.get("request") instanceof ObjectNode)) {
-            return null;
-        }
-        Operation op = new Operation(
-                root,
-                key,
-                Kind.valueOf(Json.text(n, "kind")),
-                (ObjectNode) n.get("request"),
-                Json.integer(n, "dispatchedAt", 0),
-                claimedBy,
-                owner);
-        op.state = State.valueOf(Json.text(n, "state"));
-        op.seen = Json.text(n, "seen");
-        return op;
+    /** A new operation, whose record is not stored yet. */
+    static Operation create(
+            String root,
+            String name,
+            CloudRequest request,
+            long dispatchedAt,
+            long token,
+            Consumer<Operation> onStored) {
+        StoredOperation record = new StoredOperation(request, State.DISPATCHED, "", dispatchedAt);
+        return new Operation(root, name, record, token, onStored);
     }
 
-    private static boolean named(Enum<?>[] values, String name) {
-        return Arrays.stream(values).anyMatch(v -> v.name().equals(name));
+    /** An operation of an earlier leader. An open one counts as unwritten until this leader's claim is stored. */
+    static Operation takeOver(
+            String root, String name, StoredOperation record, long token, Consumer<Operation> onStored) {
+        Operation operation = new Operation(root, name, record, token, onStored);
+        operation.written = !operation.open();
+        return operation;
     }
 
+    /** The operation key: unique for good, and the idempotency key of its calls. */
     public String name() {
-        return key;
+        return name;
     }
 
+    /** Whether it rents or returns. */
     public Kind kind() {
-        return kind;
+        return Kind.of(request);
     }
 
+    /** How far it has come. */
     public State state() {
         return state;
     }
 
-    public String seen() {
-        return seen;
+    /** What the last call that changed the state showed, for people; empty before. */
+    public String lastOutcome() {
+        return lastOutcome;
     }
 
+    /** When it was decided, in milliseconds of the day's clock. */
     public long dispatchedAt() {
         return dispatchedAt;
     }
 
-    public ObjectNode request() {
+    /** What is asked of the cloud. */
+    public CloudRequest request() {
         return request;
     }
 
+    /** True while the outcome is not known. */
     public boolean open() {
-        return state == State.DISPATCHED || state == State.UNKNOWN || state == State.ESCALATED;
+        return state.open();
+    }
+
+    long claimedBy() {
+        return claimedBy;
     }
 
-    List<String> machines() {
-        List<String> all = new ArrayList<>();
-        request.path("boxes").forEach(b -> all.add(b.asText()));
-        return all;
+    /** Calls made in this leader term. */
+    int calls() {
+        return calls;
+    }
+
+    /** Notes that a call is made now. */
+    void called(long now) {
+        calls++;
+        if (firstCallAt < 0) {
+            firstCallAt = now;
+        }
+    }
+
+    /** Milliseconds since the first call of this leader term. */
+    long openFor(long now) {
+        return now - firstCallAt;
+    }
+
+    /** Notes that the record is stored; true at the first time. */
+    boolean markWritten() {
+        boolean first = !written;
+        written = true;
+        return first;
     }
 
     /** The only place where an operation changes its state. */
-    void to(State next, String observation) {
-        boolean legal = switch (state) {
-            case DISPATCHED, UNKNOWN, ESCALATED -> next != State.FORGOTTEN && next != State.DISPATCHED;
-            case SUCCEEDED, FAILED -> next == State.FORGOTTEN;
-            case FORGOTTEN -> false;
-        };
-        if (!legal) {
-            throw new IllegalStateException(key + ": " + state + " -> " + next);
+    void transition(State next, String outcome) {
+        if (!state.leadsTo(next)) {
+            throw new IllegalStateException("operation " + name + ": " + state + " does not lead to " + next);
         }
         state = next;
-        seen = observation;
+        lastOutcome = outcome;
     }
 
     @Override
     public String key() {
-        return root + PREFIX + key;
+        return root + PREFIX + name;
     }
 
     @Override
     public JsonNode render() {
-        if (state == State.FORGOTTEN) {
-            return null;
-        }
-        ObjectNode n = Json.object();
-        n.put("kind", kind.name())
-                .put("state", state.name())
-                .put("seen", seen)
-                .put("dispatchedAt", dispatchedAt)
-                .put("claimedBy", claimedBy)
-                .set("request", request);
-        return n;
+        return state == State.FORGOTTEN ? null : OperationCodec.encode(this);
     }
 
     @Override
     public void stored(long revision) {
-        owner.stored(this);
+        onStored.accept(this);
     }
 
-    /** Settled ones wait until the roster with the machines they brought is stored. */
     @Override
     public int rank() {
-        return written ? open() ? 6 : 8 : 3;
+        if (!written) {
+            return RANK_NEW;
+        }
+        return open() ? RANK_OPEN : RANK_CLOSED;
     }
 }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
@@ -0,0 +1,54 @@
+package org.landingridge.controller.cloud;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
+import org.landingridge.controller.cloud.Operation.Kind;
+import org.landingridge.controller.cloud.Operation.State;
+import org.landingridge.wire.CloudRequest;
+import org.landingridge.wire.Json;
+import org.landingridge.wire.RentRequest;
+import org.landingridge.wire.ReturnRequest;
+
+/** The stored form of an {@link Operation}. */
+final class OperationCodec {
+    private OperationCodec() {}
+
+    static ObjectNode encode(Operation operation) {
+        ObjectNode node = Json.object();
+        node.put("kind", operation.kind().name())
+                .put("state", operation.state().name())
+                .put("seen", operation.lastOutcome())
+                .put("dispatchedAt", operation.dispatchedAt())
+                .put("claimedBy", operation.claimedBy())
+                .set("request", operation.request().toJson());
+        return node;
+    }
+
+    /** Reads a record; empty where its kind, its state or its request is none. */
+    static Optional<StoredOperation> decode(JsonNode record) {
+        Kind kind = constant(Kind.values(), Json.text(record, "kind"));
+        State state = constant(State.values(), Json.text(record, "state"));
+        if (kind == null || state == null || !(record.get("request") instanceof ObjectNode request)) {
+            return Optional.empty();
+        }
+        return Optional.of(new StoredOperation(
+                request(kind, request), state, Json.text(record, "seen"), Json.integer(record, "dispatchedAt", 0)));
+    }
+
+    private static CloudRequest request(Kind kind, ObjectNode node) {
+        return switch (kind) {
+            case RENT -> RentRequest.parse(node);
+            case GIVE_BACK -> ReturnRequest.parse(node);
+        };
+    }
+
+    private static <E extends Enum<E>> E constant(E[] constants, String name) {
+        for (E constant : constants) {
+            if (constant.name().equals(name)) {
+                return constant;
+            }
+        }
+        return null;
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -1,46 +1,64 @@
 package org.landingridge.controller.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
-import org.landingridge.controller.cloud.NextAction.Observation;
-import org.landingridge.controller.cloud.Operation.Kind;
 import org.landingridge.controller.cloud.Operation.State;
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.net.EventLoop;
-import org.landingridge.net.Http;
+import org.landingridge.wire.CloudRequest;
 import org.landingridge.wire.Json;
+import org.landingridge.wire.RentRequest;
+import org.landingridge.wire.ReturnRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and give-backs of one leader term. Each is written before it is dispatched and keeps its key; a call without an
- * answer leaves it unknown, and the next action is the post's.
+ * Rents and returns of one leader term. Each is written before it is dispatched and keeps its key; a call without an
+ * answer leaves its outcome unknown, and {@link NextAction} says what follows.
  */
 public final class Operations {
-    /** What the operations tell the rest of the leader term. */
+    /** What the operations report to the rest of the leader term. */
     public interface Events {
-        /** Machines that a rent brought; fewer than wanted tells that the pool is empty. */
-        void rented(Operation op, List<String> machines);
+        /** Machines that a rent brought; fewer than wanted means that the pool is empty. */
+        void rented(RentRequest request, List<String> machines);
 
-        void noCapacity(Operation op);
+        /** A rent failed for good. */
+        void noCapacity(RentRequest request);
 
-        void givenBack(List<String> machines);
+        /** The cloud has confirmed that it took these machines back. */
+        void returned(List<String> machines);
 
-        /** An operation stays unknown beyond the query limit. */
-        void escalated(Operation op);
+        /** The outcome of an operation stays unknown beyond the query limit. */
+        void escalated(Operation operation);
 
+        /** True while this controller may act as leader. */
         boolean mayAct();
     }
 
+    /**
+     * What the operations of one leader term have in common.
+     *
+     * @param root        key prefix of everything that is stored
+     * @param token       fencing token of the leader term
+     * @param queryLimitS after so many seconds without a clear outcome an operation is escalated
+     * @param valueBytes  largest value that the state service takes
+     */
+    public record Scope(String root, long token, double queryLimitS, int valueBytes) {}
+
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
+    /** How long the record of a closed operation stays. */
     private static final long RETENTION_MS = 30_000;
-    /** Names that one call to the cloud may give back. */
+
+    private static final long RETRY_WHEN_NOT_LEADING_MS = 500;
+    private static final long RETRY_ESCALATED_MS = 15_000;
+    private static final long RETRY_FIRST_MS = 500;
+    private static final long RETRY_MOST_MS = 8_000;
+    private static final int RETRY_MOST_DOUBLINGS = 4;
+    /** Machines that one call to the cloud may return. */
     private static final int MOST_RETURNED = 100;
     /** What the record of an operation takes beside the names of machines, and each of these beside its letters. */
     private static final int RECORD_BYTES = 300;
@@ -50,224 +68,194 @@
     private final RandomGenerator random;
     private final CloudClient cloud;
     private final BatchWriter writer;
-    private final String root;
-    private final long token;
+    private final Scope scope;
     private final long queryLimitMs;
-    private final int valueBytes;
     private final Events events;
-    private final Map<String, Operation> all = new LinkedHashMap<>();
+    private final Map<String, Operation> operations = new LinkedHashMap<>();
     private int counter;
     private boolean closed;
 
+    /** Begins without operations: those of earlier leaders are handed in by {@link #takeOver}. */
     public Operations(
-            EventLoop loop,
-            RandomGenerator random,
-            CloudClient cloud,
-            BatchWriter writer,
-            String root,
-            long token,
-            double queryLimitS,
-            int valueBytes,
-            Events events) {
+            EventLoop loop, RandomGenerator random, CloudClient cloud, BatchWriter writer, Scope scope, Events events) {
         this.loop = loop;
         this.random = random;
         this.cloud = cloud;
         this.writer = writer;
-        this.root = root;
-        this.token = token;
-        this.queryLimitMs = Math.round(queryLimitS * 1000);
-        this.valueBytes = valueBytes;
+        this.scope = scope;
+        this.queryLimitMs = Math.round(scope.queryLimitS() * 1000);
         this.events = events;
     }
 
+    /** Ends with the leader term: nothing is dispatched or recorded any more. */
     public void close() {
         closed = true;
     }
 
+    /** All operations whose records are or will be stored, oldest first. */
     public Iterable<Operation> all() {
-        return all.values();
+        return operations.values();
     }
 
     /**
-     * Takes over a record of an earlier leader: it is claimed by a conditional write before anything is done. Null where it
+     * Takes over a record of an earlier leader: it is claimed by a conditional write before anything is done. Empty where it
      * cannot be read: it stays as it is, and what a rent of it brought is taken in once it is listed or reports.
      */
-    public Operation takeOver(String key, JsonNode record) {
-        Operation op = Operation.read(root, key, record, token, this);
-        if (op == null) {
-            LOG.error("the record of operation {} cannot be read", key);
-            return null;
+    public Optional<Operation> takeOver(String name, JsonNode record) {
+        Optional<StoredOperation> read = OperationCodec.decode(record);
+        if (read.isEmpty()) {
+            LOG.error("operation record cannot be read, operation={}", name);
+            return Optional.empty();
         }
-        op.written = !op.open();
-        all.put(key, op);
-        if (op.open()) {
-            writer.mark(op);
+        Operation operation = Operation.takeOver(scope.root(), name, read.get(), scope.token(), this::stored);
+        operations.put(name, operation);
+        if (operation.open()) {
+            writer.mark(operation);
         } else {
-            op.settledAt = loop.now();
-            loop.after(RETENTION_MS, () -> forget(op));
+            loop.after(RETENTION_MS, () -> forget(operation));
         }
-        return op;
+        return Optional.of(operation);
     }
 
     /**
      * True while a rent of this pool waits for its first answer. What is wanted meanwhile goes into one request after
      * it: at a few calls a second, many small ones would keep a large one waiting for half a minute.
      */
-    public boolean renting(String type, String zone, boolean spot) {
-        for (Operation op : all.values()) {
-            if (op.kind() == Kind.RENT
-                    && op.state() == State.DISPATCHED
-                    && op.request().path("rig").asText().equals(type)
-                    && op.request().path("yard").asText().equals(zone)
-                    && op.request().path("standby").asBoolean() == spot) {
+    public boolean rentPending(String type, String zone, boolean spot) {
+        for (Operation operation : operations.values()) {
+            if (operation.state() == State.DISPATCHED
+                    && operation.request() instanceof RentRequest rent
+                    && rent.type().equals(type)
+                    && rent.zone().equals(zone)
+                    && rent.spot() == spot) {
                 return true;
             }
         }
         return false;
     }
 
-    public Operation rent(String type, String zone, boolean spot, int count) {
-        ObjectNode request = Json.object();
-        request.put("rig", type).put("yard", zone).put("standby", spot).put("count", count);
-        return create(Kind.RENT, request);
+    /** Rents machines; they are reported by {@link Events#rented}. */
+    public void rent(RentRequest request) {
+        create("r-", request);
     }
 
-    /** Gives the machines back, in as many calls as their number needs. */
-    public void giveBack(List<String> machines) {
+    /** Returns the machines, in as many calls as their number needs. */
+    public void returnMachines(List<String> machines) {
         int next = 0;
         while (next < machines.size()) {
-            ObjectNode request = Json.object();
-            ArrayNode boxes = request.putArray("boxes");
+            int first = next;
             int bytes = RECORD_BYTES;
             do {
-                bytes += machines.get(next).length() + NAME_BYTES;
-                boxes.add(machines.get(next++));
+                bytes += machines.get(next++).length() + NAME_BYTES;
             } while (next < machines.size()
-                    && boxes.size() < MOST_RETURNED
-                    && bytes + machines.get(next).length() + NAME_BYTES <= valueBytes);
-            create(Kind.GIVE_BACK, request);
+                    && next - first < MOST_RETURNED
+                    && bytes + machines.get(next).length() + NAME_BYTES <= scope.valueBytes());
+            create("b-", new ReturnRequest(machines.subList(first, next)));
         }
     }
 
-    private Operation create(Kind kind, ObjectNode request) {
-        String key = (kind == Kind.RENT ? "r-" : "b-") + token + "-" + ++counter;
-        Operation op = new Operation(root, key, kind, request, loop.timeOfDay(), token, this);
-        all.put(key, op);
-        writer.mark(op);
-        LOG.info("{} {}: {}", kind, key, Json.text(request));
-        return op;
+    private void create(String prefix, CloudRequest request) {
+        String name = prefix + scope.token() + "-" + ++counter;
+        Operation operation =
+                Operation.create(scope.root(), name, request, loop.timeOfDay(), scope.token(), this::stored);
+        operations.put(name, operation);
+        writer.mark(operation);
+        LOG.info(
+                "operation created, operation={} kind={} request={}",
+                name,
+                operation.kind(),
+                Json.text(request.toJson()));
     }
 
     /** The record is stored in its present form. */
-    void stored(Operation op) {
+    private void stored(Operation operation) {
         if (closed) {
             return;
         }
-        if (!op.written) {
-            op.written = true;
-            if (op.open()) {
-                dispatch(op);
-            }
+        if (operation.markWritten() && operation.open()) {
+            dispatch(operation);
         }
-        if (op.state() == State.FORGOTTEN) {
-            all.remove(op.name());
+        if (operation.state() == State.FORGOTTEN) {
+            operations.remove(operation.name());
         }
     }
 
-    private void dispatch(Operation op) {
-        if (closed || !op.open()) {
+    private void dispatch(Operation operation) {
+        if (closed || !operation.open()) {
             return;
         }
         if (!events.mayAct()) {
-            loop.after(500, () -> dispatch(op));
+            loop.after(RETRY_WHEN_NOT_LEADING_MS, () -> dispatch(operation));
             return;
         }
-        op.tries++;
-        if (op.firstTry < 0) {
-            op.firstTry = loop.now();
+        operation.called(loop.now());
+        cloud.operate(operation.name(), operation.request(), outcome -> observe(operation, outcome));
+    }
+
+    private void observe(Operation operation, CallOutcome outcome) {
+        if (closed || !operation.open()) {
+            return;
         }
-        if (op.kind() == Kind.RENT) {
-            ObjectNode body = op.request().deepCopy();
-            body.put("booking", op.name());
-            cloud.operate("/hosts", body, reply -> observe(op, reply));
-        } else {
-            cloud.operate("/hosts/return", op.request(), reply -> observe(op, reply));
+        // The cloud deduplicates a rent under its key for good, and a return names the machines: both are safe to send
+        // again, with the same key and the same request.
+        switch (NextAction.decide(outcome.observation(), true, false)) {
+            case RECORD_SUCCESS -> succeed(operation, outcome);
+            case RECORD_FAILURE -> fail(operation, outcome);
+            case RETRY_ORIGINAL_INTENT, WAIT_AND_QUERY, RECONCILE_OR_ESCALATE -> retry(operation, outcome);
         }
     }
 
-    private void observe(Operation op, Http.Reply reply) {
-        if (closed || !op.open()) {
-            return;
+    private void succeed(Operation operation, CallOutcome outcome) {
+        CloudRequest request = operation.request();
+        if (request instanceof RentRequest rent) {
+            events.rented(rent, outcome.machines());
+        } else if (request instanceof ReturnRequest back) {
+            events.returned(back.machines());
         }
-        Observation seen;
-        String text;
-        JsonNode body = reply.outcome() == Http.Outcome.ANSWERED ? Json.parse(reply.body()) : null;
-        if (reply.is(200)) {
-            seen = Observation.SUCCEEDED;
-            text = "200";
-        } else if (reply.is(400) || reply.is(503) && body != null && "no capacity".equals(Json.text(body, "error"))) {
-            seen = Observation.FAILED_TERMINAL;
-            text = reply.is(400) ? "malformed" : "no capacity";
-        } else {
-            seen = Observation.UNAVAILABLE;
-            text = reply.outcome() == Http.Outcome.ANSWERED
-                    ? "status " + reply.status()
-                    : reply.outcome().name();
+        finish(operation, State.SUCCEEDED, outcome);
+    }
+
+    private void fail(Operation operation, CallOutcome outcome) {
+        if (operation.request() instanceof RentRequest rent) {
+            events.noCapacity(rent);
         }
-        // The cloud deduplicates a booking under its key for good, and a give-back names the machines: both are safe
-        // to send again, with the same key and the same request.
-        switch (NextAction.decide(seen, true, false)) {
-            case RECORD_SUCCESS -> {
-                List<String> machines = new ArrayList<>();
-                if (op.kind() == Kind.RENT) {
-                    if (body != null) {
-                        body.path("boxes").forEach(b -> machines.add(b.asText()));
-                    }
-                    events.rented(op, machines);
-                } else {
-                    events.givenBack(op.machines());
-                }
-                settle(op, State.SUCCEEDED, text);
-            }
-            case RECORD_FAILURE -> {
-                if (op.kind() == Kind.RENT) {
-                    events.noCapacity(op);
-                }
-                settle(op, State.FAILED, text);
-            }
-            case RETRY_ORIGINAL_INTENT, WAIT_AND_QUERY, RECONCILE_OR_ESCALATE -> {
-                boolean late = loop.now() - op.firstTry > queryLimitMs;
-                State next = late ? State.ESCALATED : State.UNKNOWN;
-                if (op.state() != next) {
-                    if (late) {
-                        LOG.warn(
-                                "{} is unsettled for {} s: escalated, last seen: {}",
-                                op.name(),
-                                queryLimitMs / 1000,
-                                text);
-                        events.escalated(op);
-                    }
-                    op.to(next, text);
-                    writer.mark(op);
-                }
-                long pause = late ? 15_000 : Math.min(8_000, 500L << Math.min(4, op.tries));
-                loop.after(pause / 2 + random.nextLong(pause), () -> dispatch(op));
+        finish(operation, State.FAILED, outcome);
+    }
+
+    private void retry(Operation operation, CallOutcome outcome) {
+        boolean late = operation.openFor(loop.now()) > queryLimitMs;
+        State next = late ? State.ESCALATED : State.UNKNOWN;
+        if (operation.state() != next) {
+            if (late) {
+                LOG.warn(
+                        "operation escalated, operation={} openForS={} lastOutcome={}",
+                        operation.name(),
+                        queryLimitMs / 1000,
+                        outcome.text());
+                events.escalated(operation);
             }
+            operation.transition(next, outcome.text());
+            writer.mark(operation);
         }
+        long pauseMs = late ? RETRY_ESCALATED_MS : backoffMs(operation.calls());
+        loop.after(pauseMs / 2 + random.nextLong(pauseMs), () -> dispatch(operation));
+    }
+
+    private static long backoffMs(int calls) {
+        return Math.min(RETRY_MOST_MS, RETRY_FIRST_MS << Math.min(RETRY_MOST_DOUBLINGS, calls));
     }
 
-    private void settle(Operation op, State how, String seen) {
-        op.to(how, seen);
-        op.settledAt = loop.now();
-        LOG.info("{} {}: {}", op.name(), how, seen);
-        writer.mark(op);
-        loop.after(RETENTION_MS, () -> forget(op));
+    private void finish(Operation operation, State how, CallOutcome outcome) {
+        operation.transition(how, outcome.text());
+        LOG.info("operation finished, operation={} state={} lastOutcome={}", operation.name(), how, outcome.text());
+        writer.mark(operation);
+        loop.after(RETENTION_MS, () -> forget(operation));
     }
 
-    private void forget(Operation op) {
-        if (!closed && !op.open() && op.state() != State.FORGOTTEN) {
-            op.to(State.FORGOTTEN, op.seen());
-            writer.mark(op);
+    private void forget(Operation operation) {
+        if (!closed && !operation.open() && operation.state() != State.FORGOTTEN) {
+            operation.transition(State.FORGOTTEN, operation.lastOutcome());
+            writer.mark(operation);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -68,7 +68,7 @@
                 back.add(m.id());
             }
         }
-        operations.giveBack(back);
+        operations.returnMachines(back);
     }
 
     /** Asks for the cloud's list, where it is time to. */
@@ -87,11 +87,11 @@
             }
             for (CloudMachine c : machines) {
                 Machine m = fleet.machine(c.id());
-                if (m == null && !fleet.wasReleased(c.id()) && !c.status().equals("failed")) {
+                if (m == null && !fleet.wasReleased(c.id()) && !c.failed()) {
                     // Nobody claims it: a rent that succeeded late, or there before us. It is used, or goes back idle.
                     LOG.info("{} is listed and nobody's: taking it in", c.id());
                     fleet.appeared(c.id(), c.addr(), c.type(), c.zone(), c.spot());
-                } else if (m != null && c.status().equals("failed")) {
+                } else if (m != null && c.failed()) {
                     fleet.failed(m);
                 }
                 // What was given back may be listed for a while yet: it would be remembered for good.
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -31,6 +31,8 @@
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
 import org.landingridge.wire.Heartbeat;
+import org.landingridge.wire.RentRequest;
+import org.landingridge.wire.ReturnRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -109,10 +111,11 @@
                 context.random(),
                 context.cloud(),
                 writer,
-                root,
-                lead.token(),
-                policy.queryLimitS(),
-                settings.stateLimits().valueBytes(),
+                new Operations.Scope(
+                        root,
+                        lead.token(),
+                        policy.queryLimitS(),
+                        settings.stateLimits().valueBytes()),
                 this);
         // A fresh process has read the finished tasks before it read their jobs, for such is the order of the keys:
         // unless
@@ -134,15 +137,9 @@
         });
         stored.forEach((key, value) -> {
             if (key.startsWith(root + Operation.PREFIX)) {
-                Operation op = operations.takeOver(key.substring((root + Operation.PREFIX).length()), value);
-                if (op != null && op.open() && op.kind() == Operation.Kind.GIVE_BACK) {
-                    op.request().path("boxes").forEach(b -> {
-                        Machine m = fleet.machine(b.asText());
-                        if (m != null) {
-                            fleet.leaving(m);
-                        }
-                    });
-                }
+                operations
+                        .takeOver(key.substring((root + Operation.PREFIX).length()), value)
+                        .ifPresent(this::markLeaving);
             }
         });
         fleet.jobs().forEach(progress::takeOver);
@@ -164,7 +161,7 @@
                 new ObservationWindow(loop.now(), Math.round(settings.workers().reportS() * 1250) + GATHER_MS);
         recovery = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
         pass = new SchedulingCycle(context, fleet, operations, forecast, observationWindow);
-        inventory = new InstanceReconciler(context, fleet, operations, this::givenBack, observationWindow::listed);
+        inventory = new InstanceReconciler(context, fleet, operations, this::returned, observationWindow::listed);
         LOG.info(
                 "leading under token {}: {} jobs, {} machines on the roster",
                 lead.token(),
@@ -186,6 +183,17 @@
         tick();
     }
 
+    private void markLeaving(Operation operation) {
+        if (operation.open() && operation.request() instanceof ReturnRequest request) {
+            for (String id : request.machines()) {
+                Machine machine = fleet.machine(id);
+                if (machine != null) {
+                    fleet.leaving(machine);
+                }
+            }
+        }
+    }
+
     public void close() {
         closed = true;
         compactor.close();
@@ -298,40 +306,34 @@
     }
 
     @Override
-    public void rented(Operation op, List<String> machines) {
-        String type = op.request().path("rig").asText();
-        String zone = op.request().path("yard").asText();
-        boolean spot = op.request().path("standby").asBoolean();
+    public void rented(RentRequest request, List<String> machines) {
         for (String id : machines) {
-            fleet.rented(id, type, zone, spot);
+            fleet.rented(id, request.type(), request.zone(), request.spot());
         }
-        if (machines.size() < op.request().path("count").asInt()) {
-            noCapacity(op);
+        if (machines.size() < request.count()) {
+            noCapacity(request);
         } else {
-            pass.capacity(Scheduler.pool(type, zone, spot));
+            pass.capacity(Scheduler.pool(request.type(), request.zone(), request.spot()));
         }
         changed();
     }
 
     @Override
-    public void escalated(Operation op) {
+    public void escalated(Operation operation) {
         context.metrics().escalated.increment();
         context.incidents()
-                .record(op.name() + " (" + op.kind() + ") has had no clear outcome for long: it counts as"
+                .record(operation.name() + " (" + operation.kind() + ") has had no clear outcome for long: it counts as"
                         + " unsettled room and is asked about now and then");
     }
 
     @Override
-    public void noCapacity(Operation op) {
-        pass.noCapacity(Scheduler.pool(
-                op.request().path("rig").asText(),
-                op.request().path("yard").asText(),
-                op.request().path("standby").asBoolean()));
+    public void noCapacity(RentRequest request) {
+        pass.noCapacity(Scheduler.pool(request.type(), request.zone(), request.spot()));
         changed();
     }
 
     @Override
-    public void givenBack(List<String> machines) {
+    public void returned(List<String> machines) {
         for (String id : machines) {
             fleet.gone(id);
             registry.remove(id);
@@ -399,7 +401,7 @@
                         .put("key", op.name())
                         .put("kind", op.kind().name())
                         .put("state", op.state().name())
-                        .put("seen", op.seen())
+                        .put("seen", op.lastOutcome())
                         .put("since", op.dispatchedAt());
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -27,6 +27,7 @@
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.MachineType;
+import org.landingridge.wire.RentRequest;
 
 /**
  * The scheduler's pass, wired to what the leader term knows: describes machines, jobs and teams to the scheduler, and carries
@@ -297,16 +298,10 @@
             }
         }
         for (Operation op : operations.all()) {
-            if (op.open() && op.kind() == Operation.Kind.RENT && op.state() != Operation.State.ESCALATED) {
-                MachineType type = context.types().get(op.request().path("rig").asText());
-                for (int i = 0; type != null && i < op.request().path("count").asInt(); i++) {
-                    nodes.add(new CandidateNode(
-                            type,
-                            op.request().path("yard").asText(),
-                            op.request().path("standby").asBoolean(),
-                            null,
-                            false,
-                            Set.of()));
+            if (op.open() && op.request() instanceof RentRequest rent && op.state() != Operation.State.ESCALATED) {
+                MachineType type = context.types().get(rent.type());
+                for (int i = 0; type != null && i < rent.count(); i++) {
+                    nodes.add(new CandidateNode(type, rent.zone(), rent.spot(), null, false, Set.of()));
                 }
             }
         }
@@ -325,8 +320,8 @@
         fleet.flush();
         boolean known = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
         for (SchedulingPlan.Rent r : plan.rents) {
-            if (known && !operations.renting(r.type(), r.zone(), r.spot())) {
-                operations.rent(r.type(), r.zone(), r.spot(), r.count());
+            if (known && !operations.rentPending(r.type(), r.zone(), r.spot())) {
+                operations.rent(new RentRequest(r.type(), r.zone(), r.spot(), r.count()));
             }
         }
         List<String> back = new ArrayList<>();
@@ -335,6 +330,6 @@
             fleet.leaving(m);
             back.add(m.id());
         }
-        operations.giveBack(back);
+        operations.returnMachines(back);
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
+++ b/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
@@ -9,10 +9,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The post's decision table, row by row. */
+/** The decision table, row by row. */
 class NextActionTest {
     @Test
-    void settledOutcomesAreRecorded() {
+    void finalOutcomesAreRecorded() {
         for (boolean replay : new boolean[] {false, true}) {
             for (boolean absence : new boolean[] {false, true}) {
                 assertEquals(NextAction.RECORD_SUCCESS, NextAction.decide(SUCCEEDED, replay, absence));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void silenceIsRetriedOnlyUnderAKey() {
+    void aCallWithoutAnswerIsRetriedOnlyUnderAKey() {
         assertEquals(NextAction.RETRY_ORIGINAL_INTENT, NextAction.decide(UNAVAILABLE, true, false));
         assertEquals(NextAction.WAIT_AND_QUERY, NextAction.decide(UNAVAILABLE, false, false));
         assertEquals(NextAction.WAIT_AND_QUERY, NextAction.decide(UNAVAILABLE, false, true));
