--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -118,7 +118,7 @@
     }
 
     private void pump() {
-        if (waiting || operations.isEmpty() && reads.isEmpty()) {
+        if (waiting || (operations.isEmpty() && reads.isEmpty())) {
             return;
         }
         waiting = true;
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -0,0 +1,36 @@
+package org.landingridge.controller.leader;
+
+import java.util.Set;
+import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.history.Compactor;
+import org.landingridge.controller.jobs.JobTable;
+
+/** What the compaction of the job history has to respect in this leader term. */
+final class CompactionOwner implements Compactor.Owner {
+    private final LeaderContext context;
+    private final Fleet fleet;
+
+    CompactionOwner(LeaderContext context, Fleet fleet) {
+        this.context = context;
+        this.fleet = fleet;
+    }
+
+    @Override
+    public boolean mayAct() {
+        return context.lead().mayAct();
+    }
+
+    @Override
+    public boolean busy() {
+        return fleet.unaccounted() > 0 || !context.writer().idle();
+    }
+
+    @Override
+    public Set<String> needed() {
+        JobTable table = context.table();
+        Set<String> ids = fleet.jobsOnMachines();
+        table.active().forEach(job -> ids.addAll(job.spec().awaits()));
+        table.unstored().forEach(job -> ids.addAll(job.spec().awaits()));
+        return ids;
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -1,10 +1,8 @@
 package org.landingridge.controller.leader;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.landingridge.controller.cloud.Operations;
@@ -16,115 +14,126 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Holds the fleet against the cloud's lists, and gives back what is silent or never came up. */
+/** Compares the fleet with the cloud's lists, and returns machines that are of no use. */
 final class InstanceReconciler {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
+    private static final Logger LOG = LoggerFactory.getLogger(InstanceReconciler.class);
+    private static final long LIST_PAUSE_MS = 2_000;
+    /** What a list may lag beyond twice the usual. */
+    private static final long LAG_MARGIN_MS = 2_000;
+
     private final LeaderContext context;
     private final Fleet fleet;
     private final Operations operations;
-    private final Consumer<List<String>> gonePerList;
-    private final Runnable listed;
-    /** When a list that shows the machine was first asked for. */
-    private final Map<String, Long> listedAt = new HashMap<>();
-
+    private final ListedMachines listedMachines;
+    private final Consumer<List<String>> onGone;
+    private final Runnable onListed;
+    private final long listLagMs;
     private boolean listing;
     private long nextList;
     private boolean closed;
 
     /**
-     * @param gonePerList told of machines that the cloud has taken, by its lists
-     * @param listed      told of each list that was read
+     * Begins with the first call of {@link #list}.
+     *
+     * @param onGone   called with machines that the cloud has taken, according to its lists
+     * @param onListed called after each list that was read
      */
     InstanceReconciler(
             LeaderContext context,
             Fleet fleet,
             Operations operations,
-            Consumer<List<String>> gonePerList,
-            Runnable listed) {
+            ListedMachines listedMachines,
+            Consumer<List<String>> onGone,
+            Runnable onListed) {
         this.context = context;
         this.fleet = fleet;
         this.operations = operations;
-        this.gonePerList = gonePerList;
-        this.listed = listed;
+        this.listedMachines = listedMachines;
+        this.onGone = onGone;
+        this.onListed = onListed;
+        this.listLagMs = Math.round(context.settings().cloudLimits().listLagS() * 1000);
     }
 
+    /** Ends with the leader term. */
     void close() {
         closed = true;
     }
 
-    void forget(String id) {
-        listedAt.remove(id);
-    }
-
-    /** Machines that are of no use go back: those that never came up, fail, or are lost for all that is known. */
-    void giveBack(long now) {
-        List<String> back = new ArrayList<>();
-        for (Machine m : fleet.machines()) {
-            Decision decision = fleet.judge(m, now);
+    /** Returns machines that never came up, fail their tasks, or are lost as far as is known. */
+    void returnUseless(long now) {
+        List<String> useless = new ArrayList<>();
+        for (Machine machine : fleet.machines()) {
+            Decision decision = fleet.judge(machine, now);
             if (decision.is(Action.GIVE_BACK)) {
-                LOG.info("{} goes back: {}", m.id(), decision.cause().text());
-                context.incidents().record(m.id() + ": " + decision.cause().text() + "; given back");
-                fleet.giveBack(m, decision);
-                back.add(m.id());
+                String why = decision.cause().text();
+                LOG.info("machine returned, machine={} reason={}", machine.id(), why);
+                context.incidents().record(machine.id() + ": " + why + "; given back");
+                fleet.giveBack(machine, decision);
+                useless.add(machine.id());
             }
         }
-        operations.returnMachines(back);
+        operations.returnMachines(useless);
     }
 
     /** Asks for the cloud's list, where it is time to. */
     void list() {
-        long asked = context.loop().now();
-        if (listing || asked < nextList) {
+        long askedAt = context.loop().now();
+        if (listing || askedAt < nextList) {
             return;
         }
         listing = true;
-        long lag = Math.round(context.settings().cloudLimits().listLagS() * 1000);
         context.cloud().list(machines -> {
             listing = false;
-            nextList = context.loop().now() + Math.max(2_000, lag / 2);
-            if (closed || machines == null || !context.lead().mayAct()) {
-                return;
-            }
-            for (CloudMachine c : machines) {
-                Machine m = fleet.machine(c.id());
-                if (m == null && !fleet.wasReleased(c.id()) && !c.failed()) {
-                    // Nobody claims it: a rent that succeeded late, or there before us. It is used, or goes back idle.
-                    LOG.info("{} is listed and nobody's: taking it in", c.id());
-                    fleet.appeared(c.id(), c.addr(), c.type(), c.zone(), c.spot());
-                } else if (m != null && c.failed()) {
-                    fleet.failed(m);
-                }
-                // What was given back may be listed for a while yet: it would be remembered for good.
-                if (fleet.machine(c.id()) != null) {
-                    listedAt.putIfAbsent(c.id(), asked);
-                }
+            nextList = context.loop().now() + Math.max(LIST_PAUSE_MS, listLagMs / 2);
+            if (!closed && machines != null && context.lead().mayAct()) {
+                reconcile(machines, askedAt);
             }
-            absent(machines, asked, lag);
-            listed.run();
         });
     }
 
+    private void reconcile(List<CloudMachine> machines, long askedAt) {
+        for (CloudMachine listed : machines) {
+            reconcile(listed);
+            // A machine that was returned may be listed for a while yet: it would be remembered for good.
+            if (fleet.machine(listed.id()) != null) {
+                listedMachines.listed(listed.id(), askedAt);
+            }
+        }
+        removeAbsent(machines, askedAt);
+        onListed.run();
+    }
+
+    private void reconcile(CloudMachine listed) {
+        Machine machine = fleet.machine(listed.id());
+        if (machine == null && !fleet.wasReleased(listed.id()) && !listed.failed()) {
+            // No operation claims it: a rent that succeeded late, or it was there before us. It is used, or returned
+            // idle.
+            LOG.info("unknown machine listed, taken in, machine={}", listed.id());
+            fleet.appeared(listed.id(), listed.addr(), listed.type(), listed.zone(), listed.spot());
+        } else if (machine != null && listed.failed()) {
+            fleet.failed(machine);
+        }
+    }
+
     /**
      * A machine that was listed and is absent is gone, unless the list is older than the one that showed it: lists lag
-     * by up to twice the usual and run backwards. Only silent machines are judged by it.
+     * by up to twice the usual and run backwards. It is applied to machines whose lease has expired only.
      */
-    private void absent(List<CloudMachine> machines, long asked, long lag) {
+    private void removeAbsent(List<CloudMachine> machines, long askedAt) {
         Set<String> present = new HashSet<>();
-        machines.forEach(c -> present.add(c.id()));
+        machines.forEach(listed -> present.add(listed.id()));
         List<String> gone = new ArrayList<>();
-        for (Machine m : fleet.machines()) {
-            Long first = listedAt.get(m.id());
-            if (first != null
-                    && !present.contains(m.id())
-                    && asked - first > 2 * lag + 2_000
-                    && m.state() == Machine.State.LAPSED) {
-                gone.add(m.id());
+        for (Machine machine : fleet.machines()) {
+            if (machine.state() == Machine.State.LAPSED
+                    && !present.contains(machine.id())
+                    && listedMachines.listedLongBefore(machine.id(), askedAt, 2 * listLagMs + LAG_MARGIN_MS)) {
+                gone.add(machine.id());
             }
         }
         if (!gone.isEmpty()) {
-            LOG.info("no longer listed: {}", gone);
+            LOG.info("machines no longer listed, machines={}", gone);
             context.incidents().record("taken by the cloud: " + String.join(", ", gone));
-            gonePerList.accept(gone);
+            onGone.accept(gone);
         }
     }
 }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
@@ -0,0 +1,66 @@
+package org.landingridge.controller.leader;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.LinkedHashMap;
+import java.util.Locale;
+import java.util.Map;
+import org.landingridge.controller.cloud.Operation;
+import org.landingridge.controller.cloud.Operations;
+import org.landingridge.controller.fleet.Attempt;
+import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.Machine;
+
+/** The leader's part of {@code /api/status}. */
+final class LeaderStatus {
+    private final Fleet fleet;
+    private final Operations operations;
+    private final FailoverProgress failover;
+
+    LeaderStatus(Fleet fleet, Operations operations, FailoverProgress failover) {
+        this.fleet = fleet;
+        this.operations = operations;
+        this.failover = failover;
+    }
+
+    /** Tasks seen running, by job. */
+    Map<String, Integer> running() {
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        for (Machine machine : fleet.machines()) {
+            for (Attempt attempt : machine.attempts().values()) {
+                if (attempt.state() == Attempt.State.RUNNING) {
+                    counts.merge(attempt.jobId(), 1, Integer::sum);
+                }
+            }
+        }
+        return counts;
+    }
+
+    void describe(ObjectNode status, long now) {
+        describeMachines(status.putObject("machines"));
+        status.put("unaccounted", fleet.unaccounted());
+        failover.describe(status.putObject("recovery"), now);
+        describeOpenOperations(status.putArray("unsettledOperations"));
+    }
+
+    private void describeMachines(ObjectNode machines) {
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        for (Machine machine : fleet.machines()) {
+            counts.merge(machine.state().name().toLowerCase(Locale.ROOT), 1, Integer::sum);
+        }
+        counts.forEach(machines::put);
+    }
+
+    private void describeOpenOperations(ArrayNode open) {
+        for (Operation operation : operations.all()) {
+            if (operation.open()) {
+                open.addObject()
+                        .put("key", operation.name())
+                        .put("kind", operation.kind().name())
+                        .put("state", operation.state().name())
+                        .put("seen", operation.lastOutcome())
+                        .put("since", operation.dispatchedAt());
+            }
+        }
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -2,12 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
-import org.landingridge.controller.cloud.Operation;
 import org.landingridge.controller.cloud.Operations;
 import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.fleet.ActiveJob;
@@ -23,54 +18,52 @@
 import org.landingridge.controller.progress.Cancellations;
 import org.landingridge.controller.progress.Progress;
 import org.landingridge.controller.recovery.ObservationWindow;
-import org.landingridge.controller.scheduling.Scheduler;
-import org.landingridge.controller.settings.Policy;
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
 import org.landingridge.wire.Heartbeat;
-import org.landingridge.wire.RentRequest;
-import org.landingridge.wire.ReturnRequest;
+import org.landingridge.wire.JobSpec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One time in the lead: everything that the leader knows and does, built anew from the state service and from reports
- * at each election and dropped whole when the lead ends.
+ * One time in office of a leader: everything that it knows and does, rebuilt from the state service and from heartbeats at
+ * each election, and dropped as a whole when the leadership ends.
  */
-public final class LeaderTerm
-        implements Fleet.Events, Operations.Events, Progress.Events, JobTable.Listener, Compactor.Owner {
+public final class LeaderTerm implements JobTable.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
-    private static final long PASS_MS = 25;
-    /** A pass looks at every machine and job: the pause before it grows by a millisecond for so many of them. */
-    private static final int PASS_STEP = 25;
-    /** Beyond a report's time a new leader waits so long at most before it rents. */
-    private static final long GATHER_MS = 1_500;
+    private static final long TICK_MS = 500;
+    /** Beyond the time of a heartbeat a new leader waits so long at most before it scales out. */
+    private static final long OBSERVATION_MARGIN_MS = 1_500;
+    /** The time of a heartbeat in milliseconds for each second of its interval: a quarter more than that. */
+    private static final double HEARTBEAT_MS_PER_S = 1250;
 
     private final LeaderContext context;
     private final EventLoop loop;
     private final Leadership lead;
     private final BatchWriter writer;
     private final Settings settings;
-    private final Policy policy;
     private final JobTable table;
+    private final SchedulingTrigger trigger;
+    private final RuntimeForecast forecast;
     private final Fleet fleet;
     private final MachineRegistry registry;
     private final Progress progress;
     private final Cancellations cancellations;
     private final Operations operations;
     private final Compactor compactor;
-    private final RuntimeForecast forecast;
-    private final SchedulingCycle pass;
-    private final InstanceReconciler inventory;
     private final ObservationWindow observationWindow;
-    private final FailoverProgress recovery;
-    private boolean passDue;
+    private final FailoverProgress failover;
+    private final SchedulingCycle cycle;
+    private final InstanceReconciler reconciler;
+    private final LeaderStatus status;
     private boolean closed;
 
     /**
+     * Begins at once.
+     *
      * @param stored the leader's documents
      * @param seenAt when, by the loop's clock, each came to be known here in its present form
      */
@@ -80,72 +73,67 @@
         this.lead = context.lead();
         this.writer = context.writer();
         this.settings = context.settings();
-        this.policy = context.policy();
         this.table = context.table();
-        String root = Keys.ROOT;
-        forecast = new RuntimeForecast(settings.objectives(), policy);
-        fleet = new Fleet(
+        trigger = new SchedulingTrigger(loop, this::visits, this::schedule);
+        forecast = new RuntimeForecast(settings.objectives(), context.policy());
+        fleet = createFleet();
+        context.metrics().takeovers.increment();
+        context.incidents().record("this controller took the lead under token " + lead.token());
+        int valueBytes = settings.stateLimits().valueBytes();
+        registry = new MachineRegistry(Keys.ROOT, writer, fleet, valueBytes);
+        progress = new Progress(Keys.ROOT, Keys.JOBS, writer, valueBytes, new ProgressEvents(context, fleet));
+        cancellations = new Cancellations(writer, table);
+        PoolCapacity capacity = new PoolCapacity(loop);
+        ListedMachines listedMachines = new ListedMachines();
+        OperationEvents operationEvents =
+                new OperationEvents(context, fleet, registry, capacity, listedMachines, trigger);
+        operations = createOperations(operationEvents);
+        new StoredDocumentLoader(context, fleet, registry, progress, operations).load(stored, seenAt);
+        compactor = createCompactor();
+        observationWindow = createObservationWindow();
+        failover = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
+        cycle = new SchedulingCycle(context, fleet, operations, forecast, capacity, observationWindow);
+        reconciler = new InstanceReconciler(
+                context, fleet, operations, listedMachines, operationEvents::returned, observationWindow::listed);
+        status = new LeaderStatus(fleet, operations, failover);
+        announce();
+        fleet.start();
+        compactor.start();
+        tick();
+    }
+
+    private Fleet createFleet() {
+        return new Fleet(
                 loop,
                 context.http(),
                 lead,
                 settings.workers(),
                 context.types()::get,
-                id -> {
-                    Job job = table.get(id);
-                    return job == null ? null : job.spec();
-                },
-                policy,
+                this::knownSpec,
+                context.policy(),
                 settings.machine().maxConnections(),
                 context.metrics(),
                 context.incidents(),
                 context.eventLog(),
-                this);
-        context.metrics().takeovers.increment();
-        context.incidents().record("this controller took the lead under token " + lead.token());
-        registry =
-                new MachineRegistry(root, writer, fleet, settings.stateLimits().valueBytes());
-        progress = new Progress(root, Keys.JOBS, writer, settings.stateLimits().valueBytes(), this);
-        cancellations = new Cancellations(writer, table);
-        operations = new Operations(
-                loop,
-                context.random(),
-                context.cloud(),
-                writer,
-                new Operations.Scope(
-                        root,
-                        lead.token(),
-                        policy.queryLimitS(),
-                        settings.stateLimits().valueBytes()),
-                this);
-        // A fresh process has read the finished tasks before it read their jobs, for such is the order of the keys:
-        // unless
-        // they are looked at once more, it starts all of a job's tasks again.
-        stored.forEach((key, value) -> {
-            if (key.startsWith(root + Progress.PREFIX)) {
-                Progress.read(value, table);
-            }
-        });
-        for (Job job : table.active()) {
-            fleet.jobAccepted(job);
-        }
-        stored.forEach((key, value) -> {
-            if (key.startsWith(root + MachineRegistry.PREFIX)) {
-                registry.takeOver(key, value, seenAt.get(key), lead.previous());
-            } else if (key.startsWith(root + Progress.PREFIX)) {
-                progress.takeOver(key, value, table);
-            }
-        });
-        stored.forEach((key, value) -> {
-            if (key.startsWith(root + Operation.PREFIX)) {
-                operations
-                        .takeOver(key.substring((root + Operation.PREFIX).length()), value)
-                        .ifPresent(this::markLeaving);
-            }
-        });
-        fleet.jobs().forEach(progress::takeOver);
-        registry.splitOversized();
-        progress.splitOversized();
-        compactor = new Compactor(
+                new FleetEvents());
+    }
+
+    private JobSpec knownSpec(String jobId) {
+        Job job = table.get(jobId);
+        return job == null ? null : job.spec();
+    }
+
+    private Operations createOperations(Operations.Events events) {
+        Operations.Scope scope = new Operations.Scope(
+                Keys.ROOT,
+                lead.token(),
+                context.policy().queryLimitS(),
+                settings.stateLimits().valueBytes());
+        return new Operations(loop, context.random(), context.cloud(), writer, scope, events);
+    }
+
+    private Compactor createCompactor() {
+        return new Compactor(
                 context.client(),
                 context.watchCache(),
                 loop,
@@ -153,69 +141,63 @@
                 context.history(),
                 context.capabilities(),
                 context.metrics(),
-                this,
+                new CompactionOwner(context, fleet),
                 lead::writeGuard,
                 settings.stateLimits(),
-                policy.historyShare());
-        observationWindow =
-                new ObservationWindow(loop.now(), Math.round(settings.workers().reportS() * 1250) + GATHER_MS);
-        recovery = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
-        pass = new SchedulingCycle(context, fleet, operations, forecast, observationWindow);
-        inventory = new InstanceReconciler(context, fleet, operations, this::returned, observationWindow::listed);
-        LOG.info(
-                "leading under token {}: {} jobs, {} machines on the roster",
-                lead.token(),
-                table.active().size(),
-                fleet.size());
+                context.policy().historyShare());
+    }
+
+    private ObservationWindow createObservationWindow() {
+        long heartbeatMs = Math.round(settings.workers().reportS() * HEARTBEAT_MS_PER_S);
+        return new ObservationWindow(loop.now(), heartbeatMs + OBSERVATION_MARGIN_MS);
+    }
+
+    private void announce() {
+        int jobs = table.active().size();
+        LOG.info("leader term began, token={} jobs={} machines={}", lead.token(), jobs, fleet.size());
         context.eventLog()
                 .emit(
                         "elected",
                         "token",
                         lead.token(),
                         "jobs",
-                        table.active().size(),
+                        jobs,
                         "machines",
                         fleet.size(),
                         "asked",
                         fleet.unaccounted());
-        fleet.start();
-        compactor.start();
-        tick();
-    }
-
-    private void markLeaving(Operation operation) {
-        if (operation.open() && operation.request() instanceof ReturnRequest request) {
-            for (String id : request.machines()) {
-                Machine machine = fleet.machine(id);
-                if (machine != null) {
-                    fleet.leaving(machine);
-                }
-            }
-        }
     }
 
+    /** Ends the term; nothing of it is written or sent any more. */
     public void close() {
         closed = true;
+        trigger.close();
         compactor.close();
-        inventory.close();
+        reconciler.close();
         fleet.close();
         operations.close();
         writer.clear();
     }
 
-    public void report(Heartbeat r, Http.Exchange exchange) {
-        fleet.report(r, exchange);
+    /** A worker's heartbeat; the exchange is answered now or later. */
+    public void report(Heartbeat heartbeat, Http.Exchange exchange) {
+        fleet.report(heartbeat, exchange);
     }
 
-    Fleet fleet() {
-        return fleet;
+    /** Something has changed that the scheduler should know: a scheduling cycle follows soon. */
+    public void changed() {
+        trigger.changed();
     }
 
-    Operations operations() {
-        return operations;
+    /** Tasks seen running, by job. */
+    public Map<String, Integer> running() {
+        return status.running();
     }
 
-    // ---- events ----
+    /** Adds the leader's part of {@code /api/status}. */
+    public void describe(ObjectNode node) {
+        status.describe(node, loop.now());
+    }
 
     @Override
     public void jobAccepted(Job job) {
@@ -227,9 +209,9 @@
     public void jobEnded(Job job) {
         compactor.noted();
         forecast.ended(job.id());
-        ActiveJob live = fleet.job(job.id());
-        if (live != null) {
-            progress.ended(live);
+        ActiveJob active = fleet.job(job.id());
+        if (active != null) {
+            progress.ended(active);
         }
         fleet.jobEnded(job);
         cancellations.write();
@@ -237,174 +219,65 @@
 
     @Override
     public void jobReady(Job job) {
-        changed();
-    }
-
-    @Override
-    public void changed() {
-        if (!passDue && !closed) {
-            passDue = true;
-            loop.after(Math.max(PASS_MS, (fleet.size() + table.active().size()) / PASS_STEP), () -> {
-                passDue = false;
-                if (!closed) {
-                    context.metrics().busy.during(Part.PASS, pass::run);
-                    recovery.look(loop.now());
-                }
-            });
-        }
-    }
-
-    @Override
-    public void completed(Attempt attempt) {
-        if (attempt.runningSince() > 0) {
-            forecast.completed(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
-        }
+        trigger.changed();
     }
 
-    @Override
-    public void finished(Task task) {
-        progress.finished(task);
-    }
-
-    @Override
-    public void registry(Machine machine) {
-        registry.add(machine);
-    }
-
-    @Override
-    public void unreadableOver() {
-        registry.dropUnreadable();
-    }
-
-    @Override
-    public void newcomer() {
-        observationWindow.newcomer(loop.now());
-    }
-
-    @Override
-    public void stored(Task task) {
-        fleet.stored(task);
+    /** How many machines and jobs a scheduling cycle visits. */
+    private int visits() {
+        return fleet.size() + table.active().size();
     }
 
-    @Override
-    public void done(Job job, long revision) {
-        Double within = job.spec() == null ? null : job.spec().deadlineS();
-        long tookS = (loop.timeOfDay() - job.submittedAt()) / 1000;
-        LOG.debug("{} is done after {} s", job.id(), tookS);
-        if (within != null && tookS > within) {
-            context.incidents()
-                    .record(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
-                            + tookS + " s instead of " + Math.round(within) + " s, with " + fleet.waiting()
-                            + " tasks of all jobs waiting for room now");
-        }
-        table.end(job, Job.Status.DONE, job.tasks(), revision, true);
-    }
-
-    @Override
-    public boolean mayAct() {
-        return lead.mayAct();
-    }
-
-    @Override
-    public void rented(RentRequest request, List<String> machines) {
-        for (String id : machines) {
-            fleet.rented(id, request.type(), request.zone(), request.spot());
-        }
-        if (machines.size() < request.count()) {
-            noCapacity(request);
-        } else {
-            pass.capacity(Scheduler.pool(request.type(), request.zone(), request.spot()));
-        }
-        changed();
-    }
-
-    @Override
-    public void escalated(Operation operation) {
-        context.metrics().escalated.increment();
-        context.incidents()
-                .record(operation.name() + " (" + operation.kind() + ") has had no clear outcome for long: it counts as"
-                        + " unsettled room and is asked about now and then");
+    private void schedule() {
+        context.metrics().busy.during(Part.PASS, cycle::run);
+        failover.update(loop.now());
     }
 
-    @Override
-    public void noCapacity(RentRequest request) {
-        pass.noCapacity(Scheduler.pool(request.type(), request.zone(), request.spot()));
-        changed();
-    }
-
-    @Override
-    public void returned(List<String> machines) {
-        for (String id : machines) {
-            fleet.gone(id);
-            registry.remove(id);
-            inventory.forget(id);
-        }
-        changed();
-    }
-
-    @Override
-    public boolean busy() {
-        return fleet.unaccounted() > 0 || !writer.idle();
-    }
-
-    @Override
-    public Set<String> needed() {
-        Set<String> ids = fleet.jobsOnMachines();
-        table.active().forEach(job -> ids.addAll(job.spec().awaits()));
-        table.unstored().forEach(job -> ids.addAll(job.spec().awaits()));
-        return ids;
-    }
-
-    // ---- time ----
-
     private void tick() {
         if (closed) {
             return;
         }
         if (lead.mayAct()) {
-            inventory.giveBack(loop.now());
-            inventory.list();
+            reconciler.returnUseless(loop.now());
+            reconciler.list();
             context.lookup().resolveAll();
             cancellations.write();
-            changed();
+            trigger.changed();
         }
-        loop.after(500, this::tick);
+        loop.after(TICK_MS, this::tick);
     }
 
-    /** Tasks seen running, by job. */
-    public Map<String, Integer> running() {
-        Map<String, Integer> counts = new LinkedHashMap<>();
-        for (Machine m : fleet.machines()) {
-            for (Attempt a : m.attempts().values()) {
-                if (a.state() == Attempt.State.RUNNING) {
-                    counts.merge(a.jobId(), 1, Integer::sum);
-                }
-            }
+    /** Inner, since the fleet is made before the parts that follow its events. */
+    private final class FleetEvents implements Fleet.Events {
+        @Override
+        public void changed() {
+            trigger.changed();
         }
-        return counts;
-    }
 
-    public ObjectNode describe(ObjectNode n) {
-        Map<String, Integer> states = new LinkedHashMap<>();
-        for (Machine m : fleet.machines()) {
-            states.merge(m.state().name().toLowerCase(Locale.ROOT), 1, Integer::sum);
+        @Override
+        public void finished(Task task) {
+            progress.finished(task);
         }
-        ObjectNode machines = n.putObject("machines");
-        states.forEach(machines::put);
-        n.put("unaccounted", fleet.unaccounted());
-        recovery.describe(n.putObject("recovery"), loop.now());
-        var unsettled = n.putArray("unsettledOperations");
-        for (Operation op : operations.all()) {
-            if (op.open()) {
-                unsettled
-                        .addObject()
-                        .put("key", op.name())
-                        .put("kind", op.kind().name())
-                        .put("state", op.state().name())
-                        .put("seen", op.lastOutcome())
-                        .put("since", op.dispatchedAt());
+
+        @Override
+        public void completed(Attempt attempt) {
+            if (attempt.runningSince() > 0) {
+                forecast.completed(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
             }
         }
-        return n;
+
+        @Override
+        public void registry(Machine machine) {
+            registry.add(machine);
+        }
+
+        @Override
+        public void newcomer() {
+            observationWindow.newcomer(loop.now());
+        }
+
+        @Override
+        public void unreadableOver() {
+            registry.dropUnreadable();
+        }
     }
 }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -0,0 +1,78 @@
+package org.landingridge.controller.leader;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.landingridge.controller.cloud.Operations;
+import org.landingridge.controller.fleet.ActiveJob;
+import org.landingridge.controller.fleet.Attempt;
+import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.Machine;
+import org.landingridge.controller.fleet.Task;
+import org.landingridge.controller.recovery.ObservationWindow;
+import org.landingridge.controller.scheduling.CandidateNode;
+import org.landingridge.controller.scheduling.SchedulingPlan;
+import org.landingridge.wire.RentRequest;
+
+/** Carries out what the scheduler decided. The scheduler's opaque handles are the fleet's jobs, machines and attempts. */
+final class PlanExecutor {
+    private final LeaderContext context;
+    private final Fleet fleet;
+    private final Operations operations;
+    private final ObservationWindow observationWindow;
+
+    PlanExecutor(LeaderContext context, Fleet fleet, Operations operations, ObservationWindow observationWindow) {
+        this.context = context;
+        this.fleet = fleet;
+        this.operations = operations;
+        this.observationWindow = observationWindow;
+    }
+
+    void apply(SchedulingPlan plan) {
+        place(plan.placements);
+        plan.stops.forEach(this::stop);
+        plan.vacated.forEach(node -> fleet.drain((Machine) node.machine));
+        fleet.flush();
+        scaleOut(plan.rents);
+        scaleIn(plan.idle);
+    }
+
+    /** Stops work beyond limits that were lowered. */
+    void stopExcess(List<CandidateNode.Running> excess) {
+        excess.forEach(this::stop);
+        fleet.flush();
+    }
+
+    private void place(List<SchedulingPlan.Placement> placements) {
+        for (SchedulingPlan.Placement placement : placements) {
+            Task task = fleet.nextPlaceable((ActiveJob) placement.group().job);
+            if (task != null) {
+                fleet.place(task, (Machine) placement.node().machine);
+            }
+        }
+    }
+
+    private void stop(CandidateNode.Running running) {
+        Attempt attempt = (Attempt) running.attempt;
+        boolean maySave = attempt.spec().checkpointS() > 0 && !running.atOnce;
+        fleet.stop(attempt, maySave ? attempt.spec().saveS() : 0);
+    }
+
+    private void scaleOut(List<SchedulingPlan.Rent> rents) {
+        boolean observed = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
+        for (SchedulingPlan.Rent rent : rents) {
+            if (observed && !operations.rentPending(rent.type(), rent.zone(), rent.spot())) {
+                operations.rent(new RentRequest(rent.type(), rent.zone(), rent.spot(), rent.count()));
+            }
+        }
+    }
+
+    private void scaleIn(List<CandidateNode> idle) {
+        List<String> ids = new ArrayList<>();
+        for (CandidateNode node : idle) {
+            Machine machine = (Machine) node.machine;
+            fleet.leaving(machine);
+            ids.add(machine.id());
+        }
+        operations.returnMachines(ids);
+    }
+}
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/leader/ProgressEvents.java
@@ -0,0 +1,39 @@
+package org.landingridge.controller.leader;
+
+import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.Task;
+import org.landingridge.controller.jobs.Job;
+import org.landingridge.controller.progress.Progress;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Carries stored results into the fleet and ends jobs of which all tasks are done. */
+final class ProgressEvents implements Progress.Events {
+    private static final Logger LOG = LoggerFactory.getLogger(ProgressEvents.class);
+    private final LeaderContext context;
+    private final Fleet fleet;
+
+    ProgressEvents(LeaderContext context, Fleet fleet) {
+        this.context = context;
+        this.fleet = fleet;
+    }
+
+    @Override
+    public void stored(Task task) {
+        fleet.stored(task);
+    }
+
+    @Override
+    public void done(Job job, long revision) {
+        long tookS = (context.loop().timeOfDay() - job.submittedAt()) / 1000;
+        LOG.debug("job done, job={} tookS={}", job.id(), tookS);
+        Double deadlineS = job.spec() == null ? null : job.spec().deadlineS();
+        if (deadlineS != null && tookS > deadlineS) {
+            context.incidents()
+                    .record(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
+                            + tookS + " s instead of " + Math.round(deadlineS) + " s, with " + fleet.waiting()
+                            + " tasks of all jobs waiting for room now");
+        }
+        context.table().end(job, Job.Status.DONE, job.tasks(), revision, true);
+    }
+}
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -0,0 +1,97 @@
+package org.landingridge.controller.leader;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Map;
+import org.landingridge.controller.cloud.Operation;
+import org.landingridge.controller.cloud.Operations;
+import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.Machine;
+import org.landingridge.controller.fleet.MachineRegistry;
+import org.landingridge.controller.jobs.Job;
+import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.progress.Progress;
+import org.landingridge.controller.store.Keys;
+import org.landingridge.wire.ReturnRequest;
+
+/** Takes over the documents of earlier leaders: finished tasks, the machine registry, open operations. */
+final class StoredDocumentLoader {
+    private static final String PROGRESS = Keys.ROOT + Progress.PREFIX;
+    private static final String MACHINES = Keys.ROOT + MachineRegistry.PREFIX;
+    private static final String OPERATIONS = Keys.ROOT + Operation.PREFIX;
+
+    private final LeaderContext context;
+    private final JobTable table;
+    private final Fleet fleet;
+    private final MachineRegistry registry;
+    private final Progress progress;
+    private final Operations operations;
+
+    StoredDocumentLoader(
+            LeaderContext context, Fleet fleet, MachineRegistry registry, Progress progress, Operations operations) {
+        this.context = context;
+        this.table = context.table();
+        this.fleet = fleet;
+        this.registry = registry;
+        this.progress = progress;
+        this.operations = operations;
+    }
+
+    /**
+     * Takes everything over; the order matters, since each step reads what those before it made known.
+     *
+     * @param stored the documents by key
+     * @param seenAt when, by the loop's clock, each came to be known here in its present form
+     */
+    void load(Map<String, JsonNode> stored, Map<String, Long> seenAt) {
+        readFinishedTasks(stored);
+        for (Job job : table.active()) {
+            fleet.jobAccepted(job);
+        }
+        takeOverPages(stored, seenAt);
+        takeOverOperations(stored);
+        fleet.jobs().forEach(progress::takeOver);
+        registry.splitOversized();
+        progress.splitOversized();
+    }
+
+    /**
+     * A fresh process has read the finished tasks before it read their jobs, for such is the order of the keys: unless they
+     * are read once more, it starts all of a job's tasks again.
+     */
+    private void readFinishedTasks(Map<String, JsonNode> stored) {
+        stored.forEach((key, value) -> {
+            if (key.startsWith(PROGRESS)) {
+                Progress.read(value, table);
+            }
+        });
+    }
+
+    private void takeOverPages(Map<String, JsonNode> stored, Map<String, Long> seenAt) {
+        stored.forEach((key, value) -> {
+            if (key.startsWith(MACHINES)) {
+                registry.takeOver(key, value, seenAt.get(key), context.lead().previous());
+            } else if (key.startsWith(PROGRESS)) {
+                progress.takeOver(key, value, table);
+            }
+        });
+    }
+
+    private void takeOverOperations(Map<String, JsonNode> stored) {
+        stored.forEach((key, value) -> {
+            if (key.startsWith(OPERATIONS)) {
+                operations.takeOver(key.substring(OPERATIONS.length()), value).ifPresent(this::markLeaving);
+            }
+        });
+    }
+
+    private void markLeaving(Operation operation) {
+        if (operation.open() && operation.request() instanceof ReturnRequest request) {
+            for (String id : request.machines()) {
+                Machine machine = fleet.machine(id);
+                if (machine != null) {
+                    fleet.leaving(machine);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -0,0 +1,56 @@
+package org.landingridge.controller.leader;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.landingridge.controller.fleet.ActiveJob;
+import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.Task;
+import org.landingridge.controller.scheduling.TaskGroup;
+
+/** Describes waiting tasks to the scheduler, with the runtime forecast and what jobs inherit from their dependants. */
+final class TaskGroupBuilder {
+    private final LeaderContext context;
+    private final Fleet fleet;
+    private final RuntimeForecast forecast;
+    private final ConfiguredTeams teams;
+
+    TaskGroupBuilder(LeaderContext context, Fleet fleet, RuntimeForecast forecast, ConfiguredTeams teams) {
+        this.context = context;
+        this.fleet = fleet;
+        this.forecast = forecast;
+        this.teams = teams;
+    }
+
+    /** One group for each job of a configured team, by the job's id. */
+    Map<String, TaskGroup> build(long now) {
+        long timeOfDay = context.loop().timeOfDay();
+        PriorityInheritance inheritance = PriorityInheritance.of(context.table().active(), forecast, now, timeOfDay);
+        Map<String, TaskGroup> groups = new LinkedHashMap<>();
+        for (ActiveJob job : fleet.jobs()) {
+            int team = teams.index(job.spec().team(), -1);
+            // A job that waits for others takes no part in limits, guarantees, turns and forecasts.
+            if (team >= 0 && job.job().ready()) {
+                groups.put(job.id(), group(job, team, inheritance, now, timeOfDay));
+            }
+        }
+        return groups;
+    }
+
+    private TaskGroup group(ActiveJob job, int team, PriorityInheritance inheritance, long now, long timeOfDay) {
+        int placeable = fleet.placeable(job);
+        boolean broken = job.health() == ActiveJob.Health.BROKEN;
+        int waiting = broken ? Math.min(placeable, probes(job)) : placeable;
+        TaskGroup group = new TaskGroup(
+                inheritance.spec(job.spec()), job, job.job().created(), team, job.notBefore() <= now ? waiting : 0);
+        group.probing = broken;
+        group.held = job.count(Task.State.PENDING) - placeable;
+        forecast.fill(group, job.job(), now, timeOfDay);
+        inheritance.apply(group, job.id());
+        return group;
+    }
+
+    /** A job that fails wherever it is tried runs one task at a time. */
+    private static int probes(ActiveJob job) {
+        return job.count(Task.State.ON_MACHINE) == 0 ? 1 : 0;
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -38,7 +38,7 @@
     }
 
     public State state(long now) {
-        if (state == State.GATHERING && (listed && now - newestAt >= LULL_MS || now - beganAt >= mostMs)) {
+        if (state == State.GATHERING && ((listed && now - newestAt >= LULL_MS) || now - beganAt >= mostMs)) {
             state = State.COMPLETE;
         }
         return state;
