--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -5,9 +5,9 @@
 import java.util.function.Function;
 import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.EntryEvidence;
-import org.landingridge.controller.recovery.EntryEvidence.Known;
-import org.landingridge.controller.recovery.EntryEvidence.Said;
-import org.landingridge.controller.recovery.EntryEvidence.Stored;
+import org.landingridge.controller.recovery.EntryEvidence.KnownTask;
+import org.landingridge.controller.recovery.EntryEvidence.ReportedAttempt;
+import org.landingridge.controller.recovery.EntryEvidence.StoredJob;
 import org.landingridge.controller.recovery.Reconciliation;
 import org.landingridge.wire.Heartbeat;
 import org.landingridge.wire.JobSpec;
@@ -72,15 +72,17 @@
         JobSpec spec = job == null ? endedSpecs.apply(e.job()) : job.spec();
         Attempt a = new Attempt(m, e.job(), e.task(), e.attempt(), spec, null, now);
         m.attempts.put(a.number, a);
-        Said said = e.status() != Heartbeat.TaskStatus.EXITED
-                ? Said.ON
-                : DONE.equals(e.why()) && job != null && !spec.service() ? Said.DONE : Said.ENDED;
-        Stored stored = job != null ? Stored.LIVE : spec != null ? Stored.OVER : Stored.ABSENT;
+        ReportedAttempt said = e.status() != Heartbeat.TaskStatus.EXITED
+                ? ReportedAttempt.LIVE
+                : DONE.equals(e.why()) && job != null && !spec.service()
+                        ? ReportedAttempt.COMPLETED
+                        : ReportedAttempt.ENDED;
+        StoredJob stored = job != null ? StoredJob.ACTIVE : spec != null ? StoredJob.ENDED : StoredJob.ABSENT;
         Decision decision = Reconciliation.entry(new EntryEvidence(stored, known(task, a), said));
-        switch (decision.verdict()) {
+        switch (decision.action()) {
             case ADOPT -> {
                 a.owner = task;
-                if (said == Said.ON) {
+                if (said == ReportedAttempt.LIVE) {
                     if (task.attempt() != null) {
                         forgo(task, now);
                     }
@@ -93,11 +95,11 @@
                         "{} on {} is stopped: {}",
                         a.name(),
                         m.id,
-                        decision.cause().text());
+                        decision.reason().text());
                 a.stopWanted = true;
             }
             // An attempt that failed still tells of its job and its machine.
-            default -> a.owner = said == Said.ENDED ? task : null;
+            default -> a.owner = said == ReportedAttempt.ENDED ? task : null;
         }
         if (e.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
             m.used(spec.image());
@@ -118,14 +120,15 @@
     }
 
     /** Numbers only grow, from leader to leader and within a leader term, and a task is started where none of its attempts can run. */
-    private static Known known(Task task, Attempt a) {
+    private static KnownTask known(Task task, Attempt a) {
         return task == null
-                ? Known.NONE
+                ? KnownTask.NONE
                 : switch (task.state()) {
-                    case PENDING -> Known.PENDING;
-                    case ON_MACHINE -> a.number > task.attempt().number ? Known.EARLIER : Known.ELSEWHERE;
-                    case FINISHED -> Known.FINISHED;
-                    case DONE -> Known.DONE;
+                    case PENDING -> KnownTask.PENDING;
+                    case ON_MACHINE ->
+                        a.number > task.attempt().number ? KnownTask.EARLIER_ATTEMPT : KnownTask.LATER_ATTEMPT;
+                    case FINISHED -> KnownTask.FINISHED;
+                    case DONE -> KnownTask.STORED;
                 };
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -14,9 +14,9 @@
 import org.landingridge.controller.observability.Metrics;
 import org.landingridge.controller.recovery.Action;
 import org.landingridge.controller.recovery.Decision;
+import org.landingridge.controller.recovery.HeartbeatEvidence;
+import org.landingridge.controller.recovery.HeartbeatEvidence.Token;
 import org.landingridge.controller.recovery.Reconciliation;
-import org.landingridge.controller.recovery.ReportEvidence;
-import org.landingridge.controller.recovery.ReportEvidence.Token;
 import org.landingridge.controller.recovery.TaskEvidence;
 import org.landingridge.controller.settings.Policy;
 import org.landingridge.controller.settings.Settings;
@@ -260,7 +260,7 @@
     public boolean unheard(Machine m, long now) {
         return m.unverified
                 && unverifiedMachines.left() * MANY > unverifiedMachines.asked()
-                && healthMonitor.judge(m, now).cause() == Decision.Reason.REPORT_DUE;
+                && healthMonitor.judge(m, now).reason() == Decision.Reason.REPORT_DUE;
     }
 
     /** For how long a machine on which nothing takes room has been so. */
@@ -284,7 +284,7 @@
 
     /** The machine is to go back, by its judgement: it gets no more starts. */
     public void giveBack(Machine m, Decision why) {
-        if (why.cause() == Decision.Reason.SETTLED_BY_RETURN) {
+        if (why.reason() == Decision.Reason.SETTLED_BY_RETURN) {
             healthMonitor.returned(m, loop.now());
             metrics.settled.increment();
             eventLog.emit("settled", "machine", m.id, "zone", m.zone, "silentMs", silentMs(m), "held", m.live());
@@ -476,7 +476,7 @@
     /** Answers a worker's report; the caller has checked that this process leads. */
     public void report(Heartbeat r, Http.Exchange exchange) {
         Machine known = machines.get(r.machine());
-        Decision decision = Reconciliation.report(new ReportEvidence(
+        Decision decision = Reconciliation.heartbeat(new HeartbeatEvidence(
                 returned.containsKey(r.machine()),
                 known == null || HeartbeatHandler.newer(known, r),
                 Token.of(r.token(), lead.token())));
@@ -484,8 +484,8 @@
             // The worker would drop our 200, and its lease would run out while it stays with us.
             lead.suspect();
         }
-        if (decision.is(Action.ASK) || decision.cause() == Decision.Reason.GIVEN_BACK) {
-            exchange.answer(503, error(decision.cause().text()));
+        if (decision.is(Action.ASK) || decision.reason() == Decision.Reason.GIVEN_BACK) {
+            exchange.answer(503, error(decision.reason().text()));
             return;
         }
         Machine m = appeared(r.machine(), r.addr(), r.type(), r.zone(), r.spot());
@@ -593,7 +593,7 @@
         }
         healthMonitor.look(machines.values(), unverifiedMachines.left() > 0 && anyHeld(), now);
         for (Machine m : new ArrayList<>(machines.values())) {
-            switch (healthMonitor.judge(m, now).verdict()) {
+            switch (healthMonitor.judge(m, now).action()) {
                 case PLACE -> lapse(m);
                 case ASK -> {
                     dispatcher.ask(m);
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -9,8 +9,8 @@
 import org.landingridge.controller.election.Leadership;
 import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.MachineEvidence;
-import org.landingridge.controller.recovery.MachineEvidence.Row;
-import org.landingridge.controller.recovery.MachineEvidence.Word;
+import org.landingridge.controller.recovery.MachineEvidence.RegistryRow;
+import org.landingridge.controller.recovery.MachineEvidence.TokenSeen;
 import org.landingridge.controller.recovery.Reconciliation;
 
 /** Gathers the evidence about machines, twice a second for all of them, and has it judged. */
@@ -123,11 +123,13 @@
 
     Decision judge(Machine m, long now) {
         boolean mayHold = m.state() == Machine.State.UP || m.unverified || !m.attempts.isEmpty();
-        Row row = !mayHold ? Row.NAMED : m.written || m.unverified ? Row.HOLDS : Row.REPORTED;
-        Word word = !m.everHeard() ? Word.NONE : m.fenced ? Word.OURS : Word.OLD;
+        RegistryRow row = !mayHold
+                ? RegistryRow.NO_ADDRESS
+                : m.written || m.unverified ? RegistryRow.ADDRESS_STORED : RegistryRow.ADDRESS_UNSTORED;
+        TokenSeen seen = !m.everHeard() ? TokenSeen.NONE : m.fenced ? TokenSeen.CURRENT : TokenSeen.OLDER;
         return Reconciliation.machine(new MachineEvidence(
                 row,
-                word,
+                seen,
                 m.listedFailed,
                 m.state() == Machine.State.LEAVING,
                 now > leaseEnds(m),
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -65,7 +65,7 @@
         for (Machine machine : fleet.machines()) {
             Decision decision = fleet.judge(machine, now);
             if (decision.is(Action.GIVE_BACK)) {
-                String why = decision.cause().text();
+                String why = decision.reason().text();
                 LOG.info("machine returned, machine={} reason={}", machine.id(), why);
                 context.incidents().record(machine.id() + ": " + why + "; given back");
                 fleet.giveBack(machine, decision);
--- a/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
@@ -44,7 +44,7 @@
         if (group.count <= MOST_NAMED && !decision.is(Action.ADOPT)) {
             group.named.add(machine.id());
         }
-        if (decision.is(Action.WAIT) && decision.cause() != Reason.BOOTING) {
+        if (decision.is(Action.WAIT) && decision.reason() != Reason.BOOTING) {
             group.waitMs = Math.max(group.waitMs, Math.max(0, leaseEndsInMs));
         }
     }
@@ -52,8 +52,8 @@
     /** Adds an object {@code machines}, unless there are no machines. */
     void describe(ObjectNode node) {
         groups.forEach((decision, group) -> {
-            ObjectNode of = node.withObject("/machines/" + name(decision.verdict()) + "/" + name(decision.cause()));
-            of.put("why", decision.cause().text()).put("count", group.count);
+            ObjectNode of = node.withObject("/machines/" + name(decision.action()) + "/" + name(decision.reason()));
+            of.put("why", decision.reason().text()).put("count", group.count);
             if (!group.named.isEmpty()) {
                 group.named.forEach(of.putArray("first")::add);
             }
--- a/controller/src/main/java/org/landingridge/controller/recovery/Action.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Action.java
@@ -1,20 +1,20 @@
 package org.landingridge.controller.recovery;
 
-/** What is to be done about a machine, an entry of a report or a task. */
+/** What is to be done about a machine, a heartbeat, an entry of one, or a task. The names are shown in the status. */
 public enum Action {
     /** It is what the stored state says, or fits into it: it is taken as it is. */
     ADOPT,
-    /** Nothing is done until something more is known; the judgement says what, and at most until when. */
+    /** Nothing is done until something more is known; the reason says what. */
     WAIT,
-    /** The task, or all that the machine held, is certainly nowhere and may be started. */
+    /** The task, or all that could run on the machine, certainly runs nowhere and may be started. */
     PLACE,
-    /** It runs and may not: it is told to stop. */
+    /** It runs and may not: it is stopped. */
     STOP,
     /** It is over and nobody needs it any more: the worker may forget it. */
     CLEAR,
-    /** It does not know this leader yet: it is shown the token before anything else. */
+    /** The worker has not seen this leader's fencing token yet: it is sent the token before anything else. */
     FENCE,
-    /** The machine goes back to the cloud, whose answer settles all that was on it. */
+    /** The machine is returned to the cloud, whose answer proves that nothing runs on it any more. */
     GIVE_BACK,
     /** Whoever knows is asked: the machine itself, or the state service. */
     ASK,
--- a/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
@@ -1,13 +1,14 @@
 package org.landingridge.controller.recovery;
 
 /**
- * A verdict with its reason.
+ * What is to be done, and why.
  *
- * @param cause one of a fixed set, the reason column of the tables in {@code docs/recovery.md}
+ * @param reason one of a fixed set, the reason column of the tables in {@code docs/recovery.md}
  */
-public record Decision(Action verdict, Reason cause) {
-    /** Why; the text is for people. */
+public record Decision(Action action, Reason reason) {
+    /** Why; the names and texts are shown in the status, and the texts in incidents. */
     public enum Reason {
+        // Machines.
         RETURNING("the cloud has been asked to take it back"),
         STOPPED("the cloud lists it as failed"),
         LEASE_OVER("its lease is over, so it holds nothing"),
@@ -24,10 +25,12 @@
         CUT_OFF("its lease; so many fall silent at once where a network is cut"),
         LEASE("its lease"),
 
+        // Heartbeats as a whole.
         GIVEN_BACK("it was given back: the report is an old one"),
         OLDER("something newer is known"),
         HIGHER_TOKEN("somebody may lead after us"),
 
+        // Entries of a heartbeat.
         JOB_OVER("its job is over"),
         NO_SUCH_JOB("no such job is stored"),
         NO_SUCH_TASK("the job has no task of this number"),
@@ -39,6 +42,7 @@
         UNSTORED("its result is not stored yet"),
         ENDED("it has ended without a result"),
 
+        // Tasks that are on no machine as far as is known.
         OWN("no earlier leader knew the job"),
         SEEN("this leader has seen it on a fenced machine, and lost it"),
         NOBODY_HOLDS("every machine that could hold it is accounted for"),
@@ -50,12 +54,14 @@
             this.text = text;
         }
 
+        /** The reason in plain words, as the end of a sentence about the machine or the task. */
         public String text() {
             return text;
         }
     }
 
-    public boolean is(Action v) {
-        return verdict == v;
+    /** True where this action is to be taken. */
+    public boolean is(Action other) {
+        return action == other;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/EntryEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/EntryEvidence.java
@@ -1,37 +1,46 @@
 package org.landingridge.controller.recovery;
 
 /**
- * What is known of one entry of a worker's report.
+ * What is known of one entry of a heartbeat.
  *
  * @param job   what is stored of its job
  * @param task  what this leader has concluded of its task so far; {@code NONE} where the job has no such task
- * @param entry what the worker says of the attempt
+ * @param entry what the worker reports of the attempt
  */
-public record EntryEvidence(Stored job, Known task, Said entry) {
-    /** ABSENT: neither live nor kept as ended: an ended job of long ago, or none that was ever accepted. */
-    public enum Stored {
-        LIVE,
-        OVER,
+public record EntryEvidence(StoredJob job, KnownTask task, ReportedAttempt entry) {
+    /** What is stored of a job. */
+    public enum StoredJob {
+        /** It is neither done nor cancelled. */
+        ACTIVE,
+        /** It ended lately. */
+        ENDED,
+        /** It ended long ago, or was never accepted. */
         ABSENT
     }
 
-    /**
-     * PENDING: on no machine. ELSEWHERE: on one, by a later attempt than this. EARLIER: on one, by an attempt before this.
-     * FINISHED: not stored yet. DONE: stored.
-     */
-    public enum Known {
+    /** What this leader has concluded of a task. */
+    public enum KnownTask {
+        /** The job has no such task. */
         NONE,
+        /** It is on no machine. */
         PENDING,
-        ELSEWHERE,
-        EARLIER,
+        /** It is on a machine, by a later attempt than the one reported. */
+        LATER_ATTEMPT,
+        /** It is on a machine, by an attempt before the one reported. */
+        EARLIER_ATTEMPT,
+        /** It has finished, and its result is not stored yet. */
         FINISHED,
-        DONE
+        /** Its result is stored. */
+        STORED
     }
 
-    /** ON: fetching, running or saving. DONE: ended with a result. ENDED: ended without one. */
-    public enum Said {
-        ON,
-        DONE,
+    /** What a worker reports of an attempt. */
+    public enum ReportedAttempt {
+        /** It fetches, runs or saves. */
+        LIVE,
+        /** It ended with a result. */
+        COMPLETED,
+        /** It ended without one. */
         ENDED
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -1,23 +1,25 @@
 package org.landingridge.controller.recovery;
 
 /**
- * Whether a new leader knows enough of what is there to rent more. Right after an election machines turn up that no list
- * names yet: what is rented for their want is given back unused.
+ * Whether a new leader knows enough of what is there to scale out. Right after an election machines turn up that no list
+ * names yet: what is rented in their place is returned unused.
  */
 public final class ObservationWindow {
-    /** GATHERING: machines still turn up, or no list was read. COMPLETE: what is up or on its way is known, mostly. */
+    /** How much is known. */
     public enum State {
+        /** Machines still turn up, or no list was read. */
         GATHERING,
+        /** What is up or on its way is known, mostly; it stays so. */
         COMPLETE
     }
 
-    /** So long nobody unknown may have turned up, in milliseconds. */
-    private static final long LULL_MS = 1_000;
+    /** For so long no unknown machine may have turned up, in milliseconds. */
+    private static final long QUIET_MS = 1_000;
 
     private final long beganAt;
     private final long mostMs;
     private State state = State.GATHERING;
-    private boolean listed;
+    private boolean listRead;
     private long newestAt;
 
     /** @param mostMs how long nothing is decided at most, whatever is still missing */
@@ -27,20 +29,25 @@
         this.mostMs = mostMs;
     }
 
-    /** A machine has reported that nobody knew of. */
+    /** A machine has sent a heartbeat that nobody knew of. */
     public void newcomer(long now) {
         newestAt = now;
     }
 
     /** A list of the cloud has been read. */
     public void listed() {
-        listed = true;
+        listRead = true;
     }
 
+    /** How much is known at this time. */
     public State state(long now) {
-        if (state == State.GATHERING && ((listed && now - newestAt >= LULL_MS) || now - beganAt >= mostMs)) {
+        if (state == State.GATHERING && (observed(now) || now - beganAt >= mostMs)) {
             state = State.COMPLETE;
         }
         return state;
     }
+
+    private boolean observed(long now) {
+        return listRead && now - newestAt >= QUIET_MS;
+    }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
@@ -1,115 +1,130 @@
 package org.landingridge.controller.recovery;
 
 import org.landingridge.controller.recovery.Decision.Reason;
-import org.landingridge.controller.recovery.EntryEvidence.Known;
-import org.landingridge.controller.recovery.EntryEvidence.Said;
-import org.landingridge.controller.recovery.MachineEvidence.Row;
-import org.landingridge.controller.recovery.MachineEvidence.Word;
+import org.landingridge.controller.recovery.EntryEvidence.KnownTask;
+import org.landingridge.controller.recovery.EntryEvidence.ReportedAttempt;
+import org.landingridge.controller.recovery.EntryEvidence.StoredJob;
+import org.landingridge.controller.recovery.MachineEvidence.RegistryRow;
+import org.landingridge.controller.recovery.MachineEvidence.TokenSeen;
 
 /**
- * Squares what workers and cloud say with what is stored: from evidence to one verdict with its reason, with no state of
- * its own. The tables in {@code docs/recovery.md} say the same line by line, and a test holds every combination against
- * them.
+ * Reconciles what workers and cloud report with what is stored: from evidence to a {@link Decision}, with no state of its
+ * own. The tables in {@code docs/recovery.md} state the same line by line, and a test holds every combination against them.
  */
 public final class Reconciliation {
     private Reconciliation() {}
 
-    public static Decision machine(MachineEvidence e) {
-        if (e.row() != Row.NAMED && e.leaseOver()) {
+    /** Decides about a machine. */
+    public static Decision machine(MachineEvidence evidence) {
+        boolean mayRunTasks = evidence.registryRow() != RegistryRow.NO_ADDRESS;
+        if (mayRunTasks && evidence.leaseExpired()) {
             return new Decision(Action.PLACE, Reason.LEASE_OVER);
         }
-        if (e.returning()) {
+        if (evidence.returning()) {
             return new Decision(Action.WAIT, Reason.RETURNING);
         }
-        if (e.silent() && e.stopped()) {
+        if (evidence.heartbeatOverdue() && evidence.failedInCloud()) {
             return new Decision(Action.GIVE_BACK, Reason.STOPPED);
         }
-        if (e.row() == Row.NAMED) {
-            boolean heard = e.word() != Word.NONE;
-            if (e.overdue()) {
-                return new Decision(Action.GIVE_BACK, heard ? Reason.SILENT_FOR_LONG : Reason.NEVER_UP);
-            }
-            return new Decision(Action.WAIT, heard ? Reason.LEASE_OVER : Reason.BOOTING);
+        if (!mayRunTasks) {
+            return withoutAddress(evidence);
         }
-        if (e.faulty()) {
+        if (evidence.failsTasks()) {
             return new Decision(Action.GIVE_BACK, Reason.FAULTY);
         }
-        return e.silent() ? silent(e) : speaking(e);
+        return evidence.heartbeatOverdue() ? overdue(evidence) : punctual(evidence);
     }
 
-    private static Decision speaking(MachineEvidence e) {
-        return switch (e.word()) {
+    private static Decision withoutAddress(MachineEvidence evidence) {
+        boolean heard = evidence.tokenSeen() != TokenSeen.NONE;
+        if (evidence.bootOverdue()) {
+            return new Decision(Action.GIVE_BACK, heard ? Reason.SILENT_FOR_LONG : Reason.NEVER_UP);
+        }
+        return new Decision(Action.WAIT, heard ? Reason.LEASE_OVER : Reason.BOOTING);
+    }
+
+    private static Decision punctual(MachineEvidence evidence) {
+        return switch (evidence.tokenSeen()) {
             case NONE -> new Decision(Action.WAIT, Reason.REPORT_DUE);
-            case OLD -> new Decision(Action.FENCE, Reason.OLD_TOKEN);
-            case OURS ->
-                e.row() == Row.REPORTED
+            case OLDER -> new Decision(Action.FENCE, Reason.OLD_TOKEN);
+            case CURRENT ->
+                evidence.registryRow() == RegistryRow.ADDRESS_UNSTORED
                         ? new Decision(Action.WAIT, Reason.UNWRITTEN)
                         : new Decision(Action.ADOPT, Reason.KNOWN);
         };
     }
 
-    /** It may hold tasks, and nobody knows whether it still runs them: a silence proves nothing. */
-    private static Decision silent(MachineEvidence e) {
-        if (!e.unanswered()) {
+    /** It may run tasks, and nobody knows whether it still does: a heartbeat that does not come proves nothing. */
+    private static Decision overdue(MachineEvidence evidence) {
+        if (!evidence.unresponsive()) {
             return new Decision(Action.ASK, Reason.UNHEARD);
         }
-        if (e.crowd()) {
+        if (evidence.partitionLikely()) {
             return new Decision(Action.WAIT, Reason.CUT_OFF);
         }
-        return e.worth()
+        return evidence.returnSaves()
                 ? new Decision(Action.GIVE_BACK, Reason.SETTLED_BY_RETURN)
                 : new Decision(Action.WAIT, Reason.LEASE);
     }
 
-    public static Decision report(ReportEvidence e) {
-        if (e.givenBack()) {
+    /** Decides about a heartbeat as a whole. */
+    public static Decision heartbeat(HeartbeatEvidence evidence) {
+        if (evidence.returned()) {
             return new Decision(Action.IGNORE, Reason.GIVEN_BACK);
         }
-        if (e.token() == ReportEvidence.Token.HIGHER) {
+        if (evidence.token() == HeartbeatEvidence.Token.HIGHER) {
             return new Decision(Action.ASK, Reason.HIGHER_TOKEN);
         }
-        if (!e.newer()) {
+        if (!evidence.newer()) {
             return new Decision(Action.IGNORE, Reason.OLDER);
         }
-        return e.token() == ReportEvidence.Token.LOWER
+        return evidence.token() == HeartbeatEvidence.Token.LOWER
                 ? new Decision(Action.FENCE, Reason.OLD_TOKEN)
                 : new Decision(Action.ADOPT, Reason.KNOWN);
     }
 
-    public static Decision entry(EntryEvidence e) {
-        Action unwanted = e.entry() == Said.ON ? Action.STOP : Action.CLEAR;
-        if (e.job() != EntryEvidence.Stored.LIVE) {
-            return new Decision(unwanted, e.job() == EntryEvidence.Stored.OVER ? Reason.JOB_OVER : Reason.NO_SUCH_JOB);
+    /** Decides about one entry of a heartbeat. */
+    public static Decision entry(EntryEvidence evidence) {
+        Action unwanted = evidence.entry() == ReportedAttempt.LIVE ? Action.STOP : Action.CLEAR;
+        if (evidence.job() != StoredJob.ACTIVE) {
+            return new Decision(unwanted, evidence.job() == StoredJob.ENDED ? Reason.JOB_OVER : Reason.NO_SUCH_JOB);
         }
-        if (e.task() == Known.NONE) {
+        if (evidence.task() == KnownTask.NONE) {
             return new Decision(unwanted, Reason.NO_SUCH_TASK);
         }
-        return switch (e.entry()) {
-            case ON ->
-                switch (e.task()) {
-                    case PENDING -> new Decision(Action.ADOPT, Reason.RUNS);
-                    case EARLIER -> new Decision(Action.ADOPT, Reason.LATER);
-                    case ELSEWHERE -> new Decision(Action.STOP, Reason.ELSEWHERE);
-                    default -> new Decision(Action.STOP, Reason.FINISHED);
-                };
-            case DONE ->
-                switch (e.task()) {
-                    case PENDING, ELSEWHERE, EARLIER -> new Decision(Action.ADOPT, Reason.RESULT);
-                    case FINISHED -> new Decision(Action.WAIT, Reason.UNSTORED);
-                    default -> new Decision(Action.CLEAR, Reason.FINISHED);
-                };
+        return switch (evidence.entry()) {
+            case LIVE -> live(evidence.task());
+            case COMPLETED -> completed(evidence.task());
             case ENDED -> new Decision(Action.CLEAR, Reason.ENDED);
         };
     }
 
-    public static Decision task(TaskEvidence e) {
-        if (e.own()) {
+    private static Decision live(KnownTask task) {
+        return switch (task) {
+            case PENDING -> new Decision(Action.ADOPT, Reason.RUNS);
+            case EARLIER_ATTEMPT -> new Decision(Action.ADOPT, Reason.LATER);
+            case LATER_ATTEMPT -> new Decision(Action.STOP, Reason.ELSEWHERE);
+            case NONE, FINISHED, STORED -> new Decision(Action.STOP, Reason.FINISHED);
+        };
+    }
+
+    private static Decision completed(KnownTask task) {
+        return switch (task) {
+            case PENDING, LATER_ATTEMPT, EARLIER_ATTEMPT -> new Decision(Action.ADOPT, Reason.RESULT);
+            case FINISHED -> new Decision(Action.WAIT, Reason.UNSTORED);
+            case NONE, STORED -> new Decision(Action.CLEAR, Reason.FINISHED);
+        };
+    }
+
+    /** Decides about a task that is on no machine as far as anybody has reported. */
+    public static Decision task(TaskEvidence evidence) {
+        if (evidence.acceptedThisTerm()) {
             return new Decision(Action.PLACE, Reason.OWN);
         }
-        if (e.accounted()) {
+        if (evidence.accounted()) {
             return new Decision(Action.PLACE, Reason.SEEN);
         }
-        return e.held()
+        return evidence.unverifiedMachine()
                 ? new Decision(Action.WAIT, Reason.MAY_BE_HELD)
                 : new Decision(Action.PLACE, Reason.NOBODY_HOLDS);
     }
--- a/controller/src/main/java/org/landingridge/controller/recovery/TaskEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/TaskEvidence.java
@@ -3,8 +3,8 @@
 /**
  * What is known of a task that is on no machine as far as anybody has reported.
  *
- * @param own       its job was accepted in this leader term, so no earlier leader has started it
- * @param accounted this leader has seen it on a fenced machine: an earlier leader had it in one place at most
- * @param held      a machine that is not accounted for could hold it, by kind, type and zone
+ * @param acceptedThisTerm   its job was accepted in this leader term, so no earlier leader has started it
+ * @param accounted          this leader has seen it on a fenced machine: an earlier leader had it in one place at most
+ * @param unverifiedMachine  a machine that is not accounted for could run it, by kind, type and zone
  */
-public record TaskEvidence(boolean own, boolean accounted, boolean held) {}
+public record TaskEvidence(boolean acceptedThisTerm, boolean accounted, boolean unverifiedMachine) {}
--- a/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
@@ -10,7 +10,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashSet;
+import java.util.Collections;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
@@ -70,11 +71,12 @@
         return value instanceof Boolean b ? b ? "yes" : "no" : value.toString();
     }
 
-    private static <R extends Record> void matches(String heading, Class<R> type, Function<R, Decision> judge, int many)
+    private static <R extends Record> void matches(
+            String heading, Class<R> type, Function<R, Decision> decide, int many)
             throws IOException, ReflectiveOperationException {
         List<String[]> lines = table(heading);
         RecordComponent[] parts = type.getRecordComponents();
-        Set<String[]> used = new HashSet<>();
+        Set<String[]> used = Collections.newSetFromMap(new IdentityHashMap<>());
         List<R> all = all(type);
         assertEquals(many, all.size(), "combinations");
         for (R evidence : all) {
@@ -92,10 +94,10 @@
             }
             assertTrue(first != null, () -> "no line for " + evidence);
             used.add(first);
-            Decision decision = judge.apply(evidence);
+            Decision decision = decide.apply(evidence);
             assertEquals(
                     first[parts.length] + " " + first[parts.length + 1],
-                    decision.verdict() + " " + decision.cause(),
+                    decision.action() + " " + decision.reason(),
                     evidence.toString());
         }
         assertEquals(lines.size(), used.size(), "lines of " + heading + " that something fits");
@@ -107,13 +109,13 @@
     }
 
     @Test
-    void reports() throws IOException, ReflectiveOperationException {
-        matches("Reports", ReportEvidence.class, Reconciliation::report, 2 * 2 * 3);
+    void heartbeats() throws IOException, ReflectiveOperationException {
+        matches("Heartbeats", HeartbeatEvidence.class, Reconciliation::heartbeat, 2 * 2 * 3);
     }
 
     @Test
     void entries() throws IOException, ReflectiveOperationException {
-        matches("Entries of a report", EntryEvidence.class, Reconciliation::entry, 3 * 6 * 3);
+        matches("Entries of a heartbeat", EntryEvidence.class, Reconciliation::entry, 3 * 6 * 3);
     }
 
     @Test
@@ -126,16 +128,16 @@
     }
 
     @Test
-    @DisplayName("nothing that may be on a machine is placed or given up before its lease or the cloud's word")
-    void nothingIsPlacedOnASilence() throws ReflectiveOperationException {
+    @DisplayName("what may be on a machine is placed only after its lease, or where it is certainly nowhere")
+    void placedOnlyWhereNothingElseCanRunIt() throws ReflectiveOperationException {
         for (MachineEvidence e : all(MachineEvidence.class)) {
             if (Reconciliation.machine(e).is(Action.PLACE)) {
-                assertTrue(e.leaseOver(), e.toString());
+                assertTrue(e.leaseExpired(), e.toString());
             }
         }
         for (TaskEvidence e : all(TaskEvidence.class)) {
             if (Reconciliation.task(e).is(Action.PLACE)) {
-                assertTrue(e.own() || e.accounted() || !e.held(), e.toString());
+                assertTrue(e.acceptedThisTerm() || e.accounted() || !e.unverifiedMachine(), e.toString());
             }
         }
     }
