--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -11,56 +11,63 @@
 
 /** A job with its tasks, for as long as the leader works on it. */
 public final class ActiveJob {
+    /** SOUND: nothing speaks against it. DOUBTED: a task has failed. BROKEN: it fails wherever it is tried. */
+    public enum Health {
+        SOUND,
+        DOUBTED,
+        BROKEN
+    }
+
     private final Job job;
     private final JobSpec spec;
+    private final boolean own;
+    private final long since;
     /**
      * Tasks that something has happened to. The others wait or are stored as done, and take no memory: the largest
      * arrays have 100,000, of which few are on machines at a time.
      */
     private final Int2ObjectHashMap<Task> touched = new Int2ObjectHashMap<>();
 
-    private final int[] counts = new int[Task.State.values().length];
-    /** Accepted after the leader was elected, so no earlier leader can have started any of its tasks. */
-    final boolean own;
+    /** Tasks by their state. */
+    private int pending;
 
-    final long since;
+    private int onMachine;
+    private int finished;
+    private int done;
     /** Where the search for a waiting task goes on. */
-    int next;
-    /** SOUND: nothing speaks against it. DOUBTED: a task has failed. BROKEN: it fails wherever it is tried. */
-    public enum Health {
-        SOUND,
-        DOUBTED,
-        BROKEN
-    }
+    private int next;
 
     private Health health = Health.SOUND;
-    /** Exits with an error since the last success, and the machines on which they were. */
-    int failures;
-
-    final Set<String> failedOn = new LinkedHashSet<>();
+    /** Exits with an error since the last success. */
+    private int failures;
+    /** The machines on which they were. */
+    private final Set<String> failedOn = new LinkedHashSet<>();
     /** One of its tasks has completed in this leader term. */
-    boolean succeeded;
+    private boolean succeeded;
 
-    long notBefore;
+    private long notBefore;
 
+    /** @param own accepted after the leader was elected, so no earlier leader can have started any of its tasks */
     ActiveJob(Job job, boolean own, long now) {
         this.job = job;
         this.spec = job.spec();
         this.own = own;
         this.since = now;
-        int done = job.done() == null ? 0 : job.done().cardinality();
-        counts[Task.State.PENDING.ordinal()] = job.tasks() - done;
-        counts[Task.State.DONE.ordinal()] = done;
+        done = job.done() == null ? 0 : job.done().cardinality();
+        pending = job.tasks() - done;
     }
 
+    /** Identifier of the job. */
     public String id() {
         return job.id();
     }
 
+    /** What is stored of it. */
     public Job job() {
         return job;
     }
 
+    /** What its user asked for. */
     public JobSpec spec() {
         return spec;
     }
@@ -75,12 +82,47 @@
         if (index < 0 || index >= size()) {
             return null;
         }
-        Task t = touched.get(index);
-        if (t == null) {
-            t = new Task(this, index, done(index) ? Task.State.DONE : Task.State.PENDING, since);
-            touched.put(index, t);
+        Task task = touched.get(index);
+        if (task == null) {
+            task = new Task(this, index, done(index) ? Task.State.DONE : Task.State.PENDING);
+            touched.put(index, task);
         }
-        return t;
+        return task;
+    }
+
+    /** The tasks that something has happened to. */
+    public List<Task> touched() {
+        return new ArrayList<>(touched.values());
+    }
+
+    /** Number of tasks in that state. */
+    public int count(Task.State state) {
+        return switch (state) {
+            case PENDING -> pending;
+            case ON_MACHINE -> onMachine;
+            case FINISHED -> finished;
+            case DONE -> done;
+        };
+    }
+
+    /** What its failures say of it. */
+    public Health health() {
+        return health;
+    }
+
+    /** Time of the event loop, in milliseconds, before which none of its tasks is started. */
+    public long notBefore() {
+        return notBefore;
+    }
+
+    /** True if it was accepted in this leader term. */
+    boolean own() {
+        return own;
+    }
+
+    /** Since when this leader works on it. */
+    long since() {
+        return since;
     }
 
     /** True if nothing has happened to the task yet, and it is not done. */
@@ -88,38 +130,69 @@
         return !done(index) && !touched.containsKey(index);
     }
 
-    /** The tasks that something has happened to. */
-    public List<Task> touched() {
-        return new ArrayList<>(touched.values());
+    /** The number of the task to look at next, in a circle over all of them. */
+    int advance() {
+        int index = next;
+        next = (index + 1) % size();
+        return index;
     }
 
-    private boolean done(int index) {
-        BitSet done = job.done();
-        return done != null && done.get(index);
+    int failures() {
+        return failures;
     }
 
-    public int count(Task.State state) {
-        return counts[state.ordinal()];
+    Set<String> failedOn() {
+        return failedOn;
     }
 
-    public Health health() {
-        return health;
+    boolean succeeded() {
+        return succeeded;
+    }
+
+    /** None of its tasks is started before then. */
+    void pauseUntil(long time) {
+        notBefore = time;
     }
 
-    /** The only place where its health changes. */
-    void to(Health next) {
+    /** One of its tasks has ended with an error on the machine; its health follows by {@link #judged}. */
+    void failed(String machine) {
+        failedOn.add(machine);
+        failures++;
+    }
+
+    /** What its failures say of it has changed, or not. */
+    void judged(Health next) {
         health = next;
     }
 
-    public long notBefore() {
-        return notBefore;
+    /** One of its tasks has completed. */
+    void completed() {
+        failedOn.clear();
+        failures = 0;
+        succeeded = true;
+        health = Health.SOUND;
     }
 
+    /** One of its tasks has changed its state. */
     void moved(Task task, Task.State from, Task.State to) {
-        counts[from.ordinal()]--;
-        counts[to.ordinal()]++;
-        if (to == Task.State.DONE && done(task.index)) {
-            touched.remove(task.index);
+        add(from, -1);
+        add(to, 1);
+        if (to == Task.State.DONE && done(task.index())) {
+            touched.remove(task.index());
         }
     }
+
+    private void add(Task.State state, int tasks) {
+        switch (state) {
+            case PENDING -> pending += tasks;
+            case ON_MACHINE -> onMachine += tasks;
+            case FINISHED -> finished += tasks;
+            case DONE -> done += tasks;
+        }
+    }
+
+    private boolean done(int index) {
+        BitSet stored = job.done();
+        return stored != null && stored.get(index);
+    }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -1,7 +1,6 @@
 package org.landingridge.controller.fleet;
 
 import java.util.ArrayList;
-import java.util.Map;
 import java.util.function.Function;
 import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.EntryEvidence;
@@ -9,6 +8,7 @@
 import org.landingridge.controller.recovery.EntryEvidence.Said;
 import org.landingridge.controller.recovery.EntryEvidence.Stored;
 import org.landingridge.controller.recovery.Reconciliation;
+import org.landingridge.wire.ExitCause;
 import org.landingridge.wire.Heartbeat;
 import org.landingridge.wire.JobSpec;
 import org.slf4j.Logger;
@@ -17,233 +17,244 @@
 /** What becomes of attempts: placed, seen, over; each change of theirs and of their tasks begins here. */
 final class AttemptTracker {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** The worker's word for an attempt that completed. */
-    private static final String DONE = "done";
+    /** Numbers of attempts: the token in the upper bits, a count in so many lower ones. */
+    private static final int COUNT_BITS = 22;
+    /** A machine that refuses a start gets none for so long. */
+    private static final long AVOID_AFTER_REFUSAL_MS = 1_000;
+    /** And the job that was refused starts nothing for so long. */
+    private static final long PAUSE_AFTER_REFUSAL_MS = 500;
 
     private final FleetContext context;
-    private final FailureAttribution faults;
-    private final Map<String, ActiveJob> jobs;
+    private final FailureAttribution failures;
+    private final ActiveJobs jobs;
     /** What the tasks of ended jobs take. */
     private final Function<String, JobSpec> endedSpecs;
 
     private long count;
 
     AttemptTracker(
-            FleetContext context,
-            Map<String, ActiveJob> jobs,
-            Function<String, JobSpec> endedSpecs,
-            FailureAttribution faults) {
-        this.faults = faults;
+            FleetContext context, ActiveJobs jobs, Function<String, JobSpec> endedSpecs, FailureAttribution failures) {
         this.context = context;
         this.jobs = jobs;
         this.endedSpecs = endedSpecs;
+        this.failures = failures;
     }
 
-    /** Places a task: its start goes out at once, straight to the machine. */
-    void place(Task task, Machine m) {
-        long number = (context.token() << 22) + ++count;
-        Attempt a = new Attempt(
-                m,
-                task.job.id(),
-                task.index,
-                number,
-                task.job.spec(),
-                task,
-                context.loop().now());
-        m.attempts.put(number, a);
-        m.used(a.spec.image());
-        task.to(Task.State.ON_MACHINE, a, context.loop().now());
-        LOG.debug("placing {} on {}", a.name(), m.id);
+    /** Places a task; its start is still to be sent. */
+    void place(Task task, Machine machine) {
+        long number = (context.token() << COUNT_BITS) + ++count;
+        Attempt attempt = new Attempt(machine, task, number, context.now());
+        machine.add(attempt);
+        machine.used(attempt.spec().image());
+        task.placed(attempt);
+        LOG.debug("placing {} on {}", attempt.name(), machine.id());
     }
 
     /** Stops an attempt so that its room is freed; the task becomes pending once it is certainly off. */
-    void stop(Attempt a, double graceS) {
-        if (!a.stopWanted) {
-            LOG.debug("stopping {} on {}", a.name(), a.machine.id);
-            a.stopWanted = true;
-            a.graceS = graceS;
+    void stop(Attempt attempt, double graceS) {
+        if (!attempt.stopWanted()) {
+            LOG.debug("stopping {} on {}", attempt.name(), attempt.machine().id());
+            attempt.requestStop(graceS);
         }
     }
 
-    /** An attempt that this leader did not start: an earlier one did. */
-    Attempt adopt(Machine m, Heartbeat.Entry e, long now) {
-        ActiveJob job = jobs.get(e.job());
-        Task task = job == null ? null : job.task(e.task());
-        JobSpec spec = job == null ? endedSpecs.apply(e.job()) : job.spec();
-        Attempt a = new Attempt(m, e.job(), e.task(), e.attempt(), spec, null, now);
-        m.attempts.put(a.number, a);
-        Said said = e.status() != Heartbeat.TaskStatus.EXITED
-                ? Said.ON
-                : DONE.equals(e.why()) && job != null && !spec.service() ? Said.DONE : Said.ENDED;
+    /** Takes over an attempt that an earlier leader has started. */
+    Attempt adopt(Machine machine, Heartbeat.Entry entry, long now) {
+        ActiveJob job = jobs.get(entry.job());
+        Task task = job == null ? null : job.task(entry.task());
+        JobSpec spec = job == null ? endedSpecs.apply(entry.job()) : job.spec();
+        Attempt attempt = new Attempt(machine, entry, spec, now);
+        machine.add(attempt);
+        Said said = said(entry, job);
         Stored stored = job != null ? Stored.LIVE : spec != null ? Stored.OVER : Stored.ABSENT;
-        Decision decision = Reconciliation.entry(new EntryEvidence(stored, known(task, a), said));
+        Decision decision = Reconciliation.entry(new EntryEvidence(stored, known(task, attempt), said));
         switch (decision.verdict()) {
             case ADOPT -> {
-                a.owner = task;
+                attempt.owner(task);
                 if (said == Said.ON) {
-                    if (task.attempt() != null) {
-                        forgo(task, now);
-                    }
-                    task.to(Task.State.ON_MACHINE, a, now);
+                    assign(task, attempt);
                 }
             }
-            case WAIT -> a.owner = task;
+            case WAIT -> attempt.owner(task);
             case STOP -> {
                 LOG.debug(
                         "{} on {} is stopped: {}",
-                        a.name(),
-                        m.id,
+                        attempt.name(),
+                        machine.id(),
                         decision.cause().text());
-                a.stopWanted = true;
+                attempt.requestStop(0);
             }
-            // An attempt that failed still tells of its job and its machine.
-            default -> a.owner = said == Said.ENDED ? task : null;
+            // An attempt that failed is still evidence on its job and its machine.
+            default -> attempt.owner(said == Said.ENDED ? task : null);
         }
-        if (e.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
-            m.used(spec.image());
+        if (entry.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
+            machine.used(spec.image());
         }
-        return a;
+        return attempt;
+    }
+
+    private static Said said(Heartbeat.Entry entry, ActiveJob job) {
+        if (entry.status() != Heartbeat.TaskStatus.EXITED) {
+            return Said.ON;
+        }
+        boolean completed =
+                entry.cause() == ExitCause.DONE && job != null && !job.spec().service();
+        return completed ? Said.DONE : Said.ENDED;
     }
 
     /**
-     * A later attempt of the task is on a machine, so the one known until now was over when that was started: it stands in an
-     * old report. Without this the one that runs would be stopped for it, and the task started once more as soon as a newer
-     * report lacks the old one, beside the one that runs for as long as the stop does not reach it.
+     * Takes the attempt for the one by which the task is on a machine. Where another was known until now, that was over when
+     * this one was started: it stands in an old heartbeat. Else the one that runs would be stopped for it, and the task
+     * started once more as soon as a newer heartbeat lacks the old one, beside the one that runs for as long as the stop does
+     * not reach it.
      */
-    private void forgo(Task task, long now) {
-        Attempt old = task.attempt();
-        LOG.info("{} on {} is over: a later attempt is on a machine", old.name(), old.machine.id);
-        disown(old);
-        task.to(Task.State.PENDING, null, now);
+    private static void assign(Task task, Attempt attempt) {
+        Attempt earlier = task.attempt();
+        if (earlier != null) {
+            LOG.info(
+                    "{} on {} is over: a later attempt is on a machine",
+                    earlier.name(),
+                    earlier.machine().id());
+            earlier.disown();
+            task.requeue();
+        }
+        task.placed(attempt);
     }
 
     /** Numbers only grow, from leader to leader and within a leader term, and a task is started where none of its attempts can run. */
-    private static Known known(Task task, Attempt a) {
+    private static Known known(Task task, Attempt attempt) {
         return task == null
                 ? Known.NONE
                 : switch (task.state()) {
                     case PENDING -> Known.PENDING;
-                    case ON_MACHINE -> a.number > task.attempt().number ? Known.EARLIER : Known.ELSEWHERE;
+                    case ON_MACHINE -> attempt.number() > task.attempt().number() ? Known.EARLIER : Known.ELSEWHERE;
                     case FINISHED -> Known.FINISHED;
                     case DONE -> Known.DONE;
                 };
     }
 
-    void seen(Attempt a, Heartbeat.Entry e, long now) {
-        switch (e.status()) {
+    /** The newest heartbeat shows the attempt. */
+    void seen(Attempt attempt, Heartbeat.Entry entry, long now) {
+        if (attempt.state() == Attempt.State.EXITED) {
+            return;
+        }
+        switch (entry.status()) {
             case FETCHING -> {
-                if (a.state() == Attempt.State.SENT) {
-                    a.to(Attempt.State.FETCHING, now);
+                if (attempt.state() == Attempt.State.SENT) {
+                    attempt.to(Attempt.State.FETCHING, now);
                 }
             }
             case RUNNING -> {
-                if (a.state() != Attempt.State.EXITED && a.state() != Attempt.State.RUNNING) {
-                    if (LOG.isDebugEnabled() && a.owner != null) {
-                        LOG.debug(
-                                "{} runs on {}: {} ms after the job came, {} after it was placed",
-                                a.name(),
-                                a.machine.id,
-                                now - a.owner.job.since,
-                                now - a.since);
-                    }
-                    a.to(Attempt.State.RUNNING, now);
-                }
-            }
-            case SAVING -> {
-                if (a.state() != Attempt.State.EXITED) {
-                    a.to(Attempt.State.SAVING, now);
+                if (attempt.state() != Attempt.State.RUNNING) {
+                    running(attempt, now);
                 }
             }
+            case SAVING -> attempt.to(Attempt.State.SAVING, now);
             case EXITED -> {
-                if (a.state() != Attempt.State.EXITED) {
-                    a.to(Attempt.State.EXITED, now);
-                    a.why = e.why() == null ? "" : e.why();
-                    exited(a, now);
-                }
+                attempt.exit(entry.cause(), now);
+                exited(attempt, now);
             }
         }
     }
 
-    private void exited(Attempt a, long now) {
-        Task task = a.owner;
-        LOG.debug("{} on {} exited: {}", a.name(), a.machine.id, a.why);
+    private static void running(Attempt attempt, long now) {
+        if (LOG.isDebugEnabled() && attempt.owner() != null) {
+            LOG.debug(
+                    "{} runs on {}: {} ms after the job came, {} after it was placed",
+                    attempt.name(),
+                    attempt.machine().id(),
+                    now - attempt.owner().job().since(),
+                    now - attempt.since());
+        }
+        attempt.to(Attempt.State.RUNNING, now);
+    }
+
+    private void exited(Attempt attempt, long now) {
+        Task task = attempt.owner();
+        LOG.debug("{} on {} exited: {}", attempt.name(), attempt.machine().id(), attempt.cause());
         if (task == null) {
             return;
         }
-        boolean done = a.why.equals(DONE) && !task.job.spec().service();
-        if (done) {
-            faults.completed(task.job, a.machine);
-            if (task.state() == Task.State.PENDING || task.state() == Task.State.ON_MACHINE) {
-                Attempt other = task.attempt();
-                if (other != null && other != a) {
-                    disown(other);
-                }
-                task.to(Task.State.FINISHED, null, now);
-                context.events().completed(a);
-                context.events().finished(task);
-            }
+        if (attempt.cause() == ExitCause.DONE && !task.job().spec().service()) {
+            completed(attempt, task);
             return;
         }
-        a.owner = null;
-        if (task.attempt() == a) {
-            task.to(Task.State.PENDING, null, now);
+        attempt.owner(null);
+        if (task.attempt() == attempt) {
+            task.requeue();
         }
-        switch (a.why) {
-            case "error" -> {
-                faults.failed(task.job, a.machine, now);
-                LOG.info("{} failed on {}", a.name(), a.machine.id);
-            }
-            case "full", "busy", "unknown" -> {
-                LOG.info("{} refused {}: {}", a.machine.id, a.name(), a.why);
-                a.machine.avoidUntil = now + 1_000;
-                task.job.notBefore = now + 500;
+        switch (attempt.cause()) {
+            case ERROR -> {
+                failures.failed(task.job(), attempt.machine(), now);
+                LOG.info("{} failed on {}", attempt.name(), attempt.machine().id());
             }
-            default -> {}
+            case FULL, BUSY, UNKNOWN_TASK -> refused(attempt, task, now);
+            case DONE, STOPPED, UNSTATED -> {}
         }
     }
 
-    /** The newest report lacks an attempt that may be on the machine. */
-    void missing(Attempt a, Heartbeat r, boolean hello) {
-        if (a.state() != Attempt.State.SENT) {
-            // Seen before and now absent in the same session: it was forgotten on command.
-            release(a, "no longer reported");
+    private void completed(Attempt attempt, Task task) {
+        failures.completed(task.job(), attempt.machine());
+        if (task.state() != Task.State.PENDING && task.state() != Task.State.ON_MACHINE) {
             return;
         }
-        // A start that no report shows may still be on its way. One given in an answer is over with the next report
-        // (the worker has one in flight, and drops late answers); one sent straight is over when the call is.
-        boolean covered = hello && r.seq() > a.sentWithReport && a.unansweredUnder == 0 && !a.machine.calling;
-        if (a.stopWanted && covered) {
-            release(a, "withdrawn");
+        Attempt other = task.attempt();
+        if (other != null && other != attempt) {
+            other.disown();
         }
+        task.finish();
+        context.events().completed(attempt);
+        context.events().finished(task);
+    }
+
+    private static void refused(Attempt attempt, Task task, long now) {
+        LOG.info("{} refused {}: {}", attempt.machine().id(), attempt.name(), attempt.cause());
+        attempt.machine().failures().avoidUntil(now + AVOID_AFTER_REFUSAL_MS);
+        task.job().pauseUntil(now + PAUSE_AFTER_REFUSAL_MS);
     }
 
-    void disown(Attempt a) {
-        a.owner = null;
-        a.stopWanted = true;
-        a.graceS = 0;
-        // Told to stop with time to save, it must be told again: the job is over.
-        a.stopSentAt = Long.MIN_VALUE / 2;
+    /** The newest heartbeat, or answer to a call, lacks an attempt that may be on the machine. */
+    void missing(Attempt attempt, Heartbeat heartbeat, boolean hello) {
+        if (attempt.state() != Attempt.State.SENT) {
+            // Seen before and now absent in the same session: it was forgotten on command.
+            release(attempt, "no longer reported");
+            return;
+        }
+        // A start that no heartbeat shows may still be on its way. One given in an answer is over with the next
+        // heartbeat
+        // (the worker has one in flight, and drops late answers); one sent straight is over when the call is.
+        boolean covered = hello
+                && heartbeat.seq() > attempt.sentWithReport()
+                && !attempt.startMayArrive()
+                && !attempt.machine().calls().inFlight();
+        if (attempt.stopWanted() && covered) {
+            release(attempt, "withdrawn");
+        }
     }
 
-    void releaseAll(Machine m, String why) {
-        for (Attempt a : new ArrayList<>(m.attempts.values())) {
-            release(a, why);
+    /** None of the machine's attempts is on it any more. */
+    void releaseAll(Machine machine, String why) {
+        for (Attempt attempt : new ArrayList<>(machine.attempts().values())) {
+            release(attempt, why);
         }
     }
 
-    /** The attempt is certainly not on its machine any more. */
-    void release(Attempt a, String why) {
-        boolean lost = a.live();
-        a.to(Attempt.State.OVER, context.loop().now());
-        a.machine.attempts.remove(a.number);
-        Task task = a.owner;
-        if (task != null && task.state() == Task.State.ON_MACHINE && task.attempt() == a) {
+    private void release(Attempt attempt, String why) {
+        boolean lost = attempt.live();
+        attempt.to(Attempt.State.OVER, context.now());
+        attempt.machine().remove(attempt);
+        Task task = attempt.owner();
+        if (task != null && task.state() == Task.State.ON_MACHINE && task.attempt() == attempt) {
             if (lost) {
-                LOG.info("{} on {} is over: {}", a.name(), a.machine.id, why);
+                LOG.info(
+                        "{} on {} is over: {}",
+                        attempt.name(),
+                        attempt.machine().id(),
+                        why);
                 context.metrics().lost.increment();
             }
-            task.to(Task.State.PENDING, null, context.loop().now());
+            task.requeue();
         }
-        a.owner = null;
+        attempt.owner(null);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
@@ -6,7 +6,7 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * Measured boot times by type, zone and kind, from the rent's answer to the first report. What was seen is forgotten after a
+ * Measured boot times by type, zone and kind, from the rent's answer to the first heartbeat. Samples are forgotten after a
  * while, so that trouble with boots ends here too when it ends.
  */
 final class BootTimes {
@@ -18,11 +18,11 @@
     /** What the cloud rents alike; few, so nothing here grows. */
     private record Pool(String type, String zone, boolean spot) {}
 
-    private static final class Seen {
+    private static final class Samples {
         private IntCountsHistogram latest = new IntCountsHistogram(LONGEST_MS, 2);
         private IntCountsHistogram before = new IntCountsHistogram(LONGEST_MS, 2);
         private long since;
-        /** When the youngest machine that has booted was rented. */
+        /** When the machine that was rented last, of those that have booted, was rented. */
         private long youngest = Long.MIN_VALUE / 2;
 
         void turn(long now) {
@@ -39,55 +39,55 @@
         }
     }
 
-    private final Map<Pool, Seen> seen = new HashMap<>();
+    private final Map<Pool, Samples> seen = new HashMap<>();
 
-    private static Pool pool(Machine m) {
-        return new Pool(m.type, m.zone, m.spot);
+    private static Pool pool(Machine machine) {
+        return new Pool(machine.type(), machine.zone(), machine.spot());
     }
 
-    void booted(Machine m, long now) {
-        Seen s = seen.computeIfAbsent(pool(m), p -> new Seen());
-        s.turn(now);
-        s.latest.recordValue(Math.max(0, Math.min(LONGEST_MS, now - m.appeared)));
-        s.youngest = Math.max(s.youngest, m.appeared);
+    void booted(Machine machine, long now) {
+        Samples samples = seen.computeIfAbsent(pool(machine), p -> new Samples());
+        samples.turn(now);
+        samples.latest.recordValue(Math.max(0, Math.min(LONGEST_MS, now - machine.appearedAt())));
+        samples.youngest = Math.max(samples.youngest, machine.appearedAt());
     }
 
-    /** A boot that takes longer than this, in milliseconds, is unusual: by what was seen, else by the cloud's word. */
-    long usualMostMs(Machine m, long now) {
-        MachineType type = m.kind;
-        long said = Math.round(type.bootS() * 1_500);
-        Seen s = seen.get(pool(m));
-        if (s == null) {
-            return said;
+    /** A boot that takes longer than this, in milliseconds, is unusual: by the samples, else by the machine type's own figure. */
+    long usualMostMs(Machine machine, long now) {
+        MachineType type = machine.kind();
+        long announced = Math.round(type.bootS() * 1_500);
+        Samples samples = seen.get(pool(machine));
+        if (samples == null) {
+            return announced;
         }
-        s.turn(now);
-        if (s.latest.getTotalCount() + s.before.getTotalCount() < ENOUGH) {
-            return said;
+        samples.turn(now);
+        if (samples.latest.getTotalCount() + samples.before.getTotalCount() < ENOUGH) {
+            return announced;
         }
-        IntCountsHistogram both = s.latest.copy();
-        both.add(s.before);
-        return Math.max(said, both.getValueAtPercentile(90));
+        IntCountsHistogram both = samples.latest.copy();
+        both.add(samples.before);
+        return Math.max(announced, both.getValueAtPercentile(90));
     }
 
     /**
      * True if the machine has likely failed to boot by itself: it takes longer than is usual, and one like it that was rented
      * no sooner is up. Where none is, all are late together, and another rent would wait as long.
      */
-    boolean left(Machine m, long now) {
-        return late(m, now) && youngerIsUp(m);
+    boolean lateAlone(Machine machine, long now) {
+        return late(machine, now) && youngerIsUp(machine);
     }
 
     /** True if all machines like this one are late together. */
-    boolean allLate(Machine m, long now) {
-        return late(m, now) && !youngerIsUp(m);
+    boolean allLate(Machine machine, long now) {
+        return late(machine, now) && !youngerIsUp(machine);
     }
 
-    private boolean late(Machine m, long now) {
-        return now - m.appeared > usualMostMs(m, now);
+    private boolean late(Machine machine, long now) {
+        return now - machine.appearedAt() > usualMostMs(machine, now);
     }
 
-    private boolean youngerIsUp(Machine m) {
-        Seen s = seen.get(pool(m));
-        return s != null && s.youngest >= m.appeared;
+    private boolean youngerIsUp(Machine machine) {
+        Samples samples = seen.get(pool(machine));
+        return samples != null && samples.youngest >= machine.appearedAt();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
@@ -1,6 +1,5 @@
 package org.landingridge.controller.fleet;
 
-import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,69 +20,63 @@
     /** Or where so many different jobs fail, of which nothing is known. */
     static final int JOBS = 3;
 
-    private static final long AVOID_MS = 5_000;
     private static final long PAUSE_MS = 500;
     private static final long PROBE_MS = 2_000;
     private static final int MOST_DOUBLINGS = 5;
     private final FleetContext context;
-    private final Function<String, Machine> machines;
+    private final MachineTable machines;
 
-    FailureAttribution(FleetContext context, Function<String, Machine> machines) {
+    FailureAttribution(FleetContext context, MachineTable machines) {
         this.context = context;
         this.machines = machines;
     }
 
     /** A task of the job ended with an error on the machine. */
-    void failed(ActiveJob job, Machine m, long now) {
-        job.failedOn.add(m.id);
-        job.failures++;
-        ActiveJob.Health health = health(job.failedOn.size(), job.failures, job.succeeded);
+    void failed(ActiveJob job, Machine machine, long now) {
+        job.failed(machine.id());
+        ActiveJob.Health health = health(job.failedOn().size(), job.failures(), job.succeeded());
         if (health == ActiveJob.Health.BROKEN && job.health() != health) {
-            // What it did there says nothing of the machines any more.
-            for (String id : job.failedOn) {
-                Machine other = machines.apply(id);
-                if (other != null && other.failed.remove(job.id())) {
-                    other.avoidUntil = now;
-                }
-            }
-            LOG.info("{} fails on every machine that it is given: one task at a time is tried from now on", job.id());
-            context.incidents()
-                    .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
-                            + String.join(", ", job.failedOn)
-                            + ": it looks like a mistake in the job; one task at a time is tried"
-                            + " until it is cancelled");
-            context.eventLog().emit("job_broken", "job", job.id(), "machines", job.failedOn.size());
+            broken(job, now);
         }
-        job.to(health);
+        job.judged(health);
         if (health == ActiveJob.Health.BROKEN) {
             // Bounded, and never for good: a mistake outside the job may be mended.
-            job.notBefore = now + (PROBE_MS << Math.min(MOST_DOUBLINGS, job.failures - MACHINES));
+            job.pauseUntil(now + (PROBE_MS << Math.min(MOST_DOUBLINGS, job.failures() - MACHINES)));
             return;
         }
-        job.notBefore = now + PAUSE_MS;
-        m.failed.add(job.id());
-        m.proven += job.succeeded ? 1 : 0;
-        m.errors++;
-        m.avoidUntil = now + (AVOID_MS << Math.min(MOST_DOUBLINGS, m.errors - 1));
+        job.pauseUntil(now + PAUSE_MS);
+        machine.failures().failed(job.id(), job.succeeded(), now);
+    }
+
+    private void broken(ActiveJob job, long now) {
+        // What it did there says nothing of the machines any more.
+        for (String id : job.failedOn()) {
+            Machine machine = machines.get(id);
+            if (machine != null) {
+                machine.failures().exonerate(job.id(), now);
+            }
+        }
+        LOG.info("{} fails on every machine that it is given: one task at a time is tried from now on", job.id());
+        context.incidents()
+                .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
+                        + String.join(", ", job.failedOn())
+                        + ": it looks like a mistake in the job; one task at a time is tried"
+                        + " until it is cancelled");
+        context.eventLog()
+                .emit("job_broken", "job", job.id(), "machines", job.failedOn().size());
     }
 
     /** A task of the job completed on the machine: both have shown that they work. */
-    void completed(ActiveJob job, Machine m) {
-        for (String id : job.failedOn) {
-            Machine other = machines.apply(id);
-            if (other != null && other != m) {
+    void completed(ActiveJob job, Machine machine) {
+        for (String id : job.failedOn()) {
+            Machine other = machines.get(id);
+            if (other != null && other != machine) {
                 // It failed there and succeeds here: then it was the machine.
-                other.failed.add(job.id());
-                other.proven++;
+                other.failures().implicate(job.id());
             }
         }
-        job.failedOn.clear();
-        job.failures = 0;
-        job.succeeded = true;
-        job.to(ActiveJob.Health.SOUND);
-        m.failed.clear();
-        m.proven = 0;
-        m.errors = 0;
+        job.completed();
+        machine.failures().succeeded();
     }
 
     /** What the failures since the last success say of a job. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -13,13 +13,13 @@
 import org.landingridge.controller.recovery.MachineEvidence.Word;
 import org.landingridge.controller.recovery.Reconciliation;
 
-/** Gathers the evidence about machines, twice a second for all of them, and has it judged. */
+/** Gathers the evidence about machines, twice a second for all of them, and passes it to {@link Reconciliation}. */
 final class HealthMonitor {
-    /** A worker sends its heartbeat this much later at most than its interval says: a quarter of it, and the way. */
+    /** A worker sends its heartbeat this much later at most than its interval says: a quarter of it, and the transfer. */
     private static final double REPORT_SLACK = 0.25;
 
-    private static final long WAY_MS = 1_500;
-    /** While so few are left to be heard after an election, each is asked at once instead of waited for. */
+    private static final long TRANSFER_MS = 1_500;
+    /** While so few have not been heard since an election, each is asked at once instead of waited for. */
     private static final int FEW = 12;
 
     private static final int FEW_SHARE = 8;
@@ -27,14 +27,14 @@
     private static final long LULL_MS = 400;
     /** Calls without an answer after which a silent machine counts as unanswered. */
     private static final int ASKED = 2;
-    /** A return that would settle no more than this sooner than the lease is not worth the machine. */
+    /** A return that would free tasks no more than this sooner than the lease is not worth the machine. */
     private static final long LEAST_GAIN_MS = 5_000;
 
-    /** Machines of one zone at the last look. */
+    /** Machines of one zone at the last survey. */
     private static final class Zone {
         private int all;
         private int silent;
-        /** Given back lately since they were silent: they still tell of a cut. */
+        /** Returned to the cloud lately since they were silent: they still count towards a cut. */
         private int returned;
     }
 
@@ -44,11 +44,11 @@
     private final UnverifiedMachines unverifiedMachines;
     private final BootTimes boots;
     private final long bootMarginMs;
-    private final double settleShare;
+    private final double silentShare;
     private final Map<String, Zone> zones = new HashMap<>();
     private final Deque<Return> returns = new ArrayDeque<>();
-    private long awake;
-    private boolean waitingFor;
+    private long listeningSince;
+    private boolean awaited;
     private Set<String> cutOff = Set.of();
 
     HealthMonitor(
@@ -56,103 +56,121 @@
             UnverifiedMachines unverifiedMachines,
             BootTimes boots,
             long bootMarginMs,
-            double settleShare) {
+            double silentShare) {
         this.context = context;
         this.unverifiedMachines = unverifiedMachines;
         this.boots = boots;
         this.bootMarginMs = bootMarginMs;
-        this.settleShare = settleShare;
+        this.silentShare = silentShare;
     }
 
     /** From now on heartbeats are taken in: at the beginning, and again where the process stood still. */
-    void awake(long now) {
-        awake = now;
+    void listenFrom(long now) {
+        listeningSince = now;
     }
 
-    /** Tells of zones in which so many machines are silent that they are left to their leases. */
-    private void tellCuts() {
-        Set<String> now = new TreeSet<>();
+    /** Reports zones in which so many machines are silent that they are left to their leases. */
+    private void reportCuts() {
+        Set<String> silentZones = new TreeSet<>();
         zones.forEach((name, z) -> {
             if (z.silent > 1 && crowd(name)) {
-                now.add(name);
+                silentZones.add(name);
                 if (!cutOff.contains(name)) {
                     context.eventLog().emit("cut_off", "zone", name, "silent", z.silent, "of", z.all);
                 }
             }
         });
-        cutOff = now;
+        cutOff = silentZones;
     }
 
     /**
-     * Looks at the whole fleet: what is silent together.
+     * Surveys the whole fleet: which machines of a zone are silent together.
      *
-     * @param held tasks of earlier leaders wait for machines that are not accounted for
+     * @param blocked tasks of earlier leaders wait for machines that are not accounted for
      */
-    void look(Iterable<Machine> machines, boolean held, long now) {
-        waitingFor = held;
+    void survey(Iterable<Machine> machines, boolean blocked, long now) {
+        awaited = blocked;
         zones.clear();
         while (!returns.isEmpty() && now - returns.peekFirst().at > context.leaseMs()) {
             returns.removeFirst();
         }
         returns.forEach(r -> zone(r.zone).returned++);
-        for (Machine m : machines) {
-            if (m.state() == Machine.State.UP || m.unverified && m.state() == Machine.State.BOOTING) {
-                Zone z = zone(m.zone);
+        for (Machine machine : machines) {
+            if (machine.state() == Machine.State.UP
+                    || machine.unverified() && machine.state() == Machine.State.BOOTING) {
+                Zone z = zone(machine.zone());
                 z.all++;
-                z.silent += silent(m, now) ? 1 : 0;
+                z.silent += silent(machine, now) ? 1 : 0;
             }
         }
-        tellCuts();
+        reportCuts();
     }
 
     private Zone zone(String name) {
         return zones.computeIfAbsent(name, z -> new Zone());
     }
 
-    /** The machine is given back since it is silent. */
-    void returned(Machine m, long now) {
-        returns.addLast(new Return(now, m.zone));
-        zone(m.zone).returned++;
-        zone(m.zone).silent--;
+    /** The machine is returned to the cloud since it is silent. */
+    void returned(Machine machine, long now) {
+        returns.addLast(new Return(now, machine.zone()));
+        zone(machine.zone()).returned++;
+        zone(machine.zone()).silent--;
+        context.metrics().settled.increment();
+        long silentMs = now - machine.lease().answeredAt();
+        context.eventLog()
+                .emit(
+                        "settled",
+                        "machine",
+                        machine.id(),
+                        "zone",
+                        machine.zone(),
+                        "silentMs",
+                        silentMs,
+                        "held",
+                        machine.live());
     }
 
     /** When, by the loop's clock, the machine's lease is certainly over. */
-    long leaseEnds(Machine m) {
-        return m.answered + context.leaseMs();
+    long leaseEnds(Machine machine) {
+        return machine.lease().answeredAt() + context.leaseMs();
     }
 
-    Decision judge(Machine m, long now) {
-        boolean mayHold = m.state() == Machine.State.UP || m.unverified || !m.attempts.isEmpty();
-        Row row = !mayHold ? Row.NAMED : m.written || m.unverified ? Row.HOLDS : Row.REPORTED;
-        Word word = !m.everHeard() ? Word.NONE : m.fenced ? Word.OURS : Word.OLD;
+    Decision judge(Machine machine, long now) {
+        boolean mayHold = machine.state() == Machine.State.UP
+                || machine.unverified()
+                || !machine.attempts().isEmpty();
+        Row row = !mayHold ? Row.NAMED : machine.registered() || machine.unverified() ? Row.HOLDS : Row.REPORTED;
+        Word word = !machine.contact().everHeard() ? Word.NONE : machine.fenced() ? Word.OURS : Word.OLD;
         return Reconciliation.machine(new MachineEvidence(
                 row,
                 word,
-                m.listedFailed,
-                m.state() == Machine.State.LEAVING,
-                now > leaseEnds(m),
-                silent(m, now),
-                m.unanswered >= ASKED,
-                overdue(m, now),
-                FailureAttribution.faulty(m.proven, m.failed.size()) && !m.hasLive() && m.state() == Machine.State.UP,
-                crowd(m.zone),
-                worth(m, now)));
+                machine.listedFailed(),
+                machine.state() == Machine.State.LEAVING,
+                now > leaseEnds(machine),
+                silent(machine, now),
+                machine.calls().unanswered() >= ASKED,
+                overdue(machine, now),
+                machine.failures().faulty() && !machine.hasLive() && machine.state() == Machine.State.UP,
+                crowd(machine.zone()),
+                worth(machine, now)));
     }
 
-    private boolean silent(Machine m, long now) {
+    private boolean silent(Machine machine, long now) {
         long reportMs = context.reportMs();
-        if (m.everHeard()) {
-            return now - Math.max(m.heard, awake) > reportMs * (1 + REPORT_SLACK) + WAY_MS;
+        if (machine.contact().everHeard()) {
+            return now - Math.max(machine.contact().heardAt(), listeningSince)
+                    > reportMs * (1 + REPORT_SLACK) + TRANSFER_MS;
         }
         boolean few = unverifiedMachines.left() <= Math.max(FEW, unverifiedMachines.asked() / FEW_SHARE)
                 || now - unverifiedMachines.lastAt() > LULL_MS;
-        return !m.unverified || now - awake > (few ? WAY_MS : reportMs * (1 + REPORT_SLACK) + WAY_MS);
+        return !machine.unverified()
+                || now - listeningSince > (few ? TRANSFER_MS : reportMs * (1 + REPORT_SLACK) + TRANSFER_MS);
     }
 
-    private boolean overdue(Machine m, long now) {
-        return switch (m.state()) {
-            case BOOTING -> now - m.appeared > boots.usualMostMs(m, now) + bootMarginMs;
-            case LAPSED -> now - m.answered > context.leaseMs() + bootMarginMs;
+    private boolean overdue(Machine machine, long now) {
+        return switch (machine.state()) {
+            case BOOTING -> now - machine.appearedAt() > boots.usualMostMs(machine, now) + bootMarginMs;
+            case LAPSED -> now - machine.lease().answeredAt() > context.leaseMs() + bootMarginMs;
             default -> false;
         };
     }
@@ -160,13 +178,13 @@
     /** One machine of a zone may always be lost by itself; where more than a share is silent, a cut is likelier. */
     private boolean crowd(String name) {
         Zone z = zone(name);
-        return settleShare <= 0 || z.silent + z.returned > Math.max(1, settleShare * (z.all + z.returned));
+        return silentShare <= 0 || z.silent + z.returned > Math.max(1, silentShare * (z.all + z.returned));
     }
 
-    private boolean worth(Machine m, long now) {
-        // A give-back that cannot be written now would be carried out later, when the machine may be back.
-        return leaseEnds(m) - now > LEAST_GAIN_MS
-                && context.lead().state() == Leadership.State.LEADING
-                && (m.hasLive() || m.unverified && waitingFor);
+    private boolean worth(Machine machine, long now) {
+        // A return that cannot be written now would be carried out later, when the machine may be back.
+        return leaseEnds(machine) - now > LEAST_GAIN_MS
+                && context.leadership().state() == Leadership.State.LEADING
+                && (machine.hasLive() || (machine.unverified() && awaited));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The written roster: every machine, many to one stored value. A row with an address is of a machine that may hold
- * tasks; one without has not reported yet, or its lease has run out, and a later leader need not wait for it. A row may also
+ * The stored registry of machines: every machine, many to one stored value. A row with an address is of a machine that may hold
+ * tasks; one without has sent no heartbeat yet, or its lease has run out, and a later leader need not wait for it. A row may also
  * say for how many milliseconds its machine had been silent when the page was written, and under which leader's token: that
  * leader answers it no more before it has written the row without.
  *
@@ -26,7 +26,9 @@
  * leader starts services where their image is. That is a hint, and no page is written for it alone.
  */
 public final class MachineRegistry {
+    /** Prefix of the keys of its pages, below the root. */
     public static final String PREFIX = "fleet/";
+
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
     /** The row of a page that names images; in the others each stands as one digit. */
     private static final String IMAGES = "images";
@@ -39,21 +41,23 @@
     private static final int ROW = 24;
     /** An address that is not known yet is taken to be so long. */
     private static final int ADDRESS = 22;
-    /** Ranks of a page that makes machines usable, and of one that only tells of them. */
+    /** Ranks of a page that makes machines usable, and of one that does not. */
     private static final int USABLE = 2;
 
     private static final int LATER = 6;
     private final BatchWriter writer;
-    private final Fleet fleet;
+    private final RegistryHooks fleet;
+    private final MachineTable machines;
     private final int valueBytes;
     private final PageTable<MachinePage> pages;
     /** Keys of pages that cannot be read; nothing is written there before their machines' leases are over. */
     private final Set<String> quarantined = new LinkedHashSet<>();
 
-    /** @param valueBytes what the state service takes for a value */
+    /** @param valueBytes the most bytes that the state service takes for a value */
     public MachineRegistry(String root, BatchWriter writer, Fleet fleet, int valueBytes) {
         this.writer = writer;
-        this.fleet = fleet;
+        this.fleet = fleet.registryHooks();
+        this.machines = this.fleet.machines();
         this.valueBytes = valueBytes;
         this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL), MachinePage::new, writer);
     }
@@ -62,8 +66,8 @@
      * Takes over a page as it stands in the state service.
      *
      * @param at       when, by the loop's clock, this process first saw it so
-     * @param previous the token under which the last leader's leader term began: only its word on silent machines counts, since a
-     *                 later one may have answered them
+     * @param previous the token under which the last leader term began: only what it wrote of silent machines counts,
+     *                 since a later one may have answered them
      */
     public void takeOver(String key, JsonNode value, long at, long previous) {
         String wrong = wrong(value);
@@ -77,58 +81,47 @@
         }
         MachinePage page = pages.open(key);
         JsonNode images = value.path(IMAGES);
-        value.properties().forEach(e -> {
-            if (e.getKey().equals(IMAGES)) {
-                return;
-            }
-            JsonNode row = e.getValue();
-            MachinePage other = pages.of(e.getKey());
-            if (other != null) {
-                // A leader ended between the two steps of a split. What may hold tasks by either row may hold them.
-                writer.mark(page);
-                if (row.path(0).isNull() || fleet.machine(e.getKey()).addr != null) {
-                    return;
-                }
-            }
-            fleet.fromRoster(
-                    e.getKey(),
-                    row.path(0).isTextual() ? row.path(0).textValue() : null,
-                    row.path(1).asText(),
-                    row.path(2).asText(),
-                    row.path(3).asInt() == 1,
-                    row.path(5).isNumber() && row.path(6).asLong() == previous
-                            ? at - row.path(5).asLong()
-                            : Long.MAX_VALUE);
-            Machine m = fleet.machine(e.getKey());
-            pages.put(m.id, size(m), other == null ? page : other);
-            for (char digit : row.path(4).asText().toCharArray()) {
-                m.used(Json.text(images, Character.digit(digit, MAX_IMAGES)));
+        value.properties().forEach(field -> {
+            if (!field.getKey().equals(IMAGES)) {
+                takeOver(field.getKey(), MachineRow.read(field.getValue()), page, images, at, previous);
             }
         });
     }
 
+    private void takeOver(String id, MachineRow row, MachinePage page, JsonNode images, long at, long previous) {
+        MachinePage other = pages.of(id);
+        if (other != null) {
+            // A leader ended between the two steps of a split. What may hold tasks by either row may hold them.
+            writer.mark(page);
+            if (row.address() == null || machines.get(id).address() != null) {
+                return;
+            }
+        }
+        Machine machine = machines.addRegistered(
+                id, row.address(), row.type(), row.zone(), row.spot(), row.silentSince(at, previous));
+        pages.put(id, size(machine), other == null ? page : other);
+        for (char digit : row.images().toCharArray()) {
+            machine.used(Json.text(images, Character.digit(digit, MAX_IMAGES)));
+        }
+    }
+
     /** What is wrong with a page, in a few words, or null. */
     private String wrong(JsonNode value) {
         if (!value.isObject()) {
             return "not an object";
         }
-        for (Map.Entry<String, JsonNode> e : value.properties()) {
-            JsonNode row = e.getValue();
-            boolean right = row.isArray()
-                    && (e.getKey().equals(IMAGES)
-                            || row.size() >= 4
-                                    && (row.get(0).isNull() || row.get(0).isTextual())
-                                    && fleet.knows(row.get(1).asText())
-                                    && row.get(2).isTextual()
-                                    && row.get(3).isNumber());
-            if (!right) {
-                return "row " + e.getKey();
+        for (Map.Entry<String, JsonNode> field : value.properties()) {
+            boolean readable = field.getKey().equals(IMAGES)
+                    ? field.getValue().isArray()
+                    : MachineRow.readable(field.getValue(), machines::knowsType);
+            if (!readable) {
+                return "row " + field.getKey();
             }
         }
         return null;
     }
 
-    /** What the pages that cannot be read told of holds nothing any more: they go. */
+    /** The machines of the pages that cannot be read hold nothing any more: the pages go. */
     public void dropUnreadable() {
         for (String key : quarantined) {
             writer.mark(pages.open(key));
@@ -141,10 +134,12 @@
         pages.splitOversized();
     }
 
-    public void add(Machine m) {
-        writer.mark(pages.put(m.id, size(m)));
+    /** The machine's row is written with the next page. */
+    public void add(Machine machine) {
+        writer.mark(pages.put(machine.id(), size(machine)));
     }
 
+    /** The machine is gone: its row goes. */
     public void remove(String id) {
         MachinePage page = pages.remove(id);
         if (page != null) {
@@ -153,17 +148,22 @@
     }
 
     /** Bytes that the machine's row may take. */
-    private static int size(Machine m) {
-        return ROW + m.id.length() + m.type.length() + m.zone.length() + (m.addr == null ? ADDRESS : m.addr.length());
+    private static int size(Machine machine) {
+        String address = machine.address();
+        return ROW
+                + machine.id().length()
+                + machine.type().length()
+                + machine.zone().length()
+                + (address == null ? ADDRESS : address.length());
     }
 
     private final class MachinePage extends Page {
         /** Machines that stand with their address in the form rendered last. */
         private List<String> holding = List.of();
-        /** Machines that the form rendered last calls silent no more. */
-        private List<String> speaking = List.of();
-        /** Machines of whose silence that form was the first to tell. */
-        private List<Machine> telling = List.of();
+        /** Machines whose row in the form rendered last says nothing of a silence any more. */
+        private List<String> resuming = List.of();
+        /** Machines of whose silence that form was the first to say anything. */
+        private List<Machine> silenced = List.of();
 
         MachinePage(String key) {
             super(key);
@@ -173,53 +173,60 @@
         public JsonNode render() {
             if (names().isEmpty()) {
                 holding = List.of();
-                speaking = List.of();
+                resuming = List.of();
                 return null;
             }
-            // Where nobody knows what became of the form before, its machines stay told of.
-            telling = new ArrayList<>();
-            ObjectNode n = render(true);
+            // Where nobody knows what became of the form before, the silences in it may be stored.
+            silenced = new ArrayList<>();
+            ObjectNode page = render(true);
             // What images there are is a hint: it gives way to the machines.
-            return Json.bytes(n).length <= valueBytes ? n : render(false);
+            return Json.bytes(page).length <= valueBytes ? page : render(false);
         }
 
         private ObjectNode render(boolean hints) {
             holding = new ArrayList<>();
-            speaking = new ArrayList<>();
-            ObjectNode n = Json.object();
+            resuming = new ArrayList<>();
+            ObjectNode page = Json.object();
             Map<String, Integer> images = new LinkedHashMap<>();
             for (String id : names()) {
-                Machine m = fleet.machine(id);
-                if (m != null) {
-                    ArrayNode row = n.putArray(id);
-                    boolean holds = m.mayHold() || m.unverified;
-                    row.add(holds ? m.addr : null)
-                            .add(m.type)
-                            .add(m.zone)
-                            .add(m.spot ? 1 : 0)
-                            .add(hints ? digits(m, images) : "");
-                    if (m.contact() == Machine.Contact.MUTED && holds) {
-                        row.add(fleet.silentMs(m)).add(fleet.token());
-                        if (!m.told) {
-                            m.told = true;
-                            telling.add(m);
-                        }
-                    } else if (m.contact() == Machine.Contact.RETURNING) {
-                        speaking.add(id);
-                    }
-                    if (holds) {
-                        holding.add(id);
-                    }
+                Machine machine = machines.get(id);
+                if (machine != null) {
+                    row(machine, hints ? digits(machine, images) : "").write(page.putArray(id));
                 }
             }
-            ArrayNode names = n.putArray(IMAGES);
+            ArrayNode names = page.putArray(IMAGES);
             images.keySet().forEach(names::add);
-            return n;
+            return page;
         }
 
-        private static String digits(Machine m, Map<String, Integer> images) {
+        private MachineRow row(Machine machine, String images) {
+            boolean holds = machine.mayHold() || machine.unverified();
+            long silentMs = MachineRow.NOT_SILENT;
+            if (machine.contact().state() == Contact.State.SUSPENDED && holds) {
+                silentMs = fleet.silentMs(machine);
+                if (!machine.contact().silenceStored()) {
+                    machine.contact().silenceStored(true);
+                    silenced.add(machine);
+                }
+            } else if (machine.contact().state() == Contact.State.RESUMING) {
+                resuming.add(machine.id());
+            }
+            if (holds) {
+                holding.add(machine.id());
+            }
+            return new MachineRow(
+                    holds ? machine.address() : null,
+                    machine.type(),
+                    machine.zone(),
+                    machine.spot(),
+                    images,
+                    silentMs,
+                    fleet.token());
+        }
+
+        private static String digits(Machine machine, Map<String, Integer> images) {
             StringBuilder digits = new StringBuilder();
-            for (String image : m.images) {
+            for (String image : machine.images()) {
                 Integer index = images.get(image);
                 if (index == null && images.size() < MAX_IMAGES && image.length() <= MAX_IMAGE_NAME) {
                     index = images.size();
@@ -236,30 +243,36 @@
         public void stored(long revision) {
             super.stored(revision);
             for (String id : holding) {
-                Machine m = fleet.machine(id);
-                if (m != null && !m.written && m.mayHold()) {
-                    fleet.written(m);
+                Machine machine = machines.get(id);
+                if (machine != null && !machine.registered() && machine.mayHold()) {
+                    fleet.registered(machine);
                 }
             }
-            for (String id : speaking) {
-                Machine m = fleet.machine(id);
-                if (m != null && m.contact() == Machine.Contact.RETURNING) {
-                    fleet.speaks(m);
+            for (String id : resuming) {
+                Machine machine = machines.get(id);
+                if (machine != null && machine.contact().state() == Contact.State.RESUMING) {
+                    fleet.resume(machine);
                 }
             }
         }
 
         @Override
         public void refused() {
-            telling.forEach(m -> m.told = false);
-            telling = List.of();
+            silenced.forEach(machine -> machine.contact().silenceStored(false));
+            silenced = List.of();
+        }
+
+        /** True if tasks or answers wait for the machine's row to be stored. */
+        private static boolean awaitsRow(Machine machine) {
+            boolean startsWait = !machine.registered() && machine.mayHold();
+            return startsWait || machine.contact().state() != Contact.State.ANSWERED;
         }
 
         @Override
         public int rank() {
             for (String id : names()) {
-                Machine m = fleet.machine(id);
-                if (m != null && (!m.written && m.mayHold() || m.contact() != Machine.Contact.HEARD)) {
+                Machine machine = machines.get(id);
+                if (machine != null && awaitsRow(machine)) {
                     return USABLE;
                 }
             }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -0,0 +1,114 @@
+package org.landingridge.controller.fleet;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.Function;
+import org.landingridge.wire.MachineType;
+
+/** The machines that are or may be rented, in the order in which they were heard of, and those that are gone. */
+final class MachineTable {
+    /** So long a machine that was returned to the cloud is known as such. */
+    private static final long RETURNED_MS = 900_000;
+
+    private final FleetContext context;
+    private final Function<String, MachineType> types;
+    private final UnverifiedMachines unverifiedMachines;
+    private final Map<String, Machine> machines = new LinkedHashMap<>();
+    /** Machines that were returned, with the time; the oldest first. */
+    private final Map<String, Long> returned = new LinkedHashMap<>();
+
+    MachineTable(FleetContext context, Function<String, MachineType> types, UnverifiedMachines unverifiedMachines) {
+        this.context = context;
+        this.types = types;
+        this.unverifiedMachines = unverifiedMachines;
+    }
+
+    Iterable<Machine> all() {
+        return machines.values();
+    }
+
+    /** The machines as they are now, for a pass in which some may come or go. */
+    Machine[] snapshot() {
+        return machines.values().toArray(new Machine[0]);
+    }
+
+    int size() {
+        return machines.size();
+    }
+
+    Machine get(String id) {
+        return machines.get(id);
+    }
+
+    boolean knowsType(String type) {
+        return types.apply(type) != null;
+    }
+
+    /** True if the machine was returned to the cloud lately. */
+    boolean wasReturned(String id) {
+        return returned.containsKey(id);
+    }
+
+    /**
+     * Adds a machine of the registry, as read at the election.
+     *
+     * @param silentSince no earlier leader has answered its heartbeats since then, by the loop's clock
+     */
+    Machine addRegistered(String id, String address, String type, String zone, boolean spot, long silentSince) {
+        Machine machine = new Machine(id, address, types.apply(type), zone, spot, context.now());
+        if (address != null) {
+            machine.register();
+            machine.lease().inherit(Math.min(silentSince, context.leadership().silentSince()));
+            unverifiedMachines.add(machine);
+        }
+        machines.put(id, machine);
+        return machine;
+    }
+
+    /** The machine of that name, added if it is new; null if its type is not known or it was returned. */
+    Machine addIfAbsent(String id, String address, String type, String zone, boolean spot) {
+        MachineType kind = types.apply(type);
+        if (kind == null || returned.containsKey(id)) {
+            return null;
+        }
+        Machine known = machines.get(id);
+        if (known != null) {
+            if (known.address() == null) {
+                known.address(address);
+            }
+            return known;
+        }
+        Machine machine = new Machine(id, address, kind, zone, spot, context.now());
+        machines.put(id, machine);
+        context.events().registry(machine);
+        return machine;
+    }
+
+    /** Adds a machine that has just been rented: its boot is measured. */
+    void addRented(String id, String type, String zone, boolean spot) {
+        boolean known = machines.containsKey(id);
+        Machine machine = addIfAbsent(id, null, type, zone, spot);
+        if (machine != null && !known) {
+            machine.awaitBoot();
+        }
+    }
+
+    /** Removes a machine that the cloud has taken back; null if it was not known. */
+    Machine remove(String id) {
+        returned.put(id, context.now());
+        Machine machine = machines.remove(id);
+        if (machine != null) {
+            machine.to(Machine.State.GONE);
+        }
+        return machine;
+    }
+
+    /** Lists lag, and heartbeats may come minutes late: after that a name that was returned is not heard of any more. */
+    void forgetReturned(long now) {
+        Iterator<Long> times = returned.values().iterator();
+        while (times.hasNext() && now - times.next() > RETURNED_MS) {
+            times.remove();
+        }
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -13,40 +13,70 @@
         DONE
     }
 
-    final ActiveJob job;
-    final int index;
+    private final ActiveJob job;
+    private final int index;
     private State state;
     private Attempt attempt;
     /** Seen by this leader on a machine that no earlier leader can command any more: so it is nowhere else. */
-    boolean accounted;
-    /** Loop time when the task last became pending. */
-    long pendingSince;
+    private boolean accounted;
 
-    Task(ActiveJob job, int index, State state, long now) {
+    Task(ActiveJob job, int index, State state) {
         this.job = job;
         this.index = index;
         this.state = state;
-        this.pendingSince = now;
     }
 
+    /** Where it stands. */
     public State state() {
         return state;
     }
 
+    /** The attempt that is or may be on a machine; null in every other state. */
     public Attempt attempt() {
         return attempt;
     }
 
+    /** Its job. */
     public ActiveJob job() {
         return job;
     }
 
+    /** Its number in the job. */
     public int index() {
         return index;
     }
 
+    boolean accounted() {
+        return accounted;
+    }
+
+    /** This leader has seen it on a fenced machine. */
+    void account() {
+        accounted = true;
+    }
+
+    /** It is on a machine by that attempt. */
+    void placed(Attempt by) {
+        to(State.ON_MACHINE, by);
+    }
+
+    /** It is on no machine any more, and waits. */
+    void requeue() {
+        to(State.PENDING, null);
+    }
+
+    /** It has reported its end. */
+    void finish() {
+        to(State.FINISHED, null);
+    }
+
+    /** Its end is stored. */
+    void done() {
+        to(State.DONE, null);
+    }
+
     /** The only place where a task changes its state. */
-    void to(State next, Attempt by, long now) {
+    private void to(State next, Attempt by) {
         boolean legal = switch (state) {
             case PENDING -> next != State.PENDING;
             case ON_MACHINE -> next == State.PENDING || next == State.FINISHED || next == State.DONE;
@@ -58,9 +88,6 @@
         }
         job.moved(this, state, next);
         state = next;
-        attempt = next == State.ON_MACHINE ? by : null;
-        if (next == State.PENDING) {
-            pendingSince = now;
-        }
+        attempt = by;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -7,7 +7,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of the roster that are not accounted for yet. They may hold tasks that an earlier leader started and nobody
+ * The machines of the registry that are not accounted for yet. They may hold tasks that an earlier leader started and nobody
  * has reported to this one; a machine is accounted for once it is fenced, lapsed or gone.
  */
 final class UnverifiedMachines {
@@ -19,18 +19,18 @@
     private long lastAt;
     /** Of those left, by what a job may ask for: type, zone and whether it is a spot machine. */
     private final Map<Kind, Integer> kinds = new HashMap<>();
-    /** Until when machines of which the roster cannot be read may hold anything; negative while there are none. */
+    /** Until when machines of which the registry cannot be read may hold anything; negative while there are none. */
     private long unreadableUntil = -1;
 
     private record Kind(String type, String zone, boolean spot) {
-        Kind(Machine m) {
-            this(m.type, m.zone, m.spot);
+        Kind(Machine machine) {
+            this(machine.type(), machine.zone(), machine.spot());
         }
 
-        boolean allowedBy(JobSpec s) {
-            return (!spot || s.spot())
-                    && (s.types() == null || s.types().contains(type))
-                    && (s.zone() == null || s.zone().equals(zone));
+        boolean allowedBy(JobSpec spec) {
+            return (!spot || spec.spot())
+                    && (spec.types() == null || spec.types().contains(type))
+                    && (spec.zone() == null || spec.zone().equals(zone));
         }
     }
 
@@ -38,15 +38,15 @@
         this.context = context;
     }
 
-    void add(Machine m) {
-        m.unverified = true;
+    void add(Machine machine) {
+        machine.unverified(true);
         lastAt = context.loop().now();
         left++;
         asked++;
-        kinds.merge(new Kind(m), 1, Integer::sum);
+        kinds.merge(new Kind(machine), 1, Integer::sum);
     }
 
-    /** A page of the roster cannot be read: its machines may hold anything until then, when their leases are over. */
+    /** A page of the registry cannot be read: its machines may hold anything until then, when their leases are over. */
     void unreadable(long until) {
         if (unreadableUntil < 0) {
             left++;
@@ -60,12 +60,12 @@
     }
 
     /** True once, when the leases of unreadable machines are over. */
-    boolean unreadableOver(long now) {
+    boolean unreadableExpired(long now) {
         if (!unreadable() || now <= unreadableUntil) {
             return false;
         }
         unreadableUntil = -1;
-        less();
+        oneLess();
         return true;
     }
 
@@ -99,19 +99,19 @@
         return left;
     }
 
-    void accounted(Machine m) {
-        if (m.unverified) {
-            m.unverified = false;
-            kinds.computeIfPresent(new Kind(m), (k, n) -> n == 1 ? null : n - 1);
-            less();
+    void accounted(Machine machine) {
+        if (machine.unverified()) {
+            machine.unverified(false);
+            kinds.computeIfPresent(new Kind(machine), (kind, count) -> count == 1 ? null : count - 1);
+            oneLess();
         }
     }
 
-    private void less() {
+    private void oneLess() {
         left--;
         lastAt = context.loop().now();
         if (left == 0) {
-            LOG.info("census complete: {} machines accounted for", asked);
+            LOG.info("reconciliation complete: machines={}", asked);
         }
         context.events().changed();
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -66,7 +66,7 @@
                 "machines",
                 fleet.size(),
                 "held",
-                fleet.held());
+                fleet.blocked());
     }
 
     /** Machines by verdict and cause: how many, the first of them, and at most until when they are waited for. */
@@ -75,7 +75,7 @@
                 .put("sinceMs", now - beganAt)
                 .put("asked", asked)
                 .put("left", fleet.unaccounted())
-                .put("heldTasks", fleet.held());
+                .put("heldTasks", fleet.blocked());
         Map<Action, Map<Reason, ObjectNode>> byVerdict = new EnumMap<>(Action.class);
         for (Machine m : fleet.machines()) {
             Decision j = fleet.judge(m, now);
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -64,7 +64,7 @@
             if (decision.is(Action.GIVE_BACK)) {
                 LOG.info("{} goes back: {}", m.id(), decision.cause().text());
                 context.incidents().record(m.id() + ": " + decision.cause().text() + "; given back");
-                fleet.giveBack(m, decision);
+                fleet.scaleIn(m, decision);
                 back.add(m.id());
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -13,6 +13,7 @@
 import org.landingridge.controller.fleet.ActiveJob;
 import org.landingridge.controller.fleet.Attempt;
 import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.FleetParameters;
 import org.landingridge.controller.fleet.Machine;
 import org.landingridge.controller.fleet.MachineRegistry;
 import org.landingridge.controller.fleet.Task;
@@ -83,20 +84,21 @@
         String root = Keys.ROOT;
         forecast = new RuntimeForecast(settings.objectives(), policy);
         fleet = new Fleet(
-                loop,
-                context.http(),
-                lead,
-                settings.workers(),
-                context.types()::get,
-                id -> {
-                    Job job = table.get(id);
-                    return job == null ? null : job.spec();
-                },
-                policy,
-                settings.machine().maxConnections(),
-                context.metrics(),
-                context.incidents(),
-                context.eventLog(),
+                new FleetParameters(
+                        loop,
+                        context.http(),
+                        lead,
+                        settings.workers(),
+                        context.types()::get,
+                        id -> {
+                            Job job = table.get(id);
+                            return job == null ? null : job.spec();
+                        },
+                        policy,
+                        settings.machine().maxConnections(),
+                        context.metrics(),
+                        context.incidents(),
+                        context.eventLog()),
                 this);
         context.metrics().takeovers.increment();
         context.incidents().record("this controller took the lead under token " + lead.token());
@@ -139,7 +141,7 @@
                     op.request().path("boxes").forEach(b -> {
                         Machine m = fleet.machine(b.asText());
                         if (m != null) {
-                            fleet.leaving(m);
+                            fleet.markLeaving(m);
                         }
                     });
                 }
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -332,7 +332,7 @@
         List<String> back = new ArrayList<>();
         for (CandidateNode n : plan.idle) {
             Machine m = (Machine) n.machine;
-            fleet.leaving(m);
+            fleet.markLeaving(m);
             back.add(m.id());
         }
         operations.giveBack(back);
--- a/wire/src/main/java/org/landingridge/wire/Commands.java
+++ b/wire/src/main/java/org/landingridge/wire/Commands.java
@@ -3,46 +3,46 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Commands to a worker, in the order in which it will execute them. */
+/** Writes commands to a worker, in the order in which it will execute them; {@link CommandBatch} reads them. */
 public final class Commands {
-    private final ArrayNode cues = Json.array();
+    private final ArrayNode list = Json.array();
 
+    /** Has an attempt started. */
     public void start(String job, int task, long attempt) {
-        cue("start", job, task, attempt);
+        add("start", job, task, attempt);
     }
 
+    /** Has an attempt stopped; it may take {@code graceS} seconds to save its progress. */
     public void stop(String job, int task, long attempt, double graceS) {
-        cue("halt", job, task, attempt).put("wrapupS", graceS);
+        add("halt", job, task, attempt).put("wrapupS", graceS);
     }
 
+    /** Has an ended attempt left out of the heartbeats. */
     public void forget(String job, int task, long attempt) {
-        cue("clear", job, task, attempt);
+        add("clear", job, task, attempt);
     }
 
+    /** True if there is nothing to do. */
     public boolean isEmpty() {
-        return cues.isEmpty();
+        return list.isEmpty();
     }
 
-    public ArrayNode list() {
-        return cues;
-    }
-
-    /** The answer to a report. */
+    /** The answer to a heartbeat. */
     public byte[] answer(long token) {
-        ObjectNode n = Json.object();
-        n.put("baton", token).set("cues", cues);
-        return Json.bytes(n);
+        ObjectNode node = Json.object();
+        node.put("baton", token).set("cues", list);
+        return Json.bytes(node);
     }
 
     /** The body of a direct call, good for one session only. */
     public byte[] direct(long token, long session) {
-        ObjectNode n = Json.object();
-        n.put("baton", token).put("shift", session).set("cues", cues);
-        return Json.bytes(n);
+        ObjectNode node = Json.object();
+        node.put("baton", token).put("shift", session).set("cues", list);
+        return Json.bytes(node);
     }
 
-    private ObjectNode cue(String name, String job, int task, long attempt) {
-        ObjectNode n = cues.addObject();
-        return n.put("cue", name).put("take", job + "/" + task).put("try", attempt);
+    private ObjectNode add(String kind, String job, int task, long attempt) {
+        ObjectNode node = list.addObject();
+        return node.put("cue", kind).put("take", TaskName.of(job, task)).put("try", attempt);
     }
 }
--- a/wire/src/main/java/org/landingridge/wire/Heartbeat.java
+++ b/wire/src/main/java/org/landingridge/wire/Heartbeat.java
@@ -1,10 +1,25 @@
 package org.landingridge.wire;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a worker says of its machine, in a report or in answer to commands. */
+/**
+ * What a worker says of its machine, by itself or in answer to commands.
+ *
+ * @param machine identifier of the machine
+ * @param addr    where the worker takes direct calls, {@code host:port}
+ * @param type    name of the machine type
+ * @param zone    name of the zone
+ * @param spot    true for a spot instance
+ * @param session from 1; a new one begins whenever the worker's lease has run out
+ * @param seq     grows with every heartbeat and every answer to a call
+ * @param token   the highest fencing token that the worker has seen, 0 if none
+ * @param noticeS seconds until the cloud takes the machine away, null if it has not said so
+ * @param tasks   all attempts on the machine, ended ones included
+ */
 public record Heartbeat(
         String machine,
         String addr,
@@ -19,81 +34,117 @@
 
     /** States of a task on a machine. */
     public enum TaskStatus {
-        FETCHING,
-        RUNNING,
-        SAVING,
-        EXITED
+        /** Its image is fetched. */
+        FETCHING("pulling"),
+        /** It runs. */
+        RUNNING("running"),
+        /** It was told to stop and saves its progress. */
+        SAVING("saving"),
+        /** It has ended, or was refused. */
+        EXITED("ended");
+
+        private final String wireName;
+
+        TaskStatus(String wireName) {
+            this.wireName = wireName;
+        }
+
+        private static TaskStatus parse(String wireName) throws InvalidMessageException {
+            return switch (wireName) {
+                case "pulling" -> FETCHING;
+                case "running" -> RUNNING;
+                case "saving" -> SAVING;
+                case "ended" -> EXITED;
+                default -> throw new InvalidMessageException("unknown task state " + wireName);
+            };
+        }
     }
 
-    /** One task of a report; {@code why} is set for exited tasks. */
-    public record Entry(String job, int task, long attempt, TaskStatus status, String why) {}
+    /**
+     * One attempt of a heartbeat.
+     *
+     * @param job     identifier of the job
+     * @param task    number of the task in its job
+     * @param attempt number of the attempt
+     * @param cause   why it ended; {@link ExitCause#UNSTATED} while it has not
+     */
+    public record Entry(String job, int task, long attempt, TaskStatus status, ExitCause cause) {}
 
-    public static Heartbeat parse(JsonNode n) throws InvalidMessageException {
-        if (n == null || !n.isObject()) {
+    /**
+     * Reads a heartbeat.
+     *
+     * @param node null where the message was no JSON
+     */
+    public static Heartbeat parse(JsonNode node) throws InvalidMessageException {
+        if (node == null || !node.isObject()) {
             throw new InvalidMessageException("a report is a JSON object");
         }
-        String machine = Json.text(n, "box");
-        String addr = Json.text(n, "addr");
-        String type = Json.text(n, "rig");
-        String zone = Json.text(n, "yard");
-        long session = Json.integer(n, "shift", -1);
-        long seq = Json.integer(n, "tally", -1);
-        long token = Json.integer(n, "baton", -1);
-        JsonNode takes = n.get("takes");
-        if (machine == null
-                || addr == null
-                || type == null
-                || zone == null
-                || session < 0
-                || seq < 0
-                || token < 0
-                || takes != null && !takes.isArray()) {
+        JsonNode entries = node.get("takes");
+        Heartbeat heartbeat = new Heartbeat(
+                Json.text(node, "box"),
+                Json.text(node, "addr"),
+                Json.text(node, "rig"),
+                Json.text(node, "yard"),
+                Json.flag(node, "standby"),
+                Json.integer(node, "shift", -1),
+                Json.integer(node, "tally", -1),
+                Json.integer(node, "baton", -1),
+                notice(node.get("warningS")),
+                new ArrayList<>(entries == null ? 0 : entries.size()));
+        if (heartbeat.incomplete() || entries != null && !entries.isArray()) {
             throw new InvalidMessageException("a field of the report is missing or invalid");
         }
-        JsonNode warning = n.get("warningS");
-        List<Entry> tasks = new ArrayList<>(takes == null ? 0 : takes.size());
-        if (takes != null) {
-            for (JsonNode t : takes) {
-                tasks.add(entry(t));
+        if (entries != null) {
+            for (JsonNode entry : entries) {
+                heartbeat.tasks.add(entry(entry));
             }
         }
-        return new Heartbeat(
-                machine,
-                addr,
-                type,
-                zone,
-                Json.flag(n, "standby"),
-                session,
-                seq,
-                token,
-                warning != null && warning.isNumber() ? Double.valueOf(warning.doubleValue()) : null,
-                tasks);
+        return heartbeat;
+    }
+
+    private boolean incomplete() {
+        return machine == null || addr == null || type == null || zone == null || session < 0 || seq < 0 || token < 0;
     }
 
-    private static Entry entry(JsonNode t) throws InvalidMessageException {
-        String name = Json.text(t, "take");
-        int slash = name == null ? -1 : name.lastIndexOf('/');
-        String status = Json.text(t, "status");
-        long attempt = Json.integer(t, "try", -1);
-        if (slash < 1 || status == null || attempt < 0) {
-            throw new InvalidMessageException("a task of the report lacks its name, attempt or state");
+    private static Double notice(JsonNode value) {
+        return value != null && value.isNumber() ? Double.valueOf(value.doubleValue()) : null;
+    }
+
+    private static Entry entry(JsonNode node) throws InvalidMessageException {
+        String status = Json.text(node, "status");
+        long attempt = Json.integer(node, "try", -1);
+        if (status == null || attempt < 0) {
+            throw new InvalidMessageException("a task of the report lacks its attempt or state");
+        }
+        TaskName name = TaskName.parse(Json.text(node, "take"));
+        ExitCause cause = ExitCause.of(Json.text(node, "cause"));
+        return new Entry(name.job(), name.task(), attempt, TaskStatus.parse(status), cause);
+    }
+
+    /** The heartbeat as it is sent; a notice and causes that are not there are left out. */
+    public byte[] bytes() {
+        ObjectNode node = Json.object();
+        node.put("box", machine)
+                .put("addr", addr)
+                .put("rig", type)
+                .put("yard", zone)
+                .put("standby", spot)
+                .put("shift", session)
+                .put("tally", seq)
+                .put("baton", token);
+        if (noticeS != null) {
+            node.put("warningS", noticeS);
         }
-        TaskStatus state = switch (status) {
-            case "pulling" -> TaskStatus.FETCHING;
-            case "running" -> TaskStatus.RUNNING;
-            case "saving" -> TaskStatus.SAVING;
-            case "ended" -> TaskStatus.EXITED;
-            default -> throw new InvalidMessageException("unknown task state " + status);
-        };
-        try {
-            return new Entry(
-                    name.substring(0, slash),
-                    Integer.parseInt(name, slash + 1, name.length(), 10),
-                    attempt,
-                    state,
-                    Json.text(t, "cause"));
-        } catch (NumberFormatException e) {
-            throw new InvalidMessageException("task name " + name + " has no number");
+        ArrayNode list = node.putArray("takes");
+        for (Entry entry : tasks) {
+            ObjectNode element = list.addObject()
+                    .put("take", TaskName.of(entry.job, entry.task))
+                    .put("try", entry.attempt)
+                    .put("status", entry.status.wireName);
+            if (entry.cause != ExitCause.UNSTATED) {
+                element.put("cause", entry.cause.wireName());
+            }
         }
+        return Json.bytes(node);
     }
 }
