--- a/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -67,7 +67,7 @@
                 "machines",
                 fleet.size(),
                 "held",
-                fleet.held());
+                fleet.blocked());
     }
 
     /** Adds the state, the counts, and the machines by decision. */
@@ -76,7 +76,7 @@
                 .put("sinceMs", now - beganAt)
                 .put("asked", asked)
                 .put("left", fleet.unaccounted())
-                .put("heldTasks", fleet.held());
+                .put("heldTasks", fleet.blocked());
         MachinesByDecision.of(fleet, now).describe(node);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -68,7 +68,7 @@
                 String why = decision.reason().text();
                 LOG.info("machine returned, machine={} reason={}", machine.id(), why);
                 context.incidents().record(machine.id() + ": " + why + "; given back");
-                fleet.giveBack(machine, decision);
+                fleet.scaleIn(machine, decision);
                 useless.add(machine.id());
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -8,6 +8,7 @@
 import org.landingridge.controller.fleet.ActiveJob;
 import org.landingridge.controller.fleet.Attempt;
 import org.landingridge.controller.fleet.Fleet;
+import org.landingridge.controller.fleet.FleetParameters;
 import org.landingridge.controller.fleet.Machine;
 import org.landingridge.controller.fleet.MachineRegistry;
 import org.landingridge.controller.fleet.Task;
@@ -104,17 +105,18 @@
 
     private Fleet createFleet() {
         return new Fleet(
-                loop,
-                context.http(),
-                lead,
-                settings.workers(),
-                context.types()::get,
-                this::knownSpec,
-                context.policy(),
-                settings.machine().maxConnections(),
-                context.metrics(),
-                context.incidents(),
-                context.eventLog(),
+                new FleetParameters(
+                        loop,
+                        context.http(),
+                        lead,
+                        settings.workers(),
+                        context.types()::get,
+                        this::knownSpec,
+                        context.policy(),
+                        settings.machine().maxConnections(),
+                        context.metrics(),
+                        context.incidents(),
+                        context.eventLog()),
                 new FleetEvents());
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -70,7 +70,7 @@
         List<String> ids = new ArrayList<>();
         for (CandidateNode node : idle) {
             Machine machine = (Machine) node.machine;
-            fleet.leaving(machine);
+            fleet.markLeaving(machine);
             ids.add(machine.id());
         }
         operations.returnMachines(ids);
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -93,7 +93,7 @@
             for (String id : request.machines()) {
                 Machine machine = fleet.machine(id);
                 if (machine != null) {
-                    fleet.leaving(machine);
+                    fleet.markLeaving(machine);
                 }
             }
         }
