--- a/controller/src/main/java/org/landingridge/controller/cli/TrainingCluster.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/TrainingCluster.java
@@ -1,11 +1,16 @@
 package org.landingridge.controller.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
+import org.landingridge.wire.CommandBatch;
+import org.landingridge.wire.ExitCause;
+import org.landingridge.wire.Heartbeat;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
+import org.landingridge.wire.WorkerCommand;
 
 /**
  * Stands in for state service, cloud and one worker in the training run, with the least that makes a controller go on.
@@ -29,8 +34,8 @@
     private final String addr;
     private int version;
     private int seq;
-    /** The fields that identify the worker's task; null until it was commanded to start one. */
-    private String task;
+    /** The start of the worker's task; null until it was commanded to start one. */
+    private WorkerCommand.Start task;
 
     /** @param addr the address at which all of it answers */
     TrainingCluster(EventLoop loop, String addr) {
@@ -70,32 +75,32 @@
     }
 
     private void obey(JsonNode body) {
-        for (JsonNode command : body.path("cues")) {
-            task = "\"take\":" + command.path("take") + ",\"try\":" + command.path("try");
+        try {
+            for (WorkerCommand command : CommandBatch.parse(body).commands()) {
+                if (command instanceof WorkerCommand.Start start) {
+                    task = start;
+                }
+            }
+        } catch (InvalidMessageException e) {
+            throw new IllegalStateException("the controller sent malformed commands", e);
         }
     }
 
     /** The worker's next heartbeat. */
     byte[] heartbeat() {
-        ObjectNode heartbeat = Json.object();
-        heartbeat
-                .put("box", "m-000001")
-                .put("addr", addr)
-                .put("rig", "k")
-                .put("yard", "z")
-                .put("standby", true)
-                .put("shift", 1)
-                .put("tally", ++seq)
-                .put("baton", version + 1000);
-        heartbeat.set("takes", Json.parse(bytes(tasks())));
-        return Json.bytes(heartbeat);
+        return new Heartbeat("m-000001", addr, "k", "z", true, 1, ++seq, version + 1000, null, tasks()).bytes();
     }
 
-    private String tasks() {
+    private List<Heartbeat.Entry> tasks() {
         if (task == null) {
-            return "[]";
+            return List.of();
         }
-        String status = seq % ENDED_EVERY == 0 ? "\"ended\",\"cause\":\"done\"" : "\"running\"";
-        return "[{" + task + ",\"status\":" + status + "}]";
+        boolean ended = seq % ENDED_EVERY == 0;
+        return List.of(new Heartbeat.Entry(
+                task.job(),
+                task.task(),
+                task.attempt(),
+                ended ? Heartbeat.TaskStatus.EXITED : Heartbeat.TaskStatus.RUNNING,
+                ended ? ExitCause.DONE : null));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -6,13 +6,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.controller.observability.Metrics;
 import org.landingridge.controller.store.StateClient;
 import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.controller.store.WatchCache;
-import org.landingridge.wire.Json;
+import org.landingridge.wire.state.StateEntry;
+import org.landingridge.wire.state.StateListing;
 
 /**
  * What a controller knows of terminated jobs that have no key of their own any more: a bounded cache of segments, read by need
@@ -153,7 +155,7 @@
         metrics.historyReads.increment();
         client.get(address.key(), answer -> {
             switch (answer.status()) {
-                case OK -> segment.read(answer.body().get("data"), Json.integer(answer.body(), "stamp", 0));
+                case OK -> segment.read(answer.value(), answer.version());
                 case NOT_FOUND -> segment.read(null, 0);
                 default -> {}
             }
@@ -183,17 +185,17 @@
     }
 
     private void firstRead(Answer answer, boolean following, int evictionsBefore) {
-        JsonNode page = answer.ok() ? answer.body().get("entries") : null;
-        if (page == null || !page.isArray()) {
+        Optional<StateListing> page = answer.ok() ? answer.listing() : Optional.empty();
+        if (page.isEmpty()) {
             firstRead = FirstRead.NOT_STARTED;
             return;
         }
         firstRead = FirstRead.DONE;
         if (following) {
-            for (JsonNode entry : page) {
-                changed(Json.text(entry, "key"), entry.get("data"), Json.integer(entry, "stamp", 0));
+            for (StateEntry entry : page.get().entries()) {
+                changed(entry.key(), entry.value(), entry.version());
             }
-            complete = !Json.flag(answer.body(), "more") && evictions == evictionsBefore;
+            complete = !page.get().more() && evictions == evictionsBefore;
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -1,12 +1,13 @@
 package org.landingridge.controller.history;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
 import org.landingridge.controller.jobs.JobTable;
 import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.net.EventLoop;
-import org.landingridge.wire.Json;
+import org.landingridge.wire.state.StateEntry;
+import org.landingridge.wire.state.StateListing;
 
 /**
  * The position in repeated scans of all jobs' keys. A scan finds terminated jobs that the table does not retain: what an
@@ -48,25 +49,25 @@
 
     /** Takes a page in; false where there is none in the answer. */
     boolean read(Answer answer) {
-        JsonNode page = answer.ok() ? answer.body().get("entries") : null;
-        if (page == null || !page.isArray()) {
+        Optional<StateListing> page = answer.ok() ? answer.listing() : Optional.empty();
+        if (page.isEmpty()) {
             return false;
         }
-        for (JsonNode entry : page) {
-            position = Json.text(entry, "key");
+        for (StateEntry entry : page.get().entries()) {
+            position = entry.key();
             found(position.substring(Keys.JOBS.length()), entry);
         }
-        if (!Json.flag(answer.body(), "more")) {
+        if (!page.get().more()) {
             finished();
         }
         return true;
     }
 
-    private void found(String id, JsonNode entry) {
-        StoredJobCodec.termination(entry.path("data")).ifPresent(end -> {
+    private void found(String id, StateEntry entry) {
+        StoredJobCodec.termination(entry.value()).ifPresent(end -> {
             if (table.get(id) == null) {
                 foundAny = true;
-                selector.found(new Candidate(id, Json.integer(entry, "stamp", 0), end));
+                selector.found(new Candidate(id, entry.version(), end));
             }
         });
     }
