--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -96,8 +96,7 @@
         }
         returns.forEach(r -> zone(r.zone).returned++);
         for (Machine machine : machines) {
-            if (machine.state() == Machine.State.UP
-                    || machine.unverified() && machine.state() == Machine.State.BOOTING) {
+            if (machine.expected()) {
                 Zone z = zone(machine.zone());
                 z.all++;
                 z.silent += silent(machine, now) ? 1 : 0;
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -22,7 +22,7 @@
     void expire(Machine machine) {
         // One that this leader never heard is no machine on its way either: counted as such, nothing was rented in its
         // place.
-        if (machine.up() || (machine.unverified() && machine.state() == Machine.State.BOOTING)) {
+        if (machine.expected()) {
             lapse(machine);
         }
         unverifiedMachines.accounted(machine);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -158,6 +158,11 @@
         return state == State.UP;
     }
 
+    /** True if its heartbeats are due: it sends some, or did to an earlier leader. */
+    boolean expected() {
+        return up() || (unverified && state == State.BOOTING);
+    }
+
     boolean registered() {
         return registered;
     }
--- /dev/null
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -0,0 +1,70 @@
+package org.landingridge.controller.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.DisplayName;
+import org.junit.jupiter.api.Test;
+import org.landingridge.wire.Heartbeat;
+
+/** Which heartbeats are newer than what is known, and which come from an earlier process of the worker. */
+class IncarnationTest {
+    private final Incarnation incarnation = new Incarnation();
+
+    private static Heartbeat heartbeat(long session, long seq, long token) {
+        return new Heartbeat("m-1", "h:9", "g8", "a", false, session, seq, token, null, List.of());
+    }
+
+    private void accept(Heartbeat heartbeat) {
+        incarnation.beginSession(heartbeat.session());
+        incarnation.accept(heartbeat);
+    }
+
+    @Test
+    @DisplayName("a heartbeat is newer by its session, and within one by its sequence number")
+    void newer() {
+        assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "nothing is known");
+        accept(heartbeat(2, 10, 5));
+        assertTrue(incarnation.precedes(heartbeat(2, 11, 5)));
+        assertTrue(incarnation.precedes(heartbeat(3, 1, 5)));
+        assertFalse(incarnation.precedes(heartbeat(2, 10, 5)));
+        assertFalse(incarnation.precedes(heartbeat(1, 99, 5)));
+    }
+
+    @Test
+    @DisplayName("once the lease is over nothing of the session counts")
+    void endSession() {
+        accept(heartbeat(2, 10, 5));
+        incarnation.endSession();
+        assertFalse(incarnation.precedes(heartbeat(2, 99, 5)));
+        assertTrue(incarnation.precedes(heartbeat(3, 0, 5)));
+    }
+
+    @Test
+    @DisplayName("after a restart only a higher token tells the worker from its earlier incarnation")
+    void restart() {
+        accept(heartbeat(2, 10, 5));
+        incarnation.restart(5);
+        assertTrue(incarnation.follows(heartbeat(9, 99, 5)));
+        assertFalse(incarnation.showable(5));
+        assertTrue(incarnation.showable(6));
+        assertFalse(incarnation.follows(heartbeat(1, 1, 6)));
+        incarnation.begin();
+        assertFalse(incarnation.restarted());
+        assertEquals(-1, incarnation.session());
+        assertEquals(0, incarnation.token());
+        assertTrue(incarnation.precedes(heartbeat(1, 1, 6)));
+        assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier one never count");
+    }
+
+    @Test
+    @DisplayName("a restart begins once and ends once")
+    void transitions() {
+        assertThrows(IllegalStateException.class, incarnation::begin);
+        incarnation.restart(1);
+        assertThrows(IllegalStateException.class, () -> incarnation.restart(2));
+    }
+}
--- a/emulator/src/main/java/org/landingridge/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/EmulatedWorker.java
@@ -1,32 +1,41 @@
 package org.landingridge.emulator;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
 import org.landingridge.net.Http.Exchange;
-import org.landingridge.wire.JobSpec;
+import org.landingridge.wire.CommandBatch;
+import org.landingridge.wire.Heartbeat;
+import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
+import org.landingridge.wire.LeaderRedirect;
 
-/** A stand-in for a worker: reports, executes commands, keeps its lease. */
+/** A stand-in for a worker: sends heartbeats, executes commands, keeps its lease. */
 public final class EmulatedWorker implements Server {
-    private static final class Run {
-        String status = "pulling";
-        String why;
-        int life;
-        /** When it would have begun to run in one go. */
-        long began;
-    }
+    private static final long NEVER = -10_000;
+    /** A controller that is asked has so long to answer. */
+    private static final long ANSWER_MS = 4_000;
+    /** Pause before the next controller is asked. */
+    private static final long NEXT_CONTROLLER_MS = 1_000;
+    /** News is sent no sooner than so long after the last heartbeat. */
+    private static final long NEWS_PAUSE_MS = 500;
+
+    private static final long SHORTEST_TICK_MS = 100;
+    private static final int TICKS_IN_REPORT = 20;
 
-    /** What the worker is told at its start. */
+    /**
+     * What the worker knows at its start.
+     *
+     * @param addr     where it takes direct calls
+     * @param type     name of its machine's type
+     * @param cpus     processors of its machine
+     * @param reportMs how often it sends a heartbeat
+     * @param leaseMs  for how long a heartbeat that was answered keeps its tasks
+     * @param nodes    the controllers
+     */
     public record Config(
             String addr, String type, double cpus, long reportMs, long leaseMs, List<ControllerAddress> nodes) {}
 
@@ -38,21 +47,19 @@
     private final Http http;
     private final GroundTruth truth;
     private final EmulatedCloud.Box box;
-    private boolean dead;
-    private final Map<String, Run> tasks = new LinkedHashMap<>();
-    private final Set<String> images = new HashSet<>();
+    private final Hanging hanging = new Hanging();
+    private final EmulatedTasks tasks;
     private long session = 1;
     private long seq;
     private long token;
-    private long renewed;
+    private long renewedAt;
+    /** Position of the controller that gets the heartbeats. */
     private int node;
+
     private boolean reporting;
-    private boolean changed;
-    private long lastReport = -10_000;
-    private boolean hangs;
-    private boolean faulty;
-    private final List<Runnable> whileHanging = new ArrayList<>();
+    private long reportedAt = NEVER;
 
+    /** A worker that begins at once. */
     public EmulatedWorker(
             Config config,
             EventLoop loop,
@@ -65,166 +72,141 @@
         this.http = http;
         this.truth = truth;
         this.box = box;
-        this.renewed = loop.now();
+        this.tasks = new EmulatedTasks(config, loop, truth, box, hanging);
+        this.renewedAt = loop.now();
         this.node = random.nextInt(config.nodes.size());
         tick();
     }
 
     /** The machine stops at once, with all that is on it. */
     public void die() {
-        tasks.forEach((name, run) -> over(name, run, null));
-        dead = true;
+        tasks.die();
     }
 
     /** From now on every task fails here. */
     public void spoil() {
-        faulty = true;
+        tasks.spoil();
     }
 
+    /** True while the machine hangs. */
     public boolean hangs() {
-        return hangs;
+        return hanging.hangs();
     }
 
+    /** Number of images on the machine. */
     public int images() {
-        return images.size();
+        return tasks.images();
     }
 
+    /** Its machine. */
     public EmulatedCloud.Box box() {
         return box;
     }
 
     /** A task that runs here, or null. */
     public String running() {
-        return tasks.entrySet().stream()
-                .filter(e -> e.getValue().status.equals("running"))
-                .map(e -> e.getKey().substring(0, e.getKey().lastIndexOf('#')))
-                .findFirst()
-                .orElse(null);
+        return tasks.running();
     }
 
     /** Processors that nothing on it takes. */
     public double free() {
-        double free = config.cpus;
-        for (Map.Entry<String, Run> e : tasks.entrySet()) {
-            JobSpec spec = e.getValue().status.equals("ended")
-                    ? null
-                    : truth.spec(e.getKey().substring(0, e.getKey().lastIndexOf('/')));
-            free -= spec == null ? 0 : spec.cpus();
-        }
-        return free;
+        return tasks.free();
     }
 
     /** A task ends with an error. */
     public void fail(String task) {
-        tasks.forEach((name, run) -> {
-            if (name.startsWith(task + "#") && run.status.equals("running")) {
-                over(name, run, "error");
-            }
-        });
+        tasks.fail(task);
     }
 
+    /** The machine hangs from now on, or goes on. */
     public void hang(boolean on) {
-        hangs = on;
-        if (!on) {
-            lease();
-            List<Runnable> late = new ArrayList<>(whileHanging);
-            whileHanging.clear();
-            late.forEach(Runnable::run);
+        if (on) {
+            hanging.hang();
+            return;
         }
+        hanging.resume();
+        checkLease();
+        hanging.catchUp();
     }
 
     private void tick() {
-        if (dead) {
+        if (tasks.dead()) {
             return;
         }
         // A machine that hangs past its lease is as good as one that killed its tasks: they never run on.
-        lease();
-        if (!hangs) {
-            long since = loop.now() - lastReport;
-            if (!reporting && (since >= config.reportMs || changed && since >= 500)) {
-                report();
-            }
+        checkLease();
+        long since = loop.now() - reportedAt;
+        boolean due = since >= config.reportMs || (tasks.changed() && since >= NEWS_PAUSE_MS);
+        if (due && !reporting && !hanging.hangs()) {
+            report();
         }
-        loop.after(Math.max(100, config.reportMs / 20), this::tick);
+        loop.after(Math.max(SHORTEST_TICK_MS, config.reportMs / TICKS_IN_REPORT), this::tick);
     }
 
-    private void lease() {
-        if (loop.now() - renewed > config.leaseMs) {
-            tasks.forEach((name, run) -> over(name, run, null));
+    private void checkLease() {
+        if (loop.now() - renewedAt > config.leaseMs) {
             tasks.clear();
             session++;
-            renewed = loop.now();
-            changed = true;
+            renewedAt = loop.now();
         }
     }
 
-    private byte[] state() {
-        ObjectNode n = Json.object();
-        n.put("box", box.id)
-                .put("addr", config.addr)
-                .put("rig", config.type)
-                .put("yard", box.zone)
-                .put("standby", box.spot)
-                .put("shift", session)
-                .put("tally", ++seq)
-                .put("baton", token);
-        ArrayNode list = n.putArray("takes");
-        tasks.forEach((name, run) -> {
-            int hash = name.lastIndexOf('#');
-            ObjectNode t = list.addObject()
-                    .put("take", name.substring(0, hash))
-                    .put("try", Long.parseLong(name.substring(hash + 1)))
-                    .put("status", run.status);
-            if (run.why != null) {
-                t.put("cause", run.why);
-            }
-        });
-        return Json.bytes(n);
+    /** The next heartbeat. */
+    private byte[] heartbeat() {
+        seq++;
+        return new Heartbeat(
+                        box.id,
+                        config.addr,
+                        config.type,
+                        box.zone,
+                        box.spot,
+                        session,
+                        seq,
+                        token,
+                        null,
+                        tasks.entries())
+                .bytes();
     }
 
     private void report() {
         reporting = true;
-        changed = false;
-        lastReport = loop.now();
-        long sent = loop.now();
-        long mine = session;
-        http.call(config.nodes.get(node).addr, "POST", "/hello", state(), 4_000, reply -> {
-            if (hangs) {
-                whileHanging.add(() -> answered(reply, sent, mine));
-            } else {
-                answered(reply, sent, mine);
-            }
+        tasks.changed(false);
+        reportedAt = loop.now();
+        long sentAt = loop.now();
+        long sentIn = session;
+        String controller = config.nodes.get(node).addr;
+        http.call(controller, "POST", "/hello", heartbeat(), ANSWER_MS, reply -> {
+            hanging.whenAwake(() -> answered(reply, sentAt, sentIn));
         });
     }
 
-    private void answered(Http.Reply reply, long sent, long mine) {
-        if (dead) {
+    private void answered(Http.Reply reply, long sentAt, long sentIn) {
+        if (tasks.dead()) {
             return;
         }
         reporting = false;
-        lease();
-        if (reply.is(200) && loop.now() - sent <= 4_000) {
-            JsonNode body = Json.parse(reply.body());
-            long given = body.path("baton").longValue();
-            if (session == mine && given >= token && body.has("baton")) {
-                if (given > token) {
-                    token = given;
-                    changed = true;
-                }
-                renewed = Math.max(renewed, sent);
-                execute(body.get("cues"));
-            }
-        } else if (reply.is(421) && Json.parse(reply.body()).has("desk")) {
-            int to = indexOf(Json.parse(reply.body()).get("desk").textValue());
-            if (to >= 0 && to != node) {
-                node = to;
-                changed = true;
-                return;
+        checkLease();
+        if (reply.is(200) && loop.now() - sentAt <= ANSWER_MS) {
+            CommandBatch batch = batch(reply.body());
+            if (session == sentIn && batch.token() >= token) {
+                showToken(batch.token());
+                renewedAt = Math.max(renewedAt, sentAt);
+                tasks.execute(batch.commands());
             }
-            next();
-        } else {
-            next();
+        } else if (!(reply.is(421) && follow(LeaderRedirect.leaderHost(Json.parse(reply.body()))))) {
+            askNextController();
+        }
+    }
+
+    /** True if the worker turns to the controller that was named. */
+    private boolean follow(Optional<String> host) {
+        int leader = host.map(this::indexOf).orElse(-1);
+        if (leader < 0 || leader == node) {
+            return false;
         }
+        node = leader;
+        tasks.changed(true);
+        return true;
     }
 
     private int indexOf(String host) {
@@ -236,148 +218,46 @@
         return -1;
     }
 
-    private void next() {
+    private void askNextController() {
         node = (node + 1) % config.nodes.size();
-        lastReport = loop.now();
-        loop.after(1_000, () -> lastReport = -10_000);
-    }
-
-    private void execute(JsonNode cues) {
-        for (JsonNode c : cues) {
-            String name = c.get("take").textValue() + "#" + c.get("try").longValue();
-            switch (c.get("cue").textValue()) {
-                case "start" -> {
-                    truth.ordered(GroundTruth.Order.START, box.id, name, box.pool(), tasks.containsKey(name));
-                    start(name);
-                }
-                case "halt" -> {
-                    Run run = tasks.get(name);
-                    truth.ordered(
-                            GroundTruth.Order.STOP,
-                            box.id,
-                            name,
-                            box.pool(),
-                            run == null || run.status.equals("ended"));
-                    if (run != null && !run.status.equals("ended")) {
-                        save(name, run, c.path("wrapupS").doubleValue());
-                        over(name, run, "halted");
-                    }
-                }
-                case "clear" -> {
-                    Run run = tasks.get(name);
-                    truth.ordered(GroundTruth.Order.CLEAR, box.id, name, box.pool(), run == null);
-                    if (run != null && run.status.equals("ended")) {
-                        tasks.remove(name);
-                    }
-                }
-                default -> throw new IllegalStateException(c.toString());
-            }
-            changed = true;
-        }
-    }
-
-    private void start(String name) {
-        if (tasks.containsKey(name)) {
-            return;
-        }
-        String task = name.substring(0, name.lastIndexOf('#'));
-        JobSpec spec = truth.spec(task.substring(0, task.lastIndexOf('/')));
-        Run run = new Run();
-        double cpus = 0;
-        for (Map.Entry<String, Run> e : tasks.entrySet()) {
-            if (!e.getValue().status.equals("ended")) {
-                cpus += truth.spec(e.getKey().substring(0, e.getKey().lastIndexOf('/')))
-                        .cpus();
-                if (e.getKey().startsWith(task + "#")) {
-                    run.why = "busy";
-                }
-            }
-        }
-        tasks.put(name, run);
-        if (spec == null) {
-            run.why = "unknown";
-        } else if (run.why == null && cpus + spec.cpus() > config.cpus + 1e-6) {
-            run.why = "full";
-        }
-        if (run.why != null) {
-            run.status = "ended";
-            return;
-        }
-        int life = ++run.life;
-        later(name, run, life, images.add(spec.image()) ? 300 : 20, () -> {
-            run.status = "running";
-            changed = true;
-            truth.starts(task, box.id, config.type, box.zone, box.spot);
-            if (faulty || truth.mistaken(spec.id())) {
-                later(name, run, life, 200, () -> over(name, run, "error"));
-            } else if (!spec.service()) {
-                run.began = loop.now() - Math.round(truth.saved(task) * 1000);
-                long takes = truth.completed(task)
-                        ? 10
-                        : Math.max(10, Math.round(spec.estimateS() * 1000) - (loop.now() - run.began));
-                later(name, run, life, takes, () -> over(name, run, "done"));
-            }
-        });
+        reportedAt = loop.now();
+        loop.after(NEXT_CONTROLLER_MS, () -> reportedAt = NEVER);
     }
 
-    private void later(String name, Run run, int life, long ms, Runnable what) {
-        loop.after(ms, () -> {
-            if (dead) {
-                return;
-            }
-            if (hangs) {
-                whileHanging.add(() -> {
-                    if (tasks.get(name) == run && run.life == life && !run.status.equals("ended")) {
-                        what.run();
-                    }
-                });
-            } else if (tasks.get(name) == run && run.life == life && !run.status.equals("ended")) {
-                what.run();
-            }
-        });
-    }
-
-    /** It saves at once if it is given the time; else what it saved by itself is left. */
-    private void save(String name, Run run, double graceS) {
-        String task = name.substring(0, name.lastIndexOf('#'));
-        JobSpec spec = truth.spec(task.substring(0, task.lastIndexOf('/')));
-        if (spec != null && spec.checkpointS() > 0 && run.status.equals("running")) {
-            double ran = (loop.now() - run.began) / 1000.0;
-            truth.saves(task, graceS >= spec.saveS() ? ran : Math.floor(ran / spec.checkpointS()) * spec.checkpointS());
+    private void showToken(long given) {
+        if (given > token) {
+            token = given;
+            tasks.changed(true);
         }
     }
 
-    private void over(String name, Run run, String why) {
-        if (run.status.equals("running")) {
-            truth.ends(name.substring(0, name.lastIndexOf('#')), "done".equals(why));
+    /** What a controller sends; one that sends anything else breaks the protocol, and the run ends. */
+    private static CommandBatch batch(byte[] body) {
+        JsonNode node = Json.parse(body);
+        try {
+            return CommandBatch.parse(node);
+        } catch (InvalidMessageException e) {
+            throw new IllegalStateException("a controller has sent " + (node == null ? "no JSON" : Json.text(node)), e);
         }
-        run.status = "ended";
-        run.why = why;
-        run.life++;
-        changed = true;
     }
 
     @Override
-    public void serve(Exchange x) {
-        if (dead) {
+    public void serve(Exchange exchange) {
+        if (tasks.dead()) {
             return;
         }
-        if (hangs) {
-            whileHanging.add(() -> serve(x));
+        if (hanging.hangs()) {
+            hanging.whenAwake(() -> serve(exchange));
             return;
         }
-        lease();
-        JsonNode body = Json.parse(x.body());
-        long given = body.path("baton").longValue();
-        boolean valid = given >= token && body.path("shift").longValue() == session;
-        if (given > token) {
-            token = given;
-            changed = true;
-        }
+        checkLease();
+        CommandBatch batch = batch(exchange.body());
+        boolean valid = batch.token() >= token && batch.session() == session;
+        showToken(batch.token());
         truth.ordered(GroundTruth.Order.CALL, box.id, null, box.pool(), false);
         if (valid) {
-            execute(body.get("cues"));
+            tasks.execute(batch.commands());
         }
-        x.answer(valid ? 200 : 409, state());
+        exchange.answer(valid ? 200 : 409, heartbeat());
     }
 }
