--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -288,14 +288,13 @@
                 listener.changed(key, null, from);
             }
         }
-        boolean first = revision < 0;
+        if (revision < 0) {
+            LOG.info("read {} keys of the state service at revision {}", versions.size(), from);
+        }
         revision = from;
         state = State.FOLLOWING;
         loaded = true;
         viewAt = Math.max(viewAt, load.beganAt);
-        if (first) {
-            LOG.info("read {} keys of the state service at revision {}", versions.size(), from);
-        }
         follow();
     }
 }
