--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -129,16 +129,11 @@
         configurations = new ConfigurationService(
                 client, watchCache, loop, configuration, settings.host(), settings.stateLimits());
         jobs = new JobService(
-                client,
-                watchCache,
-                loop,
-                table,
-                lookup,
+                new JobService.Dependencies(client, watchCache, loop, table, lookup, metrics),
                 configuration,
                 settings,
                 types,
-                () -> capabilities.all(Capabilities.Feature.PIPELINES),
-                metrics);
+                () -> capabilities.all(Capabilities.Feature.PIPELINES));
         parts = new LeaderContext(
                 loop,
                 http,
--- a/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
+++ b/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
@@ -9,43 +9,49 @@
 import java.util.function.LongSupplier;
 
 /**
- * How many submissions this controller may write now. After an outage everything submitted meanwhile comes back at once:
- * sent on, it takes all changes that the state service has, nobody can claim the lead, and a leader cannot write the roster
- * without which no machine takes a task. So each controller keeps to its share while no leader is heard, or the leader says,
- * with its sign of life, that it comes short. Who is turned away is told so at once, with the time to come back.
+ * How many submissions this controller may write now. After an outage everything submitted meanwhile is submitted at once:
+ * that would take all changes that the state service allows, no controller could become the leader, and a leader could not
+ * write the machine registry, without which no machine takes a task. So each controller keeps to its share while no leader is
+ * heard, or while the leader says, with its heartbeat to the other controllers, that it comes short of changes. A submission
+ * that is not admitted is refused at once, with the time after which to come back.
  */
 final class AdmissionControl {
-    /** A submission, in the bucket's tokens: rates are fractions. */
-    private static final long ONE = 1_000;
+    /** Tokens of the bucket to a submission: rates are fractions. */
+    private static final long TOKENS = 1_000;
+    /** So long a heartbeat of the leader counts. */
+    private static final long HEARD_MS = 2_500;
 
-    private static final long SAID_MS = 2_500;
-    private static final int LONGEST_S = 4;
+    private static final int MAX_RETRY_AFTER_S = 4;
     private final LongSupplier clock;
-    private final double most;
-    private final double share;
-    /** So many at once are let in after a quiet time: users do not come evenly, nor to every controller. */
+    private final double maxRate;
+    private final double shareRate;
+    /** So many at once are admitted after a quiet time: users do not come evenly, nor to every controller. */
     private final double burst;
 
     private final Bucket bucket;
+    /** Submissions a second that are admitted now. */
     private double rate;
-    private long saidUntil = Long.MIN_VALUE / 2;
-    /** Turned away in the second that began then. */
-    private int turnedAway;
+
+    private long heardUntil = Long.MIN_VALUE / 2;
+    /** In the second that began at {@code countedSince}. */
+    private int refused;
 
     private long countedSince;
 
     /**
-     * @param clock milliseconds of the steady clock
-     * @param most  changes a second that the state service can take at all
-     * @param share of these, what all controllers together may always use for submissions
-     * @param nodes controllers in all
+     * Admits this controller's share, until the leader is heard.
+     *
+     * @param clock       milliseconds of the steady clock
+     * @param maxRate     changes a second that the state service can take at all
+     * @param share       of these, what all controllers together may always use for submissions
+     * @param controllers in all
      */
-    AdmissionControl(LongSupplier clock, double most, double share, int nodes) {
+    AdmissionControl(LongSupplier clock, double maxRate, double share, int controllers) {
         this.clock = clock;
-        this.most = most;
-        this.share = most * share / nodes;
-        this.burst = most * share;
-        this.rate = this.share;
+        this.maxRate = maxRate;
+        this.shareRate = maxRate * share / controllers;
+        this.burst = maxRate * share;
+        this.rate = shareRate;
         bucket = Bucket.builder()
                 .addLimit(limit(rate))
                 .withCustomTimePrecision(new TimeMeter() {
@@ -62,44 +68,44 @@
                 .build();
     }
 
-    private Bandwidth limit(double perS) {
-        long tokens = Math.max(ONE / 10, Math.round(perS * ONE));
+    private Bandwidth limit(double perSecond) {
+        long tokens = Math.max(TOKENS / 10, Math.round(perSecond * TOKENS));
         return Bandwidth.builder()
-                .capacity(Math.max(ONE, Math.round(burst * ONE)))
+                .capacity(Math.max(TOKENS, Math.round(burst * TOKENS)))
                 .refillGreedy(tokens, Duration.ofSeconds(1))
                 .build();
     }
 
-    /** The leader's sign of life: whether it comes short of changes. It counts until the next, or for a while. */
-    void heard(boolean leaderShort) {
-        saidUntil = clock.getAsLong() + SAID_MS;
-        to(leaderShort ? share : most);
+    /** The leader has been heard from, and says whether it comes short of changes. */
+    void leaderHeard(boolean leaderShort) {
+        heardUntil = clock.getAsLong() + HEARD_MS;
+        setRate(leaderShort ? shareRate : maxRate);
     }
 
-    private void to(double perS) {
-        if (Math.abs(perS - rate) > 0.1) {
-            rate = perS;
+    private void setRate(double perSecond) {
+        if (Math.abs(perSecond - rate) > 0.1) {
+            rate = perSecond;
             bucket.replaceConfiguration(
-                    BucketConfiguration.builder().addLimit(limit(perS)).build(), TokensInheritanceStrategy.AS_IS);
+                    BucketConfiguration.builder().addLimit(limit(perSecond)).build(), TokensInheritanceStrategy.AS_IS);
         }
     }
 
     /** True if a submission may be written now. */
     boolean admit() {
-        if (clock.getAsLong() > saidUntil) {
-            to(share);
+        if (clock.getAsLong() > heardUntil) {
+            setRate(shareRate);
         }
-        boolean in = bucket.tryConsume(ONE);
+        boolean admitted = bucket.tryConsume(TOKENS);
         if (clock.getAsLong() - countedSince >= 1_000) {
             countedSince = clock.getAsLong();
-            turnedAway = 0;
+            refused = 0;
         }
-        turnedAway += in ? 0 : 1;
-        return in;
+        refused += admitted ? 0 : 1;
+        return admitted;
     }
 
-    /** Seconds after which those that were turned away lately may come back: all at once they would be again. */
-    int comeBackS() {
-        return (int) Math.max(1, Math.min(LONGEST_S, Math.round(turnedAway / Math.max(0.1, rate))));
+    /** Seconds after which those that were refused lately may come back, spread out by how many they are. */
+    int retryAfterS() {
+        return (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, Math.round(refused / Math.max(0.1, rate))));
     }
 }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -0,0 +1,90 @@
+package org.landingridge.controller.api;
+
+import java.util.List;
+import org.landingridge.controller.jobs.Job;
+import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
+import org.landingridge.controller.jobs.TerminatedJob;
+import org.landingridge.controller.store.Keys;
+import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.StateClient.Guard;
+import org.landingridge.controller.store.StateClient.Status;
+import org.landingridge.controller.store.StateClient.Write;
+import org.landingridge.controller.store.WatchCache;
+import org.landingridge.net.Http.Exchange;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Cancels jobs: the end takes the place of the job's stored description, on the condition that nothing of that has changed. */
+final class CancelHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(CancelHandler.class);
+    private static final int MAX_ATTEMPTS = 4;
+
+    private final StateClient client;
+    private final WatchCache watchCache;
+    private final JobTable table;
+    private final JobLookup lookup;
+    private final JobResponses responses;
+
+    CancelHandler(JobService.Dependencies dependencies, JobResponses responses) {
+        this.client = dependencies.client();
+        this.watchCache = dependencies.watchCache();
+        this.table = dependencies.table();
+        this.lookup = dependencies.lookup();
+        this.responses = responses;
+    }
+
+    void cancel(Exchange exchange, String id) {
+        attempt(exchange, id, 0);
+    }
+
+    private void attempt(Exchange exchange, String id, int attempt) {
+        lookup.find(id, new JobLookup.Callback() {
+            @Override
+            public void active(Job job) {
+                if (attempt >= MAX_ATTEMPTS) {
+                    responses.unavailable(exchange, "the state service does not answer");
+                } else {
+                    write(exchange, job, attempt);
+                }
+            }
+
+            @Override
+            public void terminated(TerminatedJob end) {
+                responses.ended(exchange, id, end.how());
+            }
+
+            @Override
+            public void absent() {
+                responses.notFound(exchange);
+            }
+
+            @Override
+            public void unavailable(String why) {
+                responses.unavailable(exchange, why);
+            }
+        });
+    }
+
+    private void write(Exchange exchange, Job job, int attempt) {
+        String key = Keys.JOBS + job.id();
+        List<Guard> guards = List.of(new Guard(key, watchCache.version(key)));
+        List<Write> writes = List.of(new Write(key, StoredJobCodec.terminated(job, Job.Status.CANCELLED), 0));
+        client.commit(guards, writes, answer -> {
+            if (answer.ok()) {
+                cancelled(exchange, job, answer.revision());
+            } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
+                attempt(exchange, job.id(), attempt + 1);
+            } else {
+                responses.unavailable(exchange, "the state service refuses");
+            }
+        });
+    }
+
+    private void cancelled(Exchange exchange, Job job, long revision) {
+        watchCache.committed(Keys.JOBS + job.id(), revision);
+        table.end(job, Job.Status.CANCELLED, job.tasks(), revision, true);
+        LOG.info("job cancelled: job={}", job.id());
+        responses.ended(exchange, job.id(), Job.Status.CANCELLED);
+    }
+}
--- a/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
+++ b/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
@@ -5,42 +5,47 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whose submissions are written while the state service refuses changes for want of rate. One team's flood would take every
- * change there is, and the others' few submissions would find as little room as its thousands. So what gets through is shared
- * out by team: each may have an even share, and what a team does not ask for is lent to those that ask for more. Without
- * refusals nobody is held to anything.
+ * Whose submissions are written while the state service refuses changes for want of rate. One team's thousands of submissions
+ * would take every change there is, and leave no room for the others' few. So what gets through is shared by max-min fairness:
+ * each team may have an even share, and what a team does not ask for is lent to those that ask for more. Without refusals
+ * nothing is limited.
  */
 final class FairQueue {
     private static final long SLOT_MS = 1_000;
     /** Weight of the newest second in what a team usually asks for. */
     private static final double NEWEST = 0.3;
-    /** A team that asks for less a second than this has gone quiet, and is forgotten. */
+    /** A team that asks for less a second than this is forgotten. */
     private static final double QUIET = 0.02;
-    /** Of what gets through a little is left free: what is refused costs changes too, and anybody may be refused. */
+    /** Of what gets through a little is left free: refused submissions cost changes too. */
     private static final double USED = 0.95;
-
+    /** The rate grows by this factor, and by the step, in each second without a refusal. */
     private static final double GROWTH = 1.02;
+
     private static final double STEP = 0.2;
-    /** So long without a refusal nobody is held to anything any more. */
+    /** After so long without a refusal nothing is limited any more. */
     private static final long OPEN_MS = 10_000;
 
     private static final class Team {
+        /** Submissions in this second. */
         private int asked;
+        /** Submissions a second, averaged. */
         private double usual;
         /** Submissions that it may make now. */
-        private double turns;
+        private double tokens;
     }
 
     private final LongSupplier clock;
     private final Map<String, Team> teams = new TreeMap<>();
+    /** Start of the second that is being counted. */
     private long since;
+
     private long filledAt;
     private int admitted;
     private int refused;
     private long refusedAt = Long.MIN_VALUE / 2;
     /** Submissions a second that get through, by what did lately. */
     private double rate = Double.MAX_VALUE;
-    /** What each team may submit a second, so that all that gets through is taken. */
+    /** What each team may submit a second, so that all that gets through is used. */
     private double level = Double.MAX_VALUE;
 
     /** @param clock milliseconds of the steady clock */
@@ -50,7 +55,7 @@
         filledAt = since;
     }
 
-    /** A submission that was let in found no rate left. */
+    /** An admitted submission found no rate left. */
     void refused() {
         refused++;
         refusedAt = clock.getAsLong();
@@ -58,42 +63,42 @@
 
     /** True if a submission of this team may be written now. */
     boolean admit(String name) {
-        look();
+        refill();
         Team team = teams.get(name);
         if (team == null) {
             team = new Team();
-            team.turns = most();
+            team.tokens = maxTokens();
             teams.put(name, team);
         }
         team.asked++;
-        boolean free = rate == Double.MAX_VALUE || teams.size() == 1;
-        if (!free && team.turns < 1) {
+        boolean unlimited = rate == Double.MAX_VALUE || teams.size() == 1;
+        if (!unlimited && team.tokens < 1) {
             return false;
         }
-        team.turns = Math.max(0, team.turns - 1);
+        team.tokens = Math.max(0, team.tokens - 1);
         admitted++;
         return true;
     }
 
-    private double most() {
+    private double maxTokens() {
         return Math.max(1, level);
     }
 
-    private void look() {
+    private void refill() {
         long now = clock.getAsLong();
         if (rate < Double.MAX_VALUE) {
-            double more = level * (now - filledAt) / 1_000.0;
-            teams.values().forEach(t -> t.turns = Math.min(most(), t.turns + more));
+            double refilled = level * (now - filledAt) / 1_000.0;
+            teams.values().forEach(team -> team.tokens = Math.min(maxTokens(), team.tokens + refilled));
         }
         filledAt = now;
         if (now - since >= SLOT_MS) {
-            second((now - since) / (double) SLOT_MS);
+            endSecond((now - since) / (double) SLOT_MS);
             since = now;
         }
     }
 
-    /** Looks back at the last second, or longer where nobody has asked. */
-    private void second(double seconds) {
+    /** Adjusts rate and level by what happened in the last second, or longer where nobody has asked. */
+    private void endSecond(double seconds) {
         long now = clock.getAsLong();
         double through = (admitted - refused) / seconds;
         if (refused > 0) {
@@ -106,22 +111,23 @@
         admitted = 0;
         refused = 0;
         double kept = Math.pow(1 - NEWEST, seconds);
-        teams.values().forEach(t -> {
-            t.usual = t.usual * kept + t.asked / seconds * (1 - kept);
-            t.asked = 0;
+        teams.values().forEach(team -> {
+            team.usual = team.usual * kept + team.asked / seconds * (1 - kept);
+            team.asked = 0;
         });
-        teams.values().removeIf(t -> t.usual < QUIET);
+        teams.values().removeIf(team -> team.usual < QUIET);
         level = level();
     }
 
-    /** Even shares; what a team does not ask for is dealt out to the others. */
+    /** Even shares; what a team does not ask for is shared among the others. */
     private double level() {
         if (rate == Double.MAX_VALUE) {
             return Double.MAX_VALUE;
         }
         double left = rate * USED;
         int sharing = teams.size();
-        for (double usual : teams.values().stream().map(t -> t.usual).sorted().toList()) {
+        for (double usual :
+                teams.values().stream().map(team -> team.usual).sorted().toList()) {
             if (usual * sharing >= left) {
                 return left / sharing;
             }
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.landingridge.controller.history.History;
 import org.landingridge.controller.jobs.Job;
@@ -12,22 +13,24 @@
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.controller.store.Keys;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.StateClient.Answer;
 import org.landingridge.controller.store.StateClient.Status;
 import org.landingridge.controller.store.WatchCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds a job wherever it may be: in the table, under a key of its own that is not kept in the table, or in the history. An end
- * that is known here is final; everything else is asked for past the mirror's read barrier.
+ * Finds a job wherever it may be: in the table, under a key of its own that the table does not keep, or in the history. An end
+ * that is known here is final; everything else is asked for past the watch cache's read barrier.
  */
 public final class JobLookup {
-    /** What follows from where a job was found; exactly one of these is called. */
-    public interface Finding {
+    /** What follows from where a job was found; exactly one of these is called, at once or later. */
+    public interface Callback {
         /** The job is neither done nor cancelled, and all that it awaits is known here. */
-        void live(Job job);
+        void active(Job job);
 
-        void over(TerminatedJob ended);
+        /** The job has ended. */
+        void terminated(TerminatedJob end);
 
         /** There is no such job as of the call. */
         void absent();
@@ -42,9 +45,10 @@
     private final WatchCache watchCache;
     private final JobTable table;
     private final History history;
-    /** Awaited jobs that are being looked up, by id, with those who wait for the outcome. */
-    private final Map<String, List<Consumer<String>>> resolving = new HashMap<>();
+    /** Awaited jobs that are being looked up, by id, with those who wait for it; they are passed what failed. */
+    private final Map<String, List<Consumer<Optional<String>>>> resolving = new HashMap<>();
 
+    /** A lookup in the places where jobs are kept. */
     public JobLookup(StateClient client, WatchCache watchCache, JobTable table, History history) {
         this.client = client;
         this.watchCache = watchCache;
@@ -52,80 +56,105 @@
         this.history = history;
     }
 
-    public void find(String id, Finding finding) {
-        Job job = table.get(id);
-        TerminatedJob past =
-                job == null ? history.known(id) : job.active() ? null : new TerminatedJob(job.status(), job.tasks());
-        if (past != null) {
-            finding.over(past);
-            return;
-        }
-        barrier(
-                finding,
-                () -> here(id, finding, () -> {
-                    if (!table.terminated().partial()) {
-                        finding.absent();
-                        return;
-                    }
-                    // An ended job may have a key of its own that is not kept here. If it is gone from there it may
-                    // have moved
-                    // since the history was looked at, so that is looked at again, past another barrier.
-                    client.get(Keys.JOBS + id, answer -> {
-                        TerminatedJob ended = answer.ok()
-                                ? StoredJobCodec.termination(answer.body().path("data"))
-                                        .orElse(null)
-                                : null;
-                        if (ended != null) {
-                            finding.over(ended);
-                        } else if (answer.status() == Status.NOT_FOUND) {
-                            barrier(finding, () -> here(id, finding, finding::absent));
+    /** Finds the job. */
+    public void find(String id, Callback callback) {
+        TerminatedJob known = knownEnd(id);
+        if (known != null) {
+            callback.terminated(known);
+        } else {
+            barrier(
+                    callback,
+                    () -> findCurrent(id, callback, () -> {
+                        if (table.terminated().partial()) {
+                            findByKey(id, callback);
                         } else {
-                            finding.unavailable(NO_ANSWER);
+                            callback.absent();
                         }
-                    });
-                }));
+                    }));
+        }
     }
 
-    private void here(String id, Finding finding, Runnable absent) {
+    private TerminatedJob knownEnd(String id) {
         Job job = table.get(id);
-        if (job != null && job.active()) {
-            if (!table.unresolved(job)) {
-                finding.live(job);
-                return;
+        if (job == null) {
+            return history.known(id);
+        }
+        return job.active() ? null : end(job);
+    }
+
+    private static TerminatedJob end(Job job) {
+        return new TerminatedJob(job.status(), job.tasks());
+    }
+
+    /**
+     * A terminated job may have a key of its own that the table does not keep. If it is gone from there it may have moved since
+     * the history was read, so that is read again, past another barrier.
+     */
+    private void findByKey(String id, Callback callback) {
+        client.get(Keys.JOBS + id, answer -> {
+            Optional<TerminatedJob> end = storedEnd(answer);
+            if (end.isPresent()) {
+                callback.terminated(end.get());
+            } else if (answer.status() == Status.NOT_FOUND) {
+                barrier(callback, () -> findCurrent(id, callback, callback::absent));
+            } else {
+                callback.unavailable(NO_ANSWER);
             }
-            // Another controller may know already that the job is cancelled with one that it needs, and may have said
-            // so.
-            resolve(job, failure -> {
-                if (failure != null) {
-                    finding.unavailable(failure);
-                } else if (job.active()) {
-                    finding.live(job);
-                } else {
-                    finding.over(new TerminatedJob(job.status(), job.tasks()));
-                }
-            });
+        });
+    }
+
+    private static Optional<TerminatedJob> storedEnd(Answer answer) {
+        return answer.ok() ? StoredJobCodec.termination(answer.body().path("data")) : Optional.empty();
+    }
+
+    /** Finds the job in the table or the history, which are past the barrier. */
+    private void findCurrent(String id, Callback callback, Runnable absent) {
+        Job job = table.get(id);
+        if (job != null && job.active()) {
+            findActive(job, callback);
         } else if (job != null) {
-            finding.over(new TerminatedJob(job.status(), job.tasks()));
+            callback.terminated(end(job));
         } else if (table.unreadable(id)) {
-            finding.unavailable("what is stored of the job cannot be read");
+            callback.unavailable("what is stored of the job cannot be read");
         } else {
-            past(id, finding, found -> finding.over(found.ended()), found -> absent.run());
+            findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> absent.run());
         }
     }
 
-    /** Looks the job up in the history; one of the last two is called, or the finding is told that nothing can be said. */
-    void past(String id, Finding finding, Consumer<History.Found> over, Consumer<History.Found> absent) {
+    /**
+     * A job that awaits one that the table does not keep may be cancelled with it: another controller may know that already, and
+     * may have told a user.
+     */
+    private void findActive(Job job, Callback callback) {
+        if (!table.unresolved(job)) {
+            callback.active(job);
+            return;
+        }
+        resolveAwaited(job, failure -> {
+            if (failure.isPresent()) {
+                callback.unavailable(failure.get());
+            } else if (job.active()) {
+                callback.active(job);
+            } else {
+                callback.terminated(end(job));
+            }
+        });
+    }
+
+    /** Looks the job up in the history; one of the last two is called, or the callback's {@code unavailable}. */
+    void findInHistory(
+            String id, Callback callback, Consumer<History.Found> terminated, Consumer<History.Found> absent) {
         history.find(id, found -> {
             switch (found.outcome()) {
-                case UNAVAILABLE -> finding.unavailable(NO_ANSWER);
-                case UNREADABLE -> finding.unavailable("the history of this range of jobs cannot be read");
-                case READ -> (found.ended() != null ? over : absent).accept(found);
+                case UNAVAILABLE -> callback.unavailable(NO_ANSWER);
+                case UNREADABLE -> callback.unavailable("the history of this range of jobs cannot be read");
+                case READ -> (found.ended() != null ? terminated : absent).accept(found);
             }
         });
     }
 
-    private void barrier(Finding finding, Runnable passed) {
-        watchCache.barrier(passed, () -> finding.unavailable(NO_ANSWER));
+    private void barrier(Callback callback, Runnable passed) {
+        watchCache.barrier(passed, () -> callback.unavailable(NO_ANSWER));
     }
 
     /** Looks up every awaited job that the table does not keep, as a leader has to before it can start what awaits them. */
@@ -133,56 +162,68 @@
         table.unresolved().forEach(id -> resolve(id, failure -> {}));
     }
 
-    /** Looks up what the job awaits and the table does not keep; {@code done} is told what failed, or null. */
-    private void resolve(Job job, Consumer<String> done) {
+    /** Looks up what the job awaits and the table does not keep; {@code done} is passed what failed. */
+    private void resolveAwaited(Job job, Consumer<Optional<String>> done) {
         List<String> missing =
                 job.awaited().stream().filter(id -> table.get(id) == null).toList();
-        int[] left = {missing.size()};
-        String[] failed = new String[1];
-        for (String id : missing) {
-            resolve(id, failure -> {
-                failed[0] = failure == null ? failed[0] : failure;
-                if (--left[0] == 0) {
-                    done.accept(failed[0]);
-                }
-            });
+        Resolution resolution = new Resolution(missing.size(), done);
+        missing.forEach(id -> resolve(id, resolution::resolved));
+    }
+
+    /** The lookups of all jobs that one awaits. */
+    private static final class Resolution {
+        private final Consumer<Optional<String>> done;
+        private int pending;
+        private Optional<String> failure = Optional.empty();
+
+        Resolution(int pending, Consumer<Optional<String>> done) {
+            this.pending = pending;
+            this.done = done;
+        }
+
+        void resolved(Optional<String> failed) {
+            failure = failed.isPresent() ? failed : failure;
+            pending--;
+            if (pending == 0) {
+                done.accept(failure);
+            }
         }
     }
 
-    private void resolve(String id, Consumer<String> done) {
-        List<Consumer<String>> waiting = resolving.get(id);
+    private void resolve(String id, Consumer<Optional<String>> done) {
+        List<Consumer<Optional<String>>> waiting = resolving.get(id);
         if (waiting != null) {
             waiting.add(done);
             return;
         }
         resolving.put(id, new ArrayList<>(List.of(done)));
-        find(id, new Finding() {
+        find(id, new Callback() {
             @Override
-            public void live(Job job) {
-                resolved(id, null);
+            public void active(Job job) {
+                resolved(id, Optional.empty());
             }
 
             @Override
-            public void over(TerminatedJob ended) {
-                table.resolved(id, ended.how(), watchCache.revision());
-                resolved(id, null);
+            public void terminated(TerminatedJob end) {
+                table.resolved(id, end.how(), watchCache.revision());
+                resolved(id, Optional.empty());
             }
 
             @Override
             public void absent() {
-                // No job is accepted before all that it awaits are: whoever removed that one has to say how it ended.
-                LOG.error("{} is awaited and stands nowhere: what awaits it goes on waiting", id);
-                resolved(id, null);
+                // No job is accepted before all that it awaits are: an operator has removed this one's key.
+                LOG.error("awaited job not found, its dependants go on waiting: job={}", id);
+                resolved(id, Optional.empty());
             }
 
             @Override
             public void unavailable(String why) {
-                resolved(id, why);
+                resolved(id, Optional.of(why));
             }
         });
     }
 
-    private void resolved(String id, String failure) {
+    private void resolved(String id, Optional<String> failure) {
         resolving.remove(id).forEach(done -> done.accept(failure));
     }
 }
--- /dev/null
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
@@ -0,0 +1,97 @@
+package org.landingridge.controller.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.observability.Metrics;
+import org.landingridge.net.Http.Exchange;
+import org.landingridge.wire.InvalidMessageException;
+import org.landingridge.wire.JobSpec;
+import org.landingridge.wire.Json;
+
+/** Checks submissions. A job that is known already gets 200 with its state, whatever is wrong with a repeated submission. */
+final class SubmitHandler {
+    private final JobTable table;
+    private final JobLookup lookup;
+    private final Metrics metrics;
+    private final JobResponses responses;
+    private final SubmissionValidator validator;
+    private final JobAcceptance acceptance;
+    private final BooleanSupplier pipelines;
+
+    /** @param pipelines whether every controller runs a version that heeds what a job awaits */
+    SubmitHandler(
+            JobService.Dependencies dependencies,
+            JobResponses responses,
+            SubmissionValidator validator,
+            JobAcceptance acceptance,
+            BooleanSupplier pipelines) {
+        this.table = dependencies.table();
+        this.lookup = dependencies.lookup();
+        this.metrics = dependencies.metrics();
+        this.responses = responses;
+        this.validator = validator;
+        this.acceptance = acceptance;
+        this.pipelines = pipelines;
+    }
+
+    void submit(Exchange exchange) {
+        metrics.submissions.increment();
+        JsonNode body = Json.parse(exchange.body());
+        try {
+            JobSpec spec = JobSpec.parse(body);
+            ifNotInTable(exchange, spec.id(), () -> check(exchange, spec));
+        } catch (InvalidMessageException e) {
+            malformed(exchange, body, e.getMessage());
+        }
+    }
+
+    private void malformed(Exchange exchange, JsonNode body, String error) {
+        String id = body == null || !body.isObject() ? null : Json.text(body, "id");
+        if (JobSpec.validId(id)) {
+            ifNotInTable(exchange, id, () -> ifAbsent(exchange, id, () -> responses.error(exchange, 400, error)));
+        } else {
+            responses.error(exchange, 400, error);
+        }
+    }
+
+    /** Responds with the job's state where the table has it, and saves the checks. */
+    private void ifNotInTable(Exchange exchange, String id, Runnable otherwise) {
+        if (table.get(id) != null) {
+            ifAbsent(exchange, id, otherwise);
+        } else {
+            otherwise.run();
+        }
+    }
+
+    /** Responds with the job's state where there is such a job anywhere. */
+    private void ifAbsent(Exchange exchange, String id, Runnable otherwise) {
+        lookup.find(id, new JobStateResponder(responses, exchange, id, otherwise));
+    }
+
+    private void check(Exchange exchange, JobSpec spec) {
+        if (!validator.ready()) {
+            responses.unavailable(exchange, "the machine types are not known yet");
+        } else if (validator.impossible(spec).isPresent()) {
+            ifAbsent(exchange, spec.id(), () -> refuse(exchange, spec));
+        } else if (spec.awaits().isEmpty()) {
+            acceptance.accept(exchange, spec);
+        } else if (!pipelines.getAsBoolean()) {
+            // A leader of an earlier version would start its tasks at once.
+            responses.unavailable(exchange, "not every controller knows yet that jobs can await others");
+        } else {
+            new DependencyCheck(exchange, spec, lookup, responses, acceptance).start();
+        }
+    }
+
+    /** The job is unknown as of the call. What made it impossible may have been changed by an operator a moment ago. */
+    private void refuse(Exchange exchange, JobSpec spec) {
+        Optional<String> impossible = validator.impossible(spec);
+        if (impossible.isPresent()) {
+            responses.error(exchange, 422, impossible.get());
+        } else {
+            responses.unavailable(exchange, "the configuration has just changed");
+        }
+    }
+}
--- a/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -16,7 +16,7 @@
         int in = 0;
         for (int ms = 0; ms < seconds * 1_000; ms += 10) {
             if (ms % 1_000 == 0 && leaderShort != null) {
-                admission.heard(leaderShort);
+                admission.leaderHeard(leaderShort);
             }
             in += admission.admit() ? 1 : 0;
             now += 10;
@@ -47,8 +47,8 @@
     @Test
     @DisplayName("the more are turned away, the later they may come back, and never later than 4 s")
     void comeBack() {
-        assertEquals(1, admission.comeBackS());
+        assertEquals(1, admission.retryAfterS());
         flood(1, true);
-        assertEquals(4, admission.comeBackS());
+        assertEquals(4, admission.retryAfterS());
     }
 }
