--- a/controller/src/main/java/org/landingridge/controller/cli/ClassDataTrainingCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/ClassDataTrainingCommand.java
@@ -42,6 +42,37 @@
              "savepointS":0.0,"flushS":0.0,"airtimeS":60.0}
             """;
 
+    private static final String CLUSTER = """
+            [cluster]
+            zones = ["z"]
+            skew_ms = 25.0
+            [[cluster.teams]]
+            name = "t"
+            cpus = 4.0
+            cpus_max = 8.0
+            [[cluster.objectives]]
+            kind = "wait"
+            class = "l"
+            within_s = 2.0
+            share = 0.9
+            [cluster.workers]
+            report_s = 1.0
+            lease_s = 10.0
+            cancel_s = 30.0
+            [cluster.state]
+            rps = 200.0
+            write_rps = 40.0
+            value_kb = 4.0
+            txn_ops = 8
+            [cluster.cloud]
+            rps = 5.0
+            list_lag_s = 1.0
+            [cluster.machine_limits]
+            cpu = 1.0
+            mem_mb = 200.0
+            max_connections = 100
+            """;
+
     /** Runs the controller for some seconds; the process ends after it, and with it the controller. */
     @Override
     public Integer call() throws Exception {
@@ -104,34 +135,6 @@
                 [external]
                 cloud = "127.0.0.1:%d"
                 state = "127.0.0.1:%d"
-                [cluster]
-                zones = ["z"]
-                skew_ms = 25.0
-                [[cluster.teams]]
-                name = "t"
-                cpus = 4.0
-                cpus_max = 8.0
-                [[cluster.objectives]]
-                kind = "wait"
-                class = "l"
-                within_s = 2.0
-                share = 0.9
-                [cluster.workers]
-                report_s = 1.0
-                lease_s = 10.0
-                cancel_s = 30.0
-                [cluster.state]
-                rps = 200.0
-                write_rps = 40.0
-                value_kb = 4.0
-                txn_ops = 8
-                [cluster.cloud]
-                rps = 5.0
-                list_lag_s = 1.0
-                [cluster.machine_limits]
-                cpu = 1.0
-                mem_mb = 200.0
-                max_connections = 100
-                """, serve, peer, peer, standIn, standIn);
+                """, serve, peer, peer, standIn, standIn) + CLUSTER;
     }
 }
--- a/net/src/main/java/org/landingridge/net/HttpClient.java
+++ b/net/src/main/java/org/landingridge/net/HttpClient.java
@@ -4,80 +4,39 @@
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
 import io.undertow.client.ClientRequest;
-import io.undertow.client.UndertowClient;
-import io.undertow.connector.ByteBufferPool;
-import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.net.URI;
 import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
 import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
 import org.xnio.XnioIoThread;
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Undertow's client on the loop's I/O thread: kept connections, deadlines, a cap on sockets a destination. */
+/** Undertow's client on the event loop's I/O thread: kept connections, deadlines, a cap on sockets a destination. */
 public final class HttpClient implements Http {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
-    private static final int MAX_SOCKETS = 12;
-    private static final int MAX_IDLE = 4;
-    /** An idle connection is closed after so long; a machine is called seldom, and there are hundreds of them. */
-    private static final long IDLE_MS = 20_000;
+    private static final int MAX_ANSWER_BYTES = 16 << 20;
+    private static final int BUFFER_BYTES = 4096;
+    private static final byte[] NO_BODY = new byte[0];
 
-    private static final int MAX_ANSWER = 16 << 20;
-    private final XnioIoThread thread;
     private final EventLoop loop;
-    private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 4096, 64, 0);
-    private final Map<String, Peer> peers = new HashMap<>();
-    private final OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
-
-    /** Idle connections to all destinations, the longest idle first. */
-    private final Map<ClientConnection, Long> idleSince = new LinkedHashMap<>();
-
-    private final int maxIdleInAll;
-    private boolean swept;
-
-    private static final class Peer {
-        final Deque<ClientConnection> idle = new ArrayDeque<>();
-        int sockets;
-    }
-
-    /** @param maxIdle idle connections to all destinations together: sockets are scarce, and workers come first */
+    private final ConnectionPool connections;
+
+    /**
+     * A client without connections.
+     *
+     * @param thread  the thread of {@code loop}
+     * @param maxIdle idle connections to all destinations together
+     */
     public HttpClient(XnioIoThread thread, EventLoop loop, int maxIdle) {
-        this.thread = thread;
         this.loop = loop;
-        this.maxIdleInAll = maxIdle;
-        sweep();
-    }
-
-    private void sweep() {
-        while (!idleSince.isEmpty()
-                && (idleSince.size() > maxIdleInAll
-                        || loop.now() - idleSince.values().iterator().next() > IDLE_MS)) {
-            ClientConnection longest = idleSince.keySet().iterator().next();
-            idleSince.remove(longest);
-            IoUtils.safeClose(longest);
-        }
-        if (!swept) {
-            swept = true;
-            loop.after(IDLE_MS / 4, () -> {
-                swept = false;
-                sweep();
-            });
-        }
+        this.connections = new ConnectionPool(thread, loop, maxIdle);
     }
 
     @Override
@@ -85,13 +44,16 @@
         new Call(addr, method, path, body, done).begin(timeoutMs);
     }
 
+    /** One call: it has a connection from {@link #send} on, until its answer is read or it ends without one. */
     private final class Call implements ClientCallback<ClientConnection> {
         private final String addr;
         private final String method;
         private final String path;
         private final byte[] body;
-        private final Peer peer;
+        private final ConnectionPool.Destination destination;
+        /** Null once the call has ended. */
         private Consumer<Reply> done;
+
         private ClientConnection connection;
         private boolean sent;
         private EventLoop.Timer deadline;
@@ -102,51 +64,50 @@
             this.path = path;
             this.body = body;
             this.done = done;
-            this.peer = peers.computeIfAbsent(addr, a -> new Peer());
+            this.destination = connections.destination(addr);
         }
 
         void begin(long timeoutMs) {
-            deadline = loop.after(timeoutMs, () -> finish(null));
-            ClientConnection kept;
-            while ((kept = peer.idle.pollLast()) != null) {
-                idleSince.remove(kept);
-                if (kept.isOpen()) {
-                    send(kept);
-                    return;
-                }
-            }
-            if (peer.sockets >= MAX_SOCKETS) {
-                // Connections to a host behind a cut hang for minutes: they may not eat every socket.
-                loop.after(0, () -> finish(null));
-                return;
+            deadline = loop.after(timeoutMs, this::finishUnanswered);
+            ClientConnection kept = destination.takeIdle();
+            if (kept != null) {
+                send(kept);
+            } else if (!destination.open(this)) {
+                loop.after(0, this::finishUnanswered);
             }
-            peer.sockets++;
-            UndertowClient.getInstance().connect(this, URI.create("http://" + addr), thread, buffers, options);
         }
 
         @Override
-        public void completed(ClientConnection made) {
-            made.addCloseListener(c -> {
-                peer.sockets--;
-                peer.idle.remove(c);
-                idleSince.remove(c);
-            });
+        public void completed(ClientConnection opened) {
+            destination.opened(opened);
             if (done == null) {
-                keep(made);
+                destination.keep(opened);
             } else {
-                send(made);
+                send(opened);
             }
         }
 
         @Override
         public void failed(IOException e) {
-            peer.sockets--;
+            destination.notOpened();
             LOG.debug("no connection to {}: {}", addr, e.toString());
-            finish(null);
+            finishUnanswered();
         }
 
-        private void send(ClientConnection c) {
-            connection = c;
+        private void send(ClientConnection on) {
+            connection = on;
+            sent = true;
+            on.sendRequest(request(), callback(exchange -> {
+                exchange.setResponseListener(callback(this::read));
+                try {
+                    write(exchange.getRequestChannel());
+                } catch (IOException e) {
+                    lost(e);
+                }
+            }));
+        }
+
+        private ClientRequest request() {
             ClientRequest request =
                     new ClientRequest().setMethod(new HttpString(method)).setPath(path);
             request.getRequestHeaders().put(Headers.HOST, addr);
@@ -154,51 +115,29 @@
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
             }
-            sent = true;
-            c.sendRequest(request, new ClientCallback<>() {
+            return request;
+        }
+
+        /** A callback after which the call goes on with a step, or ends where that failed. */
+        private ClientCallback<ClientExchange> callback(Consumer<ClientExchange> next) {
+            return new ClientCallback<>() {
                 @Override
                 public void completed(ClientExchange exchange) {
-                    exchange.setResponseListener(new ClientCallback<>() {
-                        @Override
-                        public void completed(ClientExchange answered) {
-                            read(answered);
-                        }
-
-                        @Override
-                        public void failed(IOException e) {
-                            lost(e);
-                        }
-                    });
-                    try {
-                        write(exchange.getRequestChannel());
-                    } catch (IOException e) {
-                        lost(e);
-                    }
+                    next.accept(exchange);
                 }
 
                 @Override
                 public void failed(IOException e) {
                     lost(e);
                 }
-            });
+            };
         }
 
         private void write(StreamSinkChannel channel) throws IOException {
-            ByteBuffer out = ByteBuffer.wrap(body == null ? new byte[0] : body);
-            ChannelListener<StreamSinkChannel> writer = ch -> {
+            ByteBuffer out = ByteBuffer.wrap(body == null ? NO_BODY : body);
+            ChannelListener<StreamSinkChannel> writer = writable -> {
                 try {
-                    while (out.hasRemaining()) {
-                        if (ch.write(out) == 0) {
-                            ch.resumeWrites();
-                            return;
-                        }
-                    }
-                    ch.shutdownWrites();
-                    if (ch.flush()) {
-                        ch.suspendWrites();
-                    } else {
-                        ch.resumeWrites();
-                    }
+                    write(out, writable);
                 } catch (IOException e) {
                     lost(e);
                 }
@@ -207,32 +146,31 @@
             writer.handleEvent(channel);
         }
 
+        private static void write(ByteBuffer out, StreamSinkChannel channel) throws IOException {
+            while (out.hasRemaining()) {
+                if (channel.write(out) == 0) {
+                    channel.resumeWrites();
+                    return;
+                }
+            }
+            channel.shutdownWrites();
+            if (channel.flush()) {
+                channel.suspendWrites();
+            } else {
+                channel.resumeWrites();
+            }
+        }
+
         private void read(ClientExchange exchange) {
             StreamSourceChannel channel = exchange.getResponseChannel();
             int status = exchange.getResponse().getResponseCode();
-            boolean close = "close"
-                    .equalsIgnoreCase(
-                            exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            ByteBuffer in = ByteBuffer.allocate(4096);
-            ChannelListener<StreamSourceChannel> reader = ch -> {
+            boolean close = closes(exchange);
+            ByteArrayOutputStream answer = new ByteArrayOutputStream();
+            ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+            ChannelListener<StreamSourceChannel> reader = readable -> {
                 try {
-                    while (true) {
-                        in.clear();
-                        int n = ch.read(in);
-                        if (n == 0) {
-                            ch.resumeReads();
-                            return;
-                        }
-                        if (n < 0) {
-                            ch.suspendReads();
-                            answered(new Reply(Outcome.ANSWERED, status, all.toByteArray()), close);
-                            return;
-                        }
-                        all.write(in.array(), 0, n);
-                        if (all.size() > MAX_ANSWER) {
-                            throw new IOException("answer too large");
-                        }
+                    if (readAll(readable, buffer, answer)) {
+                        answered(new Reply(Outcome.ANSWERED, status, answer.toByteArray()), close);
                     }
                 } catch (IOException e) {
                     lost(e);
@@ -242,36 +180,55 @@
             reader.handleEvent(channel);
         }
 
+        /** Reads what has come; true at the answer's end. */
+        private static boolean readAll(StreamSourceChannel channel, ByteBuffer buffer, ByteArrayOutputStream answer)
+                throws IOException {
+            while (true) {
+                buffer.clear();
+                int bytes = channel.read(buffer);
+                if (bytes == 0) {
+                    channel.resumeReads();
+                    return false;
+                }
+                if (bytes < 0) {
+                    channel.suspendReads();
+                    return true;
+                }
+                answer.write(buffer.array(), buffer.arrayOffset(), bytes);
+                if (answer.size() > MAX_ANSWER_BYTES) {
+                    throw new IOException("answer too large");
+                }
+            }
+        }
+
+        private static boolean closes(ClientExchange exchange) {
+            return "close"
+                    .equalsIgnoreCase(
+                            exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+        }
+
         private void answered(Reply reply, boolean close) {
-            ClientConnection c = connection;
+            ClientConnection used = connection;
             connection = null;
             if (close || done == null) {
-                IoUtils.safeClose(c);
+                IoUtils.safeClose(used);
             } else {
                 // The connection is free only once Undertow has seen the exchange end.
-                loop.after(0, () -> keep(c));
+                loop.after(0, () -> destination.keep(used));
             }
             finish(reply);
         }
 
-        private void keep(ClientConnection c) {
-            if (peer.idle.size() >= MAX_IDLE || !c.isOpen()) {
-                IoUtils.safeClose(c);
-            } else {
-                peer.idle.addLast(c);
-                idleSince.put(c, loop.now());
-                if (idleSince.size() > maxIdleInAll) {
-                    sweep();
-                }
-            }
-        }
-
         private void lost(IOException e) {
             LOG.debug("{} {}{}: {}", method, addr, path, e.toString());
-            finish(null);
+            finishUnanswered();
+        }
+
+        private void finishUnanswered() {
+            finish(sent ? Reply.UNKNOWN : Reply.NOT_SENT);
         }
 
-        /** Ends the call once; null stands for no answer. */
+        /** Ends the call once; whatever comes later is ignored. */
         private void finish(Reply reply) {
             Consumer<Reply> callback = done;
             if (callback == null) {
@@ -284,7 +241,7 @@
                 connection = null;
             }
             try {
-                callback.accept(reply != null ? reply : sent ? Reply.UNKNOWN : Reply.NOT_SENT);
+                callback.accept(reply);
             } catch (RuntimeException e) {
                 LOG.error("the handler of {} {}{} failed", method, addr, path, e);
             }
--- a/net/src/main/java/org/landingridge/net/HttpServer.java
+++ b/net/src/main/java/org/landingridge/net/HttpServer.java
@@ -6,6 +6,7 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -15,38 +16,53 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Undertow's server on the loop's I/O thread. Bodies are read whole, up to a limit. */
+/** Undertow's server on the event loop's I/O thread. Bodies are read whole, up to a limit. */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
     private static final byte[] TOO_LARGE =
             "{\"error\":\"the body is larger than 64 KiB\"}".getBytes(StandardCharsets.UTF_8);
     private static final byte[] FAILED = "{\"error\":\"internal error\"}".getBytes(StandardCharsets.UTF_8);
+    private static final int BUFFER_BYTES = 4096;
+    private static final int BACKLOG = 512;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    /** A client that sends half a request may not occupy its socket for ever. */
+    private static final int PARSE_TIMEOUT_MS = 20_000;
+    /** An idle connection of a client is closed after so long. */
+    private static final int IDLE_TIMEOUT_MS = 120_000;
+
     private final Consumer<Http.Exchange> handler;
     private final int maxBody;
     private final Undertow undertow;
 
+    /**
+     * A server that does not listen yet.
+     *
+     * @param maxBody bytes of a body; a request with more is answered with 400
+     * @param handler is given every request, on the event loop
+     */
     public HttpServer(XnioWorker worker, InetSocketAddress listen, int maxBody, Consumer<Http.Exchange> handler) {
         this.handler = handler;
         this.maxBody = maxBody;
         this.undertow = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(listen.getPort(), listen.getHostString(), this::handle)
-                .setBufferSize(4096)
+                .setBufferSize(BUFFER_BYTES)
                 .setDirectBuffers(false)
-                .setSocketOption(Options.BACKLOG, 512)
+                .setSocketOption(Options.BACKLOG, BACKLOG)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
-                // A client that sends half a request may not hold its socket for ever.
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 20_000)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
+                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
                 .build();
     }
 
+    /** Listens. */
     public void start() {
         undertow.start();
     }
 
+    /** Closes the listener and all connections. */
     public void stop() {
         undertow.stop();
     }
@@ -59,13 +75,16 @@
         Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(maxBody);
         receiver.receiveFullBytes(
-                (ex, body) -> ex.dispatch(SameThreadExecutor.INSTANCE, () -> serve(ex, body)), (ex, error) -> {
-                    if (error instanceof Receiver.RequestToLargeException) {
-                        refuse(ex);
-                    } else {
-                        ex.endExchange();
-                    }
-                });
+                (received, body) -> received.dispatch(SameThreadExecutor.INSTANCE, () -> serve(received, body)),
+                HttpServer::receiveFailed);
+    }
+
+    private static void receiveFailed(HttpServerExchange exchange, IOException error) {
+        if (error instanceof Receiver.RequestToLargeException) {
+            refuse(exchange);
+        } else {
+            exchange.endExchange();
+        }
     }
 
     private static void refuse(HttpServerExchange exchange) {
@@ -75,7 +94,7 @@
 
     private void serve(HttpServerExchange exchange, byte[] body) {
         try {
-            handler.accept(new Served(exchange, body));
+            handler.accept(new ServerExchange(exchange, body));
         } catch (RuntimeException e) {
             // Nothing that a client sends may end the loop.
             LOG.error("{} {} failed", exchange.getRequestMethod(), exchange.getRequestPath(), e);
@@ -95,11 +114,11 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(json));
     }
 
-    private static final class Served implements Http.Exchange {
+    private static final class ServerExchange implements Http.Exchange {
         private final HttpServerExchange exchange;
         private final byte[] body;
 
-        Served(HttpServerExchange exchange, byte[] body) {
+        ServerExchange(HttpServerExchange exchange, byte[] body) {
             this.exchange = exchange;
             this.body = body;
         }
