--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -140,25 +140,15 @@
                 () -> capabilities.all(Capabilities.Feature.PIPELINES),
                 metrics);
         parts = new LeaderContext(
-                loop,
-                http,
-                random,
-                settings,
-                policy,
-                client,
-                watchCache,
+                new LeaderContext.Environment(loop, http, random),
+                new LeaderContext.Configured(settings, policy),
+                new LeaderContext.Store(client, watchCache, writer),
                 lead,
-                writer,
-                cloud,
-                table,
-                history,
-                lookup,
+                new LeaderContext.Cloud(cloud, types),
+                new LeaderContext.Jobs(table, history, lookup),
                 capabilities,
                 configuration,
-                types,
-                metrics,
-                incidents,
-                eventLog);
+                new LeaderContext.Observability(metrics, incidents, eventLog));
         leaderView = new LeaderView(loop, lead, watchCache, forwarder, settings.host());
         heartbeats = new HeartbeatReceiver(
                 loop, lead, leaderView, forwarder, () -> leaderTerm, metrics, maxWaitingHeartbeats());
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -12,28 +12,37 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * What is expected of jobs, from the platform's objectives, the jobs' own deadlines and what completed tasks showed.
+ * Forecasts of the run and start times of jobs, from the platform's objectives, the jobs' own deadlines and what completed
+ * tasks showed.
  */
 final class RuntimeForecast {
-    /** Weight of the newest job in the running share of hurried ones. */
+    /** Weight of the newest job in a running share. */
     private static final double NEWEST = 0.1;
-    /** A job that has fewer boot times than that to spare is taken to be hurried: boots vary, and images are fetched. */
+    /** Weight of the newest task in the running ratio of a class. */
+    private static final double NEWEST_RATIO = 0.05;
+    /** A job with fewer boot times than that to spare is taken to be hurried: boots vary, and images are fetched. */
     private static final double PATIENCE = 2.5;
     /** A job that has waited for so many times its allowance is first come again, whatever it has missed. */
     private static final double STARVED = 6;
     /** Of what a task has run beyond expectation it is taken to run so much again. */
     private static final double OVERRUN = 0.25;
     /** The estimate counts as much as so many tasks that completed; the first to complete are the shorter ones. */
-    private static final double GUESS_WEIGHT = 4;
+    private static final double ESTIMATE_WEIGHT = 4;
+    /** Estimates err: served in the order of their latest start, jobs without a margin are all late by a little. */
+    private static final double RUN_MARGIN = 1.25;
+    /** From a task's placing to its run, image and command included, in seconds. */
+    private static final double START_S = 4;
+    /** Boot time, in seconds, until the machine types are known. */
+    private static final double DEFAULT_BOOT_S = 60;
 
     /** Completed tasks of one job. */
-    private static final class Seen {
+    private static final class CompletedTasks {
         private final String jobClass;
         private int tasks;
         private double sumS;
         private double longestS;
 
-        Seen(String jobClass) {
+        CompletedTasks(String jobClass) {
             this.jobClass = jobClass;
         }
 
@@ -44,39 +53,39 @@
         }
     }
 
-    private final Map<String, Seen> seen = new HashMap<>();
-    /** Estimates err: served in the order of their latest start, jobs without a margin are all late by a little. */
-    private static final double RUN_MARGIN = 1.25;
-    /** From a task's placing to its run, image and telling included, in seconds. */
-    private static final double START_S = 4;
-
     private final Policy policy;
-    /** Times the deadline that the platform still asks about. */
-    private double second = 1;
-
+    /** By job. */
+    private final Map<String, CompletedTasks> completed = new HashMap<>();
+    /** The platform's objectives by class, in seconds. */
     private final Map<String, Double> startWithin = new HashMap<>();
+
     private final Map<String, Double> finishWithin = new HashMap<>();
     private final Map<String, Double> finishAtLast = new HashMap<>();
+    /** Times the deadline that the platform still asks about. */
+    private double lastDeadlineTimes = 1;
+    /** How many times its estimate a task runs, by class. */
     private final Map<String, Double> ratio = new HashMap<>();
     /** How many times the mean the longest task of a job runs, by class. */
     private final Map<String, Double> longest = new HashMap<>();
     /** Running share of the jobs that cannot wait for a boot and still be in time; negative while nothing is known. */
     private double hurried = -1;
-
+    /** The same by class. */
     private final Map<String, Double> hurriedClass = new HashMap<>();
-    private double bootS = 60;
-    private int lastSeen = -1;
+
+    private double bootS = DEFAULT_BOOT_S;
+    /** Index of the newest job from which hurry was learned. */
+    private int newestIndex = -1;
 
     RuntimeForecast(List<Settings.Objective> objectives, Policy policy) {
         this.policy = policy;
-        for (Settings.Objective o : objectives) {
-            if (o.jobClass() != null && o.kind().equals("wait")) {
-                startWithin.merge(o.jobClass(), o.withinS(), Math::min);
-            } else if (o.jobClass() != null && o.kind().equals("finished")) {
-                finishWithin.merge(o.jobClass(), o.withinS(), Math::min);
-                finishAtLast.merge(o.jobClass(), o.withinS(), Math::max);
-            } else if (o.kind().equals("deadline")) {
-                second = Math.max(second, o.times());
+        for (Settings.Objective objective : objectives) {
+            if (objective.jobClass() != null && objective.kind().equals("wait")) {
+                startWithin.merge(objective.jobClass(), objective.withinS(), Math::min);
+            } else if (objective.jobClass() != null && objective.kind().equals("finished")) {
+                finishWithin.merge(objective.jobClass(), objective.withinS(), Math::min);
+                finishAtLast.merge(objective.jobClass(), objective.withinS(), Math::max);
+            } else if (objective.kind().equals("deadline")) {
+                lastDeadlineTimes = Math.max(lastDeadlineTimes, objective.times());
             }
         }
     }
@@ -87,32 +96,37 @@
      */
     void completed(JobSpec spec, double tookS) {
         if (tookS > 0) {
-            seen.computeIfAbsent(spec.id(), id -> new Seen(spec.jobClass())).add(tookS);
+            completed
+                    .computeIfAbsent(spec.id(), id -> new CompletedTasks(spec.jobClass()))
+                    .add(tookS);
         }
         if (spec.estimateS() > 0 && tookS > 0) {
             double times = Math.max(0.1, Math.min(10, tookS / spec.estimateS()));
-            ratio.merge(spec.jobClass(), times, (old, now) -> old * 0.95 + now * 0.05);
+            ratio.merge(spec.jobClass(), times, (old, newest) -> old * (1 - NEWEST_RATIO) + newest * NEWEST_RATIO);
         }
     }
 
     /** Learns from a job that is over how much longer the longest of its tasks ran. */
     void ended(String job) {
-        Seen of = seen.remove(job);
-        if (of != null && of.tasks > 1) {
+        CompletedTasks tasks = completed.remove(job);
+        if (tasks != null && tasks.tasks > 1) {
             longest.merge(
-                    of.jobClass,
-                    of.longestS * of.tasks / of.sumS,
+                    tasks.jobClass,
+                    tasks.longestS * tasks.tasks / tasks.sumS,
                     (old, newest) -> old * (1 - NEWEST) + newest * NEWEST);
         }
     }
 
+    /** How long a task of the job is expected to run, in seconds; 0 for a service, and where nothing is known. */
     double runS(JobSpec spec) {
         if (spec.service()) {
             return 0;
         }
-        double guess = spec.estimateS() * ratio.getOrDefault(spec.jobClass(), 1.0);
-        Seen of = seen.get(spec.id());
-        return of == null || guess <= 0 ? guess : (guess * GUESS_WEIGHT + of.sumS) / (GUESS_WEIGHT + of.tasks);
+        double estimateS = spec.estimateS() * ratio.getOrDefault(spec.jobClass(), 1.0);
+        CompletedTasks tasks = completed.get(spec.id());
+        return tasks == null || estimateS <= 0
+                ? estimateS
+                : (estimateS * ESTIMATE_WEIGHT + tasks.sumS) / (ESTIMATE_WEIGHT + tasks.tasks);
     }
 
     /** How much longer a task is expected to run: one that has outrun its estimate, a part of what it ran already. */
@@ -128,8 +142,8 @@
             return;
         }
         double hurry = within - group.runS < PATIENCE * bootS ? 1 : 0;
-        if (job.index() > lastSeen) {
-            lastSeen = job.index();
+        if (job.index() > newestIndex) {
+            newestIndex = job.index();
             hurried = hurried < 0 ? hurry : hurried * (1 - NEWEST) + hurry * NEWEST;
             hurriedClass.merge(job.spec().jobClass(), hurry, (old, newest) -> old * (1 - NEWEST) + newest * NEWEST);
         }
@@ -171,7 +185,7 @@
         group.due = submitted + Math.round(within * 1000);
         group.startBy = group.due - Math.round(group.lastS * 1000);
         if (now - submitted < STARVED * within * 1000) {
-            double times = spec.deadlineS() != null ? second : finishAtLast.get(spec.jobClass()) / within;
+            double times = spec.deadlineS() != null ? lastDeadlineTimes : finishAtLast.get(spec.jobClass()) / within;
             group.lastDue = submitted + Math.round(within * times * 1000);
         }
     }
