--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -61,8 +61,8 @@
         return all;
     }
 
-    private static long before(long due, double lastS) {
-        return due == Long.MAX_VALUE ? due : due - Math.round(lastS * 1000);
+    private static long before(long due, double longestRunS) {
+        return due == Long.MAX_VALUE ? due : due - Math.round(longestRunS * 1000);
     }
 
     private Priority priority(JobSpec spec) {
--- a/controller/src/main/java/org/landingridge/controller/progress/Cancellations.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -5,28 +5,30 @@
 import java.util.Set;
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.controller.jobs.JobTable;
+import org.landingridge.controller.jobs.StoredJobCodec;
 import org.landingridge.controller.store.BatchWriter;
 import org.landingridge.controller.store.Document;
 import org.landingridge.controller.store.Keys;
 
 /**
- * Writes the ends of jobs that are cancelled because a job that they need is. No user's answer waits for that: every
- * controller derives such an end from the cancelled job's own key. Once it is written that key may leave for the history.
+ * Writes the ends of jobs that are cancelled because a job that they await is. No user's request waits for that: every
+ * controller derives such an end from the cancelled job's own key. Once it is written that key may move to the history.
  */
-public final class Cancellations {
+public final class CancellationWriter {
     private final BatchWriter writer;
     private final JobTable table;
     private final Set<Job> marked = new HashSet<>();
 
-    public Cancellations(BatchWriter writer, JobTable table) {
+    /** A writer of the ends that the table derives. */
+    public CancellationWriter(BatchWriter writer, JobTable table) {
         this.writer = writer;
         this.table = table;
     }
 
-    /** Has every end written that is derived and not stored yet. */
+    /** Marks every end for writing that is derived and not stored yet. */
     public void write() {
-        marked.retainAll(table.unstored());
-        for (Job job : table.unstored()) {
+        marked.retainAll(table.terminated().unpersisted());
+        for (Job job : table.terminated().unpersisted()) {
             if (marked.add(job)) {
                 writer.mark(new Cancellation(job));
             }
@@ -47,12 +49,12 @@
 
         @Override
         public JsonNode render() {
-            return JobTable.ended(job, Job.Status.CANCELLED);
+            return StoredJobCodec.terminated(job, Job.Status.CANCELLED);
         }
 
         @Override
         public void stored(long revision) {
-            table.stored(job);
+            table.terminated().persisted(job);
         }
 
         /** After everything that somebody waits for. */
@@ -63,7 +65,7 @@
 
         @Override
         public boolean wanted() {
-            return table.unstored().contains(job);
+            return table.terminated().unpersisted().contains(job);
         }
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -18,6 +18,7 @@
 import org.landingridge.controller.store.Page;
 import org.landingridge.controller.store.PageTable;
 import org.landingridge.controller.store.StateClient;
+import org.landingridge.controller.store.StoreAccess;
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.emulator.EmulatedStateService;
 import org.landingridge.emulator.Simulation;
@@ -78,9 +79,7 @@
         watchCache.start();
         sim.run(500);
         BatchWriter writer = new BatchWriter(
-                client,
-                watchCache,
-                host,
+                new StoreAccess(client, watchCache, host),
                 new Settings.State(100, 10, 1, writesToATransaction),
                 1.0,
                 LEADER,
@@ -102,21 +101,18 @@
             assertTrue(Json.bytes(state.value(key)).length <= 1_024, key);
         }
         assertEquals(3, state.keys("lr/page/").size());
-        assertEquals(0, state.tooLarge);
+        assertEquals(0, state.tooLarge());
     }
 
     /** A service that takes less than it announced: no group is sent for ever, and a document that passes alone is stored. */
     @Test
     void refusedForSizeIsNotRepeatedForEver() {
         state.seed(LEADER, Json.object());
-        state.txnOps = 2;
-        state.valueBytes = 600;
+        state.limitSizes(600, 2);
         watchCache.start();
         sim.run(500);
         BatchWriter writer = new BatchWriter(
-                client,
-                watchCache,
-                host,
+                new StoreAccess(client, watchCache, host),
                 new Settings.State(100, 10, 1, 8),
                 1.0,
                 LEADER,
@@ -133,7 +129,7 @@
         }
         sim.run(20_000);
         assertEquals(List.of("lr/page/1", "lr/page/2", "lr/page/3"), state.keys("lr/page/"));
-        assertTrue(state.tooLarge < 10, state.tooLarge + " were sent");
+        assertTrue(state.tooLarge() < 10, state.tooLarge() + " were sent");
         assertTrue(writer.idle());
     }
 }
