--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
-import org.landingridge.wire.Redirect;
+import org.landingridge.wire.LeaderRedirect;
 
 /**
  * Forwards heartbeats of workers to the leader and its answers back, so that a worker may stay with any controller: a leader
@@ -84,7 +84,7 @@
     }
 
     private static void redirect(String leader, Http.Exchange exchange) {
-        exchange.answer(421, Redirect.toBytes(leader));
+        exchange.answer(421, LeaderRedirect.bytes(leader));
     }
 
     /** The leader's answer. */
