--- a/controller/src/main/java/org/landingridge/controller/cli/ClassDataTrainingCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/ClassDataTrainingCommand.java
@@ -14,6 +14,8 @@
 import org.landingridge.net.HttpServer;
 import org.landingridge.net.XnioEventLoop;
 import org.landingridge.wire.JobSpec;
+import org.landingridge.wire.Json;
+import org.landingridge.wire.Priority;
 import org.xnio.XnioWorker;
 import picocli.CommandLine.Command;
 
@@ -36,11 +38,27 @@
     private static final int ROUNDS = 25;
     private static final long CANCEL_MS = 3_200;
     private static final long END_MS = 3_600;
-    private static final String JOB = """
-            {"id":"job-000001","lane":"l","crew":"t","shape":"sweep","urgency":"normal","takes":2,"cpus":1.0,"cards":0.0,
-             "memoryGb":1.0,"reel":"i","sizeGb":0.1,"oneZone":false,"scatter":false,"standby":true,"runtimeS":5.0,
-             "savepointS":0.0,"flushS":0.0,"airtimeS":60.0}
-            """;
+    private static final JobSpec JOB = new JobSpec(
+            "job-000001",
+            "l",
+            "t",
+            false,
+            Priority.NORMAL,
+            2,
+            1,
+            0,
+            1,
+            "i",
+            0.1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            5,
+            0,
+            0,
+            60.0);
 
     private static final String CLUSTER = """
             [cluster]
@@ -106,7 +124,7 @@
         for (int i = 0; i < ROUNDS; i++) {
             loop.after(FIRST_REQUESTS_MS + i * BETWEEN_REQUESTS_MS, () -> {
                 client.call(controller, "GET", "/ready", null, TIMEOUT_MS, reply -> {});
-                client.call(controller, "POST", "/api/jobs", TrainingCluster.bytes(JOB), TIMEOUT_MS, reply -> {});
+                client.call(controller, "POST", "/api/jobs", Json.bytes(JOB.json()), TIMEOUT_MS, reply -> {});
                 client.call(controller, "GET", "/api/jobs/job-000001", null, TIMEOUT_MS, reply -> {});
                 client.call(controller, "POST", "/hello", cluster.heartbeat(), TIMEOUT_MS, cluster::heartbeatAnswered);
             });
--- a/controller/src/main/java/org/landingridge/controller/cli/TrainingCluster.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/TrainingCluster.java
@@ -5,27 +5,34 @@
 import java.util.List;
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
+import org.landingridge.wire.CloudMachine;
+import org.landingridge.wire.CloudMachinePage;
 import org.landingridge.wire.CommandBatch;
 import org.landingridge.wire.ExitCause;
 import org.landingridge.wire.Heartbeat;
 import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
+import org.landingridge.wire.MachineType;
+import org.landingridge.wire.RentResponse;
 import org.landingridge.wire.WorkerCommand;
+import org.landingridge.wire.state.StateAnswer;
+import org.landingridge.wire.state.StateChanges;
+import org.landingridge.wire.state.StateListing;
 
 /**
  * Stands in for state service, cloud and one worker in the training run, with the least that makes a controller go on.
  * Owned by the event loop.
  */
 final class TrainingCluster {
-    private static final String TYPES = """
-            {"rigs":[{"name":"k","cpus":4,"cards":0,"memoryGb":8,"localGb":9,"fetchGbPerS":1.0,"hourly":1.0,
-              "spotPrice":0.5,"startupS":5,"yards":["z"]}]}
-            """;
-
-    private static final String RENTED = "{\"boxes\":[\"m-000001\"]}";
-    private static final String MACHINES =
-            "{\"boxes\":[{\"id\":\"m-000001\",\"rig\":\"k\",\"yard\":\"z\",\"standby\":true,"
-                    + "\"status\":\"running\",\"heldS\":1.5}],\"more\":false}";
+    private static final String MACHINE = "m-000001";
+    private static final String TYPE = "k";
+    private static final String ZONE = "z";
+    private static final byte[] TYPES =
+            Json.bytes(MachineType.toJson(List.of(new MachineType(TYPE, 4, 0, 8, 9, 1, 1, 0.5, 5, List.of(ZONE)))));
+    private static final byte[] RENTED = Json.bytes(new RentResponse(List.of(MACHINE)).toJson());
+    private static final byte[] MACHINES = Json.bytes(
+            new CloudMachinePage(List.of(new CloudMachine(MACHINE, null, TYPE, ZONE, true, "running", 1.5)), false)
+                    .toJson());
     private static final long WATCH_MS = 30;
     /** Heartbeats after which the worker says that its task has ended. */
     private static final int ENDED_EVERY = 3;
@@ -50,15 +57,15 @@
     /** Answers a request of the controller. */
     void answer(Http.Exchange exchange) {
         switch (exchange.path()) {
-            case "/machine_types" -> exchange.answer(200, bytes(TYPES));
+            case "/machine_types" -> exchange.answer(200, TYPES);
             case "/watch" -> {
-                byte[] noEvents = bytes("{\"edition\":" + version + ",\"events\":[]}");
+                byte[] noEvents = Json.bytes(new StateChanges(version, List.of()).toJson());
                 loop.after(WATCH_MS, () -> exchange.answer(200, noEvents));
             }
-            case "/commit" -> exchange.answer(200, bytes("{\"edition\":" + ++version + "}"));
-            case "/holds" -> exchange.answer(200, bytes("{\"permit\":1}"));
-            case "/store" -> exchange.answer(200, bytes("{\"entries\":[],\"more\":false,\"edition\":0}"));
-            case "/hosts" -> exchange.answer(200, bytes(exchange.method().equals("POST") ? RENTED : MACHINES));
+            case "/commit" -> exchange.answer(200, Json.bytes(StateAnswer.ofRevision(++version)));
+            case "/holds" -> exchange.answer(200, Json.bytes(StateAnswer.ofLease(1)));
+            case "/store" -> exchange.answer(200, Json.bytes(new StateListing(List.of(), false, 0).toJson()));
+            case "/hosts" -> exchange.answer(200, exchange.method().equals("POST") ? RENTED : MACHINES);
             case "/commands" -> {
                 obey(Json.parse(exchange.body()));
                 exchange.answer(200, heartbeat());
@@ -88,7 +95,7 @@
 
     /** The worker's next heartbeat. */
     byte[] heartbeat() {
-        return new Heartbeat("m-000001", addr, "k", "z", true, 1, ++seq, version + 1000, null, tasks()).bytes();
+        return new Heartbeat(MACHINE, addr, TYPE, ZONE, true, 1, ++seq, version + 1000, null, tasks()).bytes();
     }
 
     private List<Heartbeat.Entry> tasks() {
