--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -209,8 +209,7 @@
             claimFailed(claim, PAUSE_LOST_MS);
             if (answer.status() == Status.CONFLICT) {
                 // Somebody was quicker. Who that is has to be read first: claims made before are lost as well, and
-                // seven
-                // controllers that make them keep the state service from the winner.
+                // seven controllers that make them keep the state service from the winner.
                 catchUp();
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -224,8 +224,7 @@
             return;
         }
         // A start that no heartbeat shows may still be on its way. One given in an answer is over with the next
-        // heartbeat
-        // (the worker has one in flight, and drops late answers); one sent straight is over when the call is.
+        // heartbeat (the worker has one in flight, and drops late answers); one sent straight is over when the call is.
         boolean covered = hello
                 && heartbeat.seq() > attempt.sentWithReport()
                 && !attempt.startMayArrive()
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -51,8 +51,7 @@
      */
     boolean mergeAnswer(Machine machine, Heartbeat heartbeat, long session, long seq) {
         // Sequences only grow within an incarnation: whoever answers now with an older one was restarted, and what it
-        // ran
-        // is gone. Else it would be taken for alive, with its tasks, for good: all its heartbeats are outdated.
+        // ran is gone. Else it would be taken for alive, with its tasks, for good: all its heartbeats are outdated.
         if (!Incarnation.newer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
@@ -88,9 +87,8 @@
             begin(machine);
         }
         // The highest token that a worker has seen only grows within an incarnation. A heartbeat that shows less than
-        // is
-        // known was sent before, or by an earlier incarnation whose sequence had come further: held up behind a cut, it
-        // would end what runs now.
+        // is known was sent before, or by an earlier incarnation whose sequence had come further: held up behind a cut,
+        // it would end what runs now.
         if (!incarnation.precedes(heartbeat) || heartbeat.token() < incarnation.token()) {
             incarnation.noteOutdated();
             return false;
@@ -137,8 +135,7 @@
         attempts.releaseAll(machine, "its session ended");
         machine.incarnation().beginSession(heartbeat.session());
         // A session has a lease's time from its beginning, whether anybody answers it or not. Counted from an answer to
-        // the
-        // one before, what was started straight into this one would be placed again while it still runs.
+        // the one before, what was started straight into this one would be placed again while it still runs.
         machine.lease().extend(now);
         return true;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -46,8 +46,7 @@
         machine.to(Machine.State.LAPSED);
         if (!machine.contact().everHeard()) {
             // Which session ended nobody knows. What was reported in it may still arrive, after the first heartbeat of
-            // an
-            // incarnation that began since: only a higher token distinguishes them.
+            // an incarnation that began since: only a higher token distinguishes them.
             machine.incarnation().restart(context.leadership().token());
             machine.incarnation().clearOutdated();
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -113,13 +113,11 @@
     /** Processors that are kept up, whether or not they are asked for now. */
     private double standing(SchedulingSnapshot snapshot, long idleMs) {
         // What an earlier leader may have started cannot be placed while machines are unaccounted for: that it does not
-        // ask
-        // for room now says nothing, and machines returned then were rented again a minute later.
+        // ask for room now says nothing, and machines returned then were rented again a minute later.
         double most = demand.record(
                 snapshot.now(), demand(snapshot.teams(), snapshot.groups().values()), idleMs);
         // Nor does a new leader know what was asked for in the time that counts: a fleet that stood at a first start
-        // was
-        // returned within seconds, and rented again.
+        // was returned within seconds, and rented again.
         boolean fresh = snapshot.now() - beganAt < Math.round(context.policy().idleS() * 1000);
         return fresh || fleet.unaccounted() > 0 ? Double.MAX_VALUE : most;
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -58,8 +58,7 @@
             return false;
         }
         // Blocked tasks may be in any zone, on a machine that sent no heartbeat yet: without counting them, one of a
-        // job
-        // that has to be together is started apart from them, and one of a spread job beside too many.
+        // job that has to be together is started apart from them, and one of a spread job beside too many.
         if (spec.oneZone() && (perZone.isEmpty() ? blocked > 0 : !perZone.containsKey(zone))) {
             return false;
         }
