--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -10,26 +10,30 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * What each controller reports of the jobs that it knows to be cancelled, with its promises. One of them has confirmed it to the
- * user, and a leader that has lost the state service learns it in no other way.
+ * Exchanges the cancellations that each controller knows, along with its promises. Each cancellation was confirmed to a user by
+ * one of the controllers; a leader that cannot reach the state service has no other way to learn of it.
  */
 final class CancellationReports {
     private final EventLoop loop;
     private final List<String> others;
     private final CancellationLog log;
     private final BooleanSupplier stateRead;
-    /** Of this process: the positions in its own log mean nothing in the next one. */
+    /** Identifies this process: positions in its cancellation log are not valid for the next process of this host. */
     private final long incarnation;
-    /** By host. */
+
     private final Map<String, Received> received = new HashMap<>();
 
-    /** How far the log of one controller is known here, and before when everything that it confirmed to users is. */
+    /** How much of another controller's cancellation log is known here. */
     private static final class Received {
         private long incarnation;
         private long position;
+        /** Everything that the other controller confirmed to users before this time, by the loop's clock, is known here. */
         private long completeBefore = Long.MIN_VALUE / 2;
 
-        /** False where something between is missing: it is asked for again from the position that is known. */
+        /**
+         * Returns whether the report continues the known part of the log. If entries in between are missing, the next request
+         * asks for them again, from the known position.
+         */
         private boolean follows(PeerMessage.CancellationReport report) {
             return report.incarnation() == incarnation ? report.from() <= position : report.from() == 0;
         }
@@ -42,10 +46,10 @@
 
     /**
      * @param others      hosts of the other controllers
-     * @param incarnation of this process
-     * @param log         the cancellations that this process knows
-     * @param stateRead   whether it has read the state whole: before, it cannot vouch for what its former incarnation
-     *                    confirmed to users
+     * @param incarnation identifies this process
+     * @param log         cancellations known to this process
+     * @param stateRead   whether this process has read the complete state; until then it cannot report what earlier
+     *                    processes of its host confirmed to users
      */
     CancellationReports(
             EventLoop loop, List<String> others, long incarnation, CancellationLog log, BooleanSupplier stateRead) {
@@ -57,8 +61,12 @@
     }
 
     /**
-     * The request to one of the others, which names the position from which its report is to begin.
+     * Returns the request to another controller for a promise and a report, with the log position at which the report is to
+     * start.
      *
+     * @param other         host of the other controller
+     * @param host          host of this controller
+     * @param number        number of the request
      * @param knownRevision this controller knows everything that was stored up to this revision
      */
     PeerMessage.Ask request(String other, String host, long token, long number, long knownRevision) {
@@ -66,7 +74,7 @@
         return new PeerMessage.Ask(host, token, number, knownRevision, known.incarnation, known.position);
     }
 
-    /** What this controller vouches for in answer; null where it cannot. */
+    /** Returns this controller's report for a request; null if its log cannot be shown to be complete. */
     PeerMessage.CancellationReport report(PeerMessage.Ask ask) {
         if (!stateRead.getAsBoolean()) {
             return null;
@@ -79,9 +87,10 @@
     }
 
     /**
-     * What one of the others vouches for. Its cancellations are final, whichever leader they were reported to.
+     * Applies another controller's report. Cancellations are final, so they are valid whichever leader requested the report.
      *
-     * @param askedAt when the request that this answers was sent; null if that is not known any more
+     * @param askedAt   time at which the answered request was sent, by the loop's clock; null if no longer known
+     * @param cancelled receives each reported cancellation
      */
     void received(PeerMessage.Grant grant, Long askedAt, Consumer<CancellationLog.Ending> cancelled) {
         PeerMessage.CancellationReport report = grant.report();
@@ -99,7 +108,7 @@
         }
     }
 
-    /** Every cancellation that another controller confirmed to a user before this time, by the loop's clock, is known here. */
+    /** Returns the time, by the loop's clock, before which all cancellations confirmed by other controllers are known here. */
     long knownAt() {
         long before = loop.now();
         for (String other : others) {
--- a/controller/src/main/java/org/landingridge/controller/election/ClockDrift.java
+++ b/controller/src/main/java/org/landingridge/controller/election/ClockDrift.java
@@ -1,8 +1,8 @@
 package org.landingridge.controller.election;
 
-/** How far the steady clocks of two machines may differ, and what that takes off a right that is counted by both. */
+/** Allowance for the drift between the monotonic clocks of two machines that both time the same lease or promise. */
 final class ClockDrift {
-    /** Steady clocks differ by 0.05 %; a tenth of a percent and {@link #MARGIN_MS} cover both sides. */
+    /** Share of a duration. Monotonic clocks drift by up to 0.05 %; 0.1 % and {@link #MARGIN_MS} cover both sides. */
     static final double RATE = 0.001;
 
     private static final long MARGIN_MS = 60;
@@ -10,10 +10,10 @@
     private ClockDrift() {}
 
     /**
-     * Until when the holder of a lease or promise may rely on it.
+     * Returns the time until which the holder of a lease or promise may rely on it, by the holder's clock.
      *
-     * @param sentAt     when it was asked for, by the holder's clock
-     * @param durationMs how long the granting side keeps to it, by its own clock
+     * @param sentAt     time at which it was requested, by the holder's clock
+     * @param durationMs how long the granting side honours it, by its own clock, in milliseconds
      */
     static long safeEnd(long sentAt, long durationMs) {
         return sentAt + (long) (durationMs * (1 - RATE)) - MARGIN_MS;
--- a/controller/src/main/java/org/landingridge/controller/election/ElectionSettings.java
+++ b/controller/src/main/java/org/landingridge/controller/election/ElectionSettings.java
@@ -1,25 +1,26 @@
 package org.landingridge.controller.election;
 
 /**
- * What an election goes by.
+ * Settings of the leader election.
  *
- * @param key         the leader's key in the state service; the key of the last leader is this and {@code -last}
- * @param leaseMs     duration of the leader lease in milliseconds
- * @param freshnessMs for how many milliseconds after the last time up to which all cancellations are known a worker may
- *                    still be answered; see {@link #freshnessMs(double, double, long)}
+ * @param key         the leader key in the state service; the key of the last leader has {@code -last} appended
+ * @param leaseMs     duration of the leader lease, in milliseconds
+ * @param freshnessMs maximum age of the leader's view of cancellations with which it may still answer workers, in
+ *                    milliseconds; see {@link #freshnessMs(double, double, long)}
  */
 public record ElectionSettings(String key, long leaseMs, long freshnessMs) {
-    /** From the end of a worker lease until its tasks are gone, and from reading the clock until a 200 is sent. */
+    /** Allowance for stopping tasks after a worker lease expires, and for the time from reading the clock to sending a 200. */
     private static final long EXPIRY_MARGIN_MS = 1_000;
 
     /**
-     * For how long a leader that may lack a cancellation can go on answering workers: their leases, which each answer renews,
-     * have to be over before {@code cancelS} is. Where settings leave less than the leader lease for that, that much is
-     * taken: no leader could serve otherwise, and what was confirmed may then run on for the difference.
+     * Returns how long a leader that may lack a cancellation can keep answering workers, in milliseconds. Each answer renews
+     * a worker lease, and these leases must expire within {@code cancelS}. The result is at least the leader lease, because no
+     * leader could serve with less; with such settings the tasks of a cancelled job may exceed {@code cancelS} by the
+     * difference.
      *
-     * @param cancelS       seconds within which the tasks of a cancelled job must be gone
-     * @param workerLeaseS  duration of a worker's lease in seconds
-     * @param leaderLeaseMs duration of the leader lease in milliseconds
+     * @param cancelS       time limit for the tasks of a cancelled job to be gone, in seconds
+     * @param workerLeaseS  duration of a worker lease, in seconds
+     * @param leaderLeaseMs duration of the leader lease, in milliseconds
      */
     public static long freshnessMs(double cancelS, double workerLeaseS, long leaderLeaseMs) {
         long left = (long) (cancelS * 1000 * (1 - ClockDrift.RATE))
@@ -28,7 +29,7 @@
         return Math.max(leaderLeaseMs, left);
     }
 
-    /** Key that names the last leader; it stays when the leader lease ends. */
+    /** Returns the key that names the last leader; it remains when the leader lease ends. */
     String lastLeaderKey() {
         return key + "-last";
     }
--- a/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
+++ b/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The revision at which the leader's key was put last by this controller: every command carries it. */
+/** The fencing token that every command carries: the revision at which this controller last wrote the leader key. */
 final class FencingToken {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private final StoreAccess store;
@@ -26,12 +26,12 @@
         return value;
     }
 
-    /** The revision of an election that was won, or of a raise whose answer got lost. */
+    /** Sets the token after an election win, or after a raise whose answer was lost. */
     void set(long revision) {
         value = revision;
     }
 
-    /** Puts the leader's key once more, under the same lease, unless that is under way. */
+    /** Raises the token by rewriting the leader key under the same lease, unless a raise is already in progress. */
     void raise(LeaderRecord leader) {
         if (raising) {
             return;
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -14,31 +14,31 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * Who the leader is, by the leader's key, and the claims of this controller on that key: when one may be made, and how one
- * ends whose outcome is unknown.
+ * Tracks the current leader by the leader key, and makes this controller's claims on that key: decides when a claim is allowed
+ * and resolves claims whose outcome is unknown.
  */
 final class LeaderElection {
-    /** Without an answer of the state service for so long there is no point in a claim. */
+    /** No claim is made when the last answer of the state service is older than this, in milliseconds. */
     private static final long UNANSWERED_MS = 2_500;
-    /** Claims of several controllers are spread over so many milliseconds. */
+    /** Upper bound of the random delay before a claim, in milliseconds; keeps controllers from claiming at the same time. */
     private static final int SPREAD_MS = 60;
 
     private static final long PAUSE_UNKNOWN_MS = 300;
     private static final long PAUSE_LOST_MS = 200;
 
     /**
-     * One try to take the lead.
+     * One attempt to become leader.
      *
-     * @param lease          the state service's lease that the key is bound to
-     * @param sentAt         when that was asked for
-     * @param quiescentSince since when no earlier leader can have answered a worker
-     * @param previousToken  the token under which the last leader began
+     * @param lease          ID of the state service lease that the leader key is bound to
+     * @param sentAt         time at which that lease was requested, by the loop's clock
+     * @param quiescentSince time since which no earlier leader can have answered a worker, by the loop's clock
+     * @param previousToken  fencing token with which the previous leader started its term; 0 if there was none
      */
     record Claim(long lease, long sentAt, long quiescentSince, long previousToken) {}
 
-    /** Called when an election is won. */
+    /** Notified when this controller wins an election. */
     interface Winner {
-        /** @param token the revision at which the claim put the leader's key */
+        /** @param token revision at which the claim wrote the leader key */
         void won(Claim claim, long token);
     }
 
@@ -53,19 +53,19 @@
     private final Winner winner;
     private final long startedAt;
     private LeaderRecord leader = LeaderRecord.NONE;
-    /** The last leader, by a key that stays when the leader lease ends. */
+    /** The last leader, from a key that remains when the leader lease ends. */
     private LeaderRecord lastLeader = LeaderRecord.NONE;
 
     private boolean catchingUp;
     private long claimNotBefore;
-    /** The claim whose transaction is out; null while there is none. */
+    /** The claim whose transaction has not been answered yet; null if there is none. */
     private Claim pending;
-    /** The leader that has stepped down and said so, by its token: its key may be replaced. */
+    /** Token of a leader that has announced that it stepped down, so that its key may be replaced; 0 if there is none. */
     private long handedOverToken;
 
     /**
-     * @param self     this process, without a lease
-     * @param promised whether this controller has promised another one not to lead
+     * @param self     record of this process, without a lease
+     * @param promised whether this controller is bound by a promise to another controller not to lead
      */
     LeaderElection(
             StoreAccess store,
@@ -87,48 +87,48 @@
         this.startedAt = loop.now();
     }
 
-    /** What the leader's key says. */
+    /** Returns the value of the leader key. */
     LeaderRecord leader() {
         return leader;
     }
 
-    /** True if the leader's key names this process. */
+    /** Returns whether the leader key names this process. */
     boolean selfIsNamed() {
         return self.incarnation().equals(leader.incarnation());
     }
 
-    /** What the leader's key says of this process under a lease. */
+    /** Returns the value of the leader key for this process under the given lease. */
     LeaderRecord self(long lease) {
         return new LeaderRecord(self.host(), self.incarnation(), lease);
     }
 
-    /** The watch's news of the leader's key; wins the pending claim if the key shows it. */
+    /** Applies a change of the leader key from the watch; the pending claim is won if the key holds its record. */
     void leaderChanged(JsonNode value, long version) {
         leader = LeaderRecord.read(value);
         if (pending != null && put(pending, leader)) {
-            // Its answer is late or lost, and the others follow this controller already.
+            // The answer to the claim is late or lost, but the other controllers already follow this one.
             won(pending, version);
         }
     }
 
-    /** The watch's news of the key that names the last leader. */
+    /** Applies a change, from the watch, of the key that names the last leader. */
     void lastLeaderChanged(JsonNode value) {
         lastLeader = LeaderRecord.read(value);
     }
 
-    /** The leader of this token has stepped down and gives no more commands. */
+    /** Records that the leader with this token has stepped down and sends no more commands. */
     void handedOver(long token) {
         handedOverToken = token;
     }
 
-    /** Makes no claim for so many milliseconds. */
+    /** Makes no claim for the given time. */
     void pause(long pauseMs) {
         claimNotBefore = loop.now() + pauseMs;
     }
 
     /**
-     * Claims the lead where the key is free, or where it names an earlier process of this very host. Called whenever that may
-     * have become so.
+     * Claims leadership if the leader key is free, names an earlier process of this host, or names a leader that has stepped
+     * down. Called whenever one of these may have become true.
      */
     void consider() {
         if (!state.is(State.FOLLOWING) || !canClaim()) {
@@ -146,7 +146,8 @@
         long seen = watchCache.version(settings.key());
         long seenLast = watchCache.version(settings.lastLeaderKey());
         long quiescentSince = quiescentSince();
-        // The earlier process of this host is dead: no need to draw lots with the others.
+        // The earlier process of this host is dead and its key keeps the other controllers from claiming: no jitter is
+        // needed.
         loop.after(ownHost ? 0 : random.nextInt(SPREAD_MS), () -> claim(seen, seenLast, quiescentSince));
     }
 
@@ -158,8 +159,8 @@
     }
 
     /**
-     * An earlier process of this host may have promised a leader not to lead. No such promise binds where the last leader was
-     * an earlier process of this very host, which is dead, or where no one has led yet.
+     * Returns whether a promise not to lead, given by an earlier process of this host, may still be in force. There is none if
+     * the last leader was an earlier process of this host, which is dead, or if there has been no leader yet.
      */
     private boolean mayHavePromised() {
         boolean unbound = self.host().equals(lastLeader.host()) || watchCache.version(settings.lastLeaderKey()) == 0;
@@ -167,8 +168,9 @@
     }
 
     /**
-     * Whatever an earlier process of this host answered is over since this process began. What this one answered when it had
-     * the lead before is not: counted from its start, all leases of its own former leader term would be long over.
+     * Returns the time since which no earlier leader can have answered a worker. An earlier process of this host cannot have
+     * answered after this process started. The start time must not be used if this process itself was the last leader: the
+     * worker leases it granted in that term would all count as expired.
      */
     private long quiescentSince() {
         boolean earlierProcess =
@@ -188,7 +190,7 @@
             JsonNode record = self(claim.lease).toJson();
             List<Write> writes = List.of(
                     new Write(settings.key(), record, claim.lease), new Write(settings.lastLeaderKey(), record, 0));
-            // What was concluded from the last leader's name holds only if no one has led since.
+            // The conclusions drawn from the last leader hold only if nobody has led since, hence the second guard.
             List<Guard> guards =
                     List.of(new Guard(settings.key(), seen), new Guard(settings.lastLeaderKey(), seenLast));
             store.client().commit(guards, writes, answer -> claimAnswered(claim, answer));
@@ -197,7 +199,7 @@
 
     private void claimAnswered(Claim claim, Answer answer) {
         if (pending != claim) {
-            // The watch's news have decided it.
+            // A change of the leader key from the watch has already decided this claim.
             return;
         }
         if (answer.ok()) {
@@ -208,14 +210,14 @@
         } else {
             claimFailed(claim, PAUSE_LOST_MS);
             if (answer.status() == Status.CONFLICT) {
-                // Somebody was quicker. Who that is has to be read first: claims made before are lost as well, and
-                // seven controllers that make them keep the state service from the winner.
+                // Another controller won. Wait until the watch shows which one: claims made earlier would fail too, and
+                // those of seven controllers would take state service capacity from the winner.
                 catchUp();
             }
         }
     }
 
-    /** The claim may have been carried out: the key itself shows it. */
+    /** Reads the leader key to find out whether a claim with an unknown outcome was applied. */
     private void resolve(Claim claim) {
         store.client().get(settings.key(), answer -> {
             if (pending != claim) {
@@ -226,21 +228,21 @@
             } else if (answer.status() == Status.REFUSED || answer.status() == Status.UNKNOWN) {
                 loop.after(PAUSE_UNKNOWN_MS, () -> resolve(claim));
             } else {
-                // Not there yet; it may still arrive, and is then given up by letting its lease go.
+                // Not applied so far. It may still be applied late; releasing its lease then removes the key.
                 claimFailed(claim, PAUSE_UNKNOWN_MS);
             }
         });
     }
 
     /**
-     * True if this is the claim that put the record: an earlier one of the same process, carried out late, has bound the key
-     * to another lease, which is not renewed any more.
+     * Returns whether the stored record was written by this claim. An earlier claim of the same process that was applied late
+     * has bound the key to another lease, which is no longer renewed.
      */
     private boolean put(Claim claim, LeaderRecord stored) {
         return self.incarnation().equals(stored.incarnation()) && stored.lease() == claim.lease;
     }
 
-    /** Makes no claim before the watch has brought what was there when this is called. */
+    /** Blocks further claims until the watch has delivered everything that was stored before this call. */
     private void catchUp() {
         catchingUp = true;
         watchCache.barrier(
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderLease.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderLease.java
@@ -5,15 +5,15 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * The leader's lease of the state service: its renewal, and until when the right to act runs. The right is counted from when
- * the last successful renewal was sent, for the lease's duration less drift.
+ * The leader's lease in the state service: renews it and tracks until when the leader may act. That deadline is the time at
+ * which the last successful renewal was sent, plus the lease duration, minus the allowance for clock drift.
  */
 final class LeaderLease {
     private static final long SHORTEST_TIMEOUT_MS = 500;
     private final StateClient client;
     private final EventLoop loop;
     private final long durationMs;
-    /** Of the state service; 0 while this controller has no lease. */
+    /** ID of the lease in the state service; 0 while this controller has none. */
     private long id;
 
     private long validUntil = Long.MIN_VALUE / 2;
@@ -30,38 +30,43 @@
         return id;
     }
 
-    /** True while the right to act runs. */
+    /** Returns whether the deadline for acting as leader has not passed yet. */
     boolean valid() {
         return loop.now() < validUntil;
     }
 
-    /** Until when the right to act runs, by the loop's clock. */
+    /** Returns the deadline for acting as leader, by the loop's clock. */
     long validUntil() {
         return validUntil;
     }
 
-    /** Milliseconds since the last successful renewal was sent. */
+    /** Returns the time since the last successful renewal was sent, in milliseconds. */
     long sinceRenewal() {
         return loop.now() - renewedAt;
     }
 
-    /** The election was won with this lease, which was asked for at {@code sentAt}. */
+    /**
+     * Starts a leader term under this lease.
+     *
+     * @param sentAt time at which the lease was requested, by the loop's clock
+     */
     void begin(long lease, long sentAt) {
         id = lease;
         validUntil = ClockDrift.safeEnd(sentAt, durationMs);
         renewedAt = sentAt;
     }
 
-    /** The right to act ends at once. */
+    /** Gives up the lease, so that this controller may no longer act as leader. */
     void end() {
         id = 0;
         validUntil = Long.MIN_VALUE / 2;
     }
 
     /**
-     * Promises of all others extend a right that has not run out. They never revive one: in between, someone may have led.
+     * Extends the deadline by the promises of all other controllers. A deadline that has passed is never extended: another
+     * controller may have led in the meantime.
      *
-     * @return true if the right has been extended
+     * @return whether the deadline was extended
      */
     boolean extendByPromises(long until) {
         if (!valid() || until <= validUntil) {
@@ -71,7 +76,11 @@
         return true;
     }
 
-    /** Renews the lease, unless a renewal is under way. {@code ended} runs only where the service says that the lease is over. */
+    /**
+     * Renews the lease unless a renewal is already in progress.
+     *
+     * @param ended runs only if the state service answers that the lease has expired
+     */
     void renew(long timeoutMs, Runnable renewed, Runnable ended) {
         if (renewing) {
             return;
@@ -93,7 +102,11 @@
         });
     }
 
-    /** One renewal beside the regular ones; {@code failed} runs unless it succeeds. */
+    /**
+     * Sends one renewal in addition to the regular ones.
+     *
+     * @param failed runs unless the renewal succeeds
+     */
     void tryRenewal(long timeoutMs, Runnable renewed, Runnable failed) {
         long lease = id;
         long sentAt = loop.now();
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderRecord.java
@@ -4,11 +4,11 @@
 import org.landingridge.wire.Json;
 
 /**
- * The stored value of the leader's key and of the key that names the last leader, with its codec.
+ * The stored value of the leader key and of the key that names the last leader, with its codec.
  *
- * @param host        the leader's host; null where the key does not exist or names none
- * @param incarnation which process of that host; null as above
- * @param lease       the lease of the state service that the leader's key was bound to; 0 where there is none
+ * @param host        the leader's host; null if the key does not exist or names no host
+ * @param incarnation identifies the process on that host; null if the key does not exist or names no process
+ * @param lease       ID of the state service lease that the leader key was bound to; 0 if there is none
  */
 record LeaderRecord(String host, String incarnation, long lease) {
     /** No leader. */
@@ -18,7 +18,7 @@
     private static final String INCARNATION = "incarnation";
     private static final String LEASE = "lease";
 
-    /** Reads a stored value; null, for a key that does not exist, gives {@link #NONE}. */
+    /** Decodes a stored value; null, for a key that does not exist, is decoded as {@link #NONE}. */
     static LeaderRecord read(JsonNode value) {
         return value == null
                 ? NONE
@@ -26,7 +26,7 @@
                         Json.text(value, HOST), Json.text(value, INCARNATION), Json.integer(value, LEASE, 0));
     }
 
-    /** The form to store. */
+    /** Returns the JSON value to store. */
     JsonNode toJson() {
         return Json.object().put(HOST, host).put(INCARNATION, incarnation).put(LEASE, lease);
     }
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller leads, and may act. One key, bound to a lease of the state service, names the leader; the revision
- * at which it was put is the fencing token. The right to act runs from when the last successful renewal was sent, for the
- * lease's duration less drift.
+ * Whether this controller is the leader, and whether it may act as such. One key, bound to a lease in the state service, names
+ * the leader; the revision at which that key was written is the fencing token. A leader may act for the lease duration, less an
+ * allowance for clock drift, after the last successful renewal was sent, and only while its view of cancellations is fresh.
  */
 public final class Leadership {
     /**
-     * LEADING by the lease. PROMISED: the state service does not answer, but every other controller has promised not to take
-     * the lead for a while. SUSPENDED: neither, or it is too long since all cancellations were known; no command is given,
-     * but if the lease turns out to be alive the leader goes on under the same token, since then no one else can have led
-     * meanwhile.
+     * LEADING: the leader holds a valid lease. PROMISED: the state service does not answer, but every other controller has
+     * promised not to lead for a limited time. SUSPENDED: neither holds, or the view of cancellations is too old, so no command
+     * is sent. If the lease then proves to be still valid, the leader continues with the same token, because no other
+     * controller can have led in between.
      */
     public enum State {
         FOLLOWING,
@@ -31,21 +31,21 @@
         SUSPENDED
     }
 
-    /** Called for every change of state. */
+    /** Notified of the start and end of this controller's leader terms, and of cancellations that other controllers report. */
     public interface Listener {
-        /** This controller leads under the token, and its copy of the state holds all that was written before. */
+        /** This controller leads with this token, and its copy of the state holds everything written before the election. */
         void elected(long token);
 
-        /** This controller does not lead any more. */
+        /** This controller no longer leads. */
         void deposed();
 
-        /** Another controller knows the job to be cancelled, at this revision. */
+        /** Another controller reports that the job was cancelled, stored at this revision. */
         void cancelled(String job, long revision);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final long RETRY_MS = 200;
-    /** A renewal that is late by more than this lets the leader ask for promises. */
+    /** The leader requests promises when a renewal is overdue by more than this, in milliseconds. */
     private static final long LATE_RENEWAL_MS = 100;
 
     private final WatchCache watchCache;
@@ -59,7 +59,7 @@
     private final FencingToken token;
     private final LeaderElection election;
     private final Promises promises;
-    /** When this controller took the lead last; what it knows may be a watch's wait old then. */
+    /** Time of the last election win, by the loop's clock; its view may then be as old as one long-poll wait of the watch. */
     private long wonAt;
 
     private long quiescentSince;
@@ -67,8 +67,8 @@
     private boolean verifying;
 
     /**
-     * @param random        draws this process' incarnation and the pauses before claims
-     * @param cancellations the cancellations that this process knows
+     * @param random        source of this process's incarnation and of the jitter before claims
+     * @param cancellations cancellations known to this process
      */
     public Leadership(
             StoreAccess store,
@@ -98,52 +98,52 @@
                 this::won);
     }
 
-    /** Begins to follow, to claim and to renew, by a timer of its own. */
+    /** Starts the timer that drives claims and renewals. */
     public void start() {
         tick();
     }
 
-    /** The state in the election. */
+    /** Returns the election state of this controller. */
     public State state() {
         return state.current();
     }
 
-    /** Names this process among all processes of its host. */
+    /** Returns the identifier that distinguishes this process from all other processes of its host. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** The host in the leader's key, null while there is none. */
+    /** Returns the host named in the leader key; null if there is none. */
     public String leaderHost() {
         return election.leader().host();
     }
 
-    /** The fencing token under which this controller leads, or led last. */
+    /** Returns the fencing token of this controller's current, or else last, leader term. */
     public long token() {
         return token.value();
     }
 
-    /** Since when, by the loop's clock, no earlier leader can have answered a worker. */
+    /** Returns the time since which no earlier leader can have answered a worker, by the loop's clock. */
     public long quiescentSince() {
         return quiescentSince;
     }
 
-    /** The token under which the last leader began, before this one; 0 where there was none. */
+    /** Returns the fencing token with which the leader before this one started its term; 0 if there was none. */
     public long previousToken() {
         return previousToken;
     }
 
-    /** Version of the leader's key that the leader's writes are conditional on; 0 while this process may not write. */
+    /** Returns the version of the leader key that the leader's writes are guarded by; 0 while this process may not write. */
     public long writeGuard() {
         return leads() ? token.value() : 0;
     }
 
-    /** True while this controller leads, whether it may act now or not. */
+    /** Returns whether this controller leads, even if it may not act at present. */
     public boolean leads() {
         return state.leads();
     }
 
-    /** True while a command or a renewal of a worker's lease may be given: checked right before each. */
+    /** Returns whether the leader may send a command or renew a worker's lease; to be checked right before each. */
     public boolean mayAct() {
         return state.active() && withinRights();
     }
@@ -153,28 +153,32 @@
     }
 
     /**
-     * Every cancellation that any controller confirmed to a user before this time, by the loop's clock, is known here: by what was
-     * read of the state, or by the reports of all others.
+     * Returns a time, by the loop's clock: every cancellation that any controller confirmed to a user before it is known here,
+     * from the state service or from the reports of all other controllers.
      */
     public long cancellationsKnownAt() {
         return Math.max(watchCache.viewAt(), promises.cancellationsKnownAt());
     }
 
     /**
-     * Until when workers may be answered without more news of cancellations, by the loop's clock. Beyond it the lead ends by
-     * itself: the tasks of a job whose cancellation was confirmed could otherwise run on for as long as an outage lasts.
-     * What is cancelled now must be off its machine by then and a lease of the machine.
+     * Returns the deadline, by the loop's clock, for answering workers without a newer view of cancellations. After it the
+     * leader is suspended; otherwise the tasks of a job with a confirmed cancellation could run for the whole length of an
+     * outage. The tasks of a job that is cancelled now must be gone by this deadline plus one worker lease.
      */
     public long freshnessDeadline() {
         return cancellationsKnownAt() + settings.freshnessMs();
     }
 
-    /** The watch's news of the leader's key; null where it has been deleted. */
+    /**
+     * Applies a change of the leader key from the watch.
+     *
+     * @param value the new value; null if the key was deleted
+     */
     public void keyChanged(JsonNode value, long version) {
         election.leaderChanged(value, version);
         if (leads() && version > token.value()) {
             if (election.selfIsNamed()) {
-                // A token that was raised by a write of ours whose answer got lost.
+                // This process raised the token itself, and the answer to that write was lost.
                 token.set(version);
             } else {
                 stepDown("another controller holds the key");
@@ -183,7 +187,7 @@
         consider();
     }
 
-    /** The watch's news of the key that names the last leader, for as long as no other follows. */
+    /** Applies a change, from the watch, of the key that names the last leader. */
     public void lastLeaderChanged(JsonNode value) {
         election.lastLeaderChanged(value);
     }
@@ -200,7 +204,7 @@
     private void maintain() {
         boolean stale = loop.now() >= freshnessDeadline();
         if (state.is(State.LEADING) && stale && lease.valid() && loop.now() - wonAt > settings.leaseMs()) {
-            // The lease is renewed and nothing can be read, as where the state service is too slow for it.
+            // Renewals succeed but the watch makes no progress, for example because the state service is too slow.
             handOver("this controller cannot read what changes");
             return;
         }
@@ -229,8 +233,8 @@
     }
 
     /**
-     * Claims the lead where the key is free, or where it names an earlier process of this very host. Called whenever that may
-     * have become so.
+     * Claims leadership if the leader key is free, names an earlier process of this host, or names a leader that has stepped
+     * down. Called whenever one of these may have become true.
      */
     public void consider() {
         election.consider();
@@ -247,7 +251,7 @@
         awaitCurrentView();
     }
 
-    /** The new leader's view must hold everything that was written before it was elected. */
+    /** Reports the election only once this controller's view holds everything that was written before it. */
     private void awaitCurrentView() {
         long elected = token.value();
         watchCache.barrier(
@@ -264,8 +268,8 @@
     }
 
     /**
-     * Takes a higher token under the same lease. Commands given under the old one that are still on their way are then
-     * refused by every worker that has seen the new one.
+     * Obtains a higher token under the same lease. Workers that have seen the new token reject commands with the old one that
+     * are still in transit.
      */
     public void raiseToken() {
         if (state.is(State.LEADING)) {
@@ -273,7 +277,10 @@
         }
     }
 
-    /** A worker has seen a higher token than ours: the state service is asked who leads, past a barrier. */
+    /**
+     * Checks with the state service who leads, after a worker has seen a higher token than this leader's. The watch delivers
+     * any change of the leader key before the barrier is passed.
+     */
     public void suspect() {
         if (!verifying) {
             verifying = true;
@@ -281,12 +288,12 @@
         }
     }
 
-    /** Another controller asks for a promise; whoever leads, or may be about to, gives none. */
+    /** Answers another controller's request for a promise; a controller that leads or is claiming gives none. */
     public void asked(PeerMessage.Ask ask) {
         promises.asked(ask, () -> leads() || state.is(State.CLAIMING));
     }
 
-    /** Another controller has given its promise, and reports the cancellations that it knows. */
+    /** Applies a promise of another controller and the cancellations reported with it. */
     public void granted(PeerMessage.Grant grant) {
         promises.reported(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
@@ -297,31 +304,32 @@
         }
     }
 
-    /** Another controller gives no promise, since it can use the state service or leads. */
+    /** Handles a refused promise: the other controller leads, is claiming, or can reach the state service. */
     public void refused(PeerMessage.Refuse refusal) {
-        // One that comes late is about an earlier failure: in an outage it would cost the lead that the others have
-        // promised.
+        // Ignore a late refusal, which is about an earlier failure: during an outage it would end a leader term that
+        // the other
+        // controllers have promised to respect.
         if (!leads()
                 || refusal.token() != token.value()
                 || lease.sinceRenewal() < settings.leaseMs() / 2
                 || !promises.askedLately(refusal.number())) {
             return;
         }
-        // Someone else can use the state service. One more try of our own, then the lead goes to that controller.
+        // The other controller can use the state service. Try one more renewal, then hand leadership over.
         lease.tryRenewal(
                 Promises.PROBE_MS,
                 this::renewed,
                 () -> handOver(refusal.host() + " can use the state service and this controller cannot"));
     }
 
-    /** Steps down for good and lets the others know that the key may be replaced. */
+    /** Ends this leader term and tells the other controllers that the leader key may be replaced. */
     private void handOver(String why) {
         long ended = token.value();
         stepDown(why);
         peers.sendToOthers(new PeerMessage.HandOver(peers.host(), ended));
     }
 
-    /** The leader of this token gives no more commands, as it says itself. */
+    /** Handles the announcement of a leader that it has stepped down and sends no more commands. */
     public void handedOver(PeerMessage.HandOver handOver) {
         election.handedOver(handOver.token());
         consider();
--- a/controller/src/main/java/org/landingridge/controller/election/LeadershipState.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeadershipState.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one state of this controller in the election, and its only transition function. */
+/** The election state of this controller; all transitions go through one method. */
 final class LeadershipState {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private Leadership.State current = Leadership.State.FOLLOWING;
@@ -16,7 +16,7 @@
         return current == state;
     }
 
-    /** True while this controller leads, whether it may act now or not. */
+    /** Returns whether this controller leads, even if it may not act at present. */
     boolean leads() {
         return switch (current) {
             case LEADING, PROMISED, SUSPENDED -> true;
@@ -24,7 +24,7 @@
         };
     }
 
-    /** True while this controller leads and neither lease nor freshness was found to be over. */
+    /** Returns whether this controller leads and is not suspended; the deadlines may have passed since the last check. */
     boolean active() {
         return current == Leadership.State.LEADING || current == Leadership.State.PROMISED;
     }
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -13,14 +13,14 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * Promises given over {@code back} not to take the lead for a while: with those of every other controller a leader goes on
- * through an outage of the state service. A promise counts for the leader from when it was asked for, for the one who
- * gives it from when it was given, drift on both sides. With each promise goes a report of cancellations.
+ * Promises between controllers not to lead for a limited time, sent over the network {@code back}. With promises from all other
+ * controllers, a leader keeps leading through an outage of the state service. For the leader a promise starts when the request
+ * was sent, for the giver when it is given; both sides allow for clock drift. Each promise carries a report of cancellations.
  */
 final class Promises {
-    /** How long a promise lasts. A fresh process leads no sooner: it may have forgotten one. */
+    /** Duration of a promise. A restarted process waits as long before it leads: an earlier process may have given one. */
     static final long DURATION_MS = 2_500;
-    /** So long a probe of the state service may take, and its failure counts. */
+    /** Timeout of a probe of the state service, and how long a failed probe stays valid for later requests. */
     static final long PROBE_MS = 700;
 
     private static final int MOST_ASKED = 20;
@@ -33,12 +33,12 @@
     private boolean probing;
     private long unusableAt = Long.MIN_VALUE / 2;
     private long asks;
-    /** When each of the latest requests was sent, by its number. */
+    /** Times at which the latest requests were sent, by the loop's clock. */
     private final Map<Long, Long> askedAt = new LinkedHashMap<>();
-    /** When the newest request was sent that each of the others has granted. */
+    /** For each other controller, the time at which the newest request that it granted was sent. */
     private final Map<String, Long> granted = new HashMap<>();
 
-    /** @param leaderKey is read to learn whether the state service answers */
+    /** @param leaderKey key that is read to probe whether the state service answers */
     Promises(StateClient client, EventLoop loop, PeerGroup peers, String leaderKey, CancellationReports reports) {
         this.client = client;
         this.loop = loop;
@@ -47,13 +47,13 @@
         this.reports = reports;
     }
 
-    /** True while this controller has promised not to lead. */
+    /** Returns whether this controller is bound by a promise not to lead. */
     boolean bound() {
         return loop.now() < boundUntil;
     }
 
     /**
-     * Asks each of the others for a promise.
+     * Asks all other controllers for a promise.
      *
      * @param knownRevision this controller knows everything that was stored up to this revision
      */
@@ -69,9 +69,10 @@
     }
 
     /**
-     * Another controller asks for a promise.
+     * Answers another controller's request for a promise. A request that comes while the state service is being probed is not
+     * answered.
      *
-     * @param mayLead whether this controller leads, or may be about to
+     * @param mayLead whether this controller leads or is claiming leadership
      */
     void asked(PeerMessage.Ask ask, BooleanSupplier mayLead) {
         if (mayLead.getAsBoolean()) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Whoever can use the state service should lead: then there is no promise. */
+    /** Probes the state service and refuses the promise if it answers: a controller that can use it should lead. */
     private void probe(PeerMessage.Ask ask, BooleanSupplier mayLead) {
         probing = true;
         client.probe(leaderKey, PROBE_MS, answer -> {
@@ -103,23 +104,26 @@
         peers.send(ask.host(), new PeerMessage.Refuse(peers.host(), ask.token(), ask.number()));
     }
 
-    /** From here on this controller keeps from claiming, by its own clock, for longer than the leader will count. */
+    /** Gives a promise. By its own clock, this controller makes no claim for longer than the leader relies on the promise. */
     private void promise(PeerMessage.Ask ask) {
         boundUntil = loop.now() + (long) (DURATION_MS * (1 + ClockDrift.RATE));
         peers.send(ask.host(), new PeerMessage.Grant(peers.host(), ask.token(), ask.number(), reports.report(ask)));
     }
 
-    /** Takes over what came with the promise, whatever became of the leader that asked for it. */
+    /** Applies the report that came with a promise, even if this controller no longer leads. */
     void reported(PeerMessage.Grant grant, Consumer<CancellationLog.Ending> cancelled) {
         reports.received(grant, askedAt.get(grant.number()), cancelled);
     }
 
-    /** Every cancellation that another controller confirmed to a user before this time, by the loop's clock, is known here. */
+    /** Returns the time, by the loop's clock, before which all cancellations confirmed by other controllers are known here. */
     long cancellationsKnownAt() {
         return reports.knownAt();
     }
 
-    /** Until when no other controller will lead by the promises given so far; long past while one of them is missing. */
+    /**
+     * Records a promise and returns the time, by the loop's clock, until which no other controller will lead; {@link
+     * Long#MIN_VALUE} if the promise is not usable or another controller's promise is missing.
+     */
     long granted(PeerMessage.Grant grant) {
         Long sentAt = askedAt.get(grant.number());
         if (sentAt == null || !peers.others().contains(grant.host())) {
@@ -133,13 +137,13 @@
         return ClockDrift.safeEnd(oldest, DURATION_MS);
     }
 
-    /** True if the request of this number was sent so lately that an answer to it describes the present. */
+    /** Returns whether the request with this number was sent recently enough for its answer to describe the current state. */
     boolean askedLately(long number) {
         Long sentAt = askedAt.get(number);
         return sentAt != null && loop.now() - sentAt < DURATION_MS;
     }
 
-    /** The lead is over: what was granted for it counts for nothing any more. */
+    /** Discards all requests and received promises at the end of a leader term. */
     void clear() {
         granted.clear();
         askedAt.clear();
--- a/controller/src/main/java/org/landingridge/controller/election/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/election/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Which controller leads, under which fencing token, and until when it may act: the leader lease, the election, and promises
- * of the other controllers in place of the lease while the state service does not answer.
+ * Leader election: which controller leads, its fencing token, and until when it may act. While the state service does not
+ * answer, promises of all other controllers not to lead take the place of the leader lease.
  *
- * <p>State: the state in the election, the lease, the token, the promises given and received, and how far the others'
- * cancellations are known. The event loop owns all of it. The package may depend on {@code store}, {@code peer} and the
- * cancellation log of {@code jobs}.
+ * <p>State: the election state, the lease, the token, the promises given and received, and how much of the other controllers'
+ * cancellation logs is known. All of it is confined to the event loop. The package may depend on {@code store}, {@code peer}
+ * and the cancellation log of {@code jobs}.
  */
 package org.landingridge.controller.election;
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -32,7 +32,11 @@
 import org.landingridge.wire.Json;
 import org.landingridge.wire.Priority;
 
-/** The others' reports of cancellations, against a plain list of who knew what when. */
+/**
+ * Guards against a leader that, without the state service, takes its view of cancellations for complete although it lacks one
+ * that another controller confirmed to a user. Reports can be lost, late, duplicated, split into pages, or come from a
+ * restarted process, whose log starts again. The test compares the claimed time with a plain record of all confirmations.
+ */
 class PromisesTest {
     private static final List<String> OTHERS = List.of("rig-1", "rig-2");
     private long now = 1_000;
@@ -70,7 +74,7 @@
         return new Promises(client, loop, peers, "leader", reports);
     }
 
-    /** One of the others, with what all incarnations of its host have confirmed to users. */
+    /** Another controller, with everything that the processes of its host have confirmed to users, across restarts. */
     private final class Giver {
         private final String host;
         private final Map<Long, Long> confirmedAt = new LinkedHashMap<>();
@@ -154,7 +158,7 @@
             Giver g = givers.get(OTHERS.get(random.nextInt(2)));
             int what = random.nextInt(100);
             if (what < 40) {
-                // It confirms cancellations; sometimes a crowd of them.
+                // The controller confirms a cancellation, or sometimes a large number of them.
                 for (int i = flood && random.nextInt(60) == 0 ? 2_500 : 1; i > 0; i--) {
                     stored.put(++revision, now);
                     if (g.whole) {
@@ -163,7 +167,7 @@
                     }
                 }
             } else if (what < 45 && !stored.isEmpty()) {
-                // It learns of another's, and confirms it when asked; in whatever order.
+                // The controller learns of a cancellation that was stored earlier and confirms it too, in any order.
                 List<Long> all = new ArrayList<>(stored.keySet());
                 long r = all.get(Math.max(0, all.size() - 1 - random.nextInt(50)));
                 if (g.whole) {
@@ -175,7 +179,7 @@
             } else if (what < 50 && !g.whole) {
                 g.read(stored);
             } else if (what < 52) {
-                // The asker's own view gets on.
+                // The requesting controller's own view of the state advances.
                 since = Math.max(since, revision - random.nextInt(200));
             } else if (what < 75) {
                 asker.ask(5, since);
@@ -202,7 +206,7 @@
         assertTrue(knownAdvanced > 1_000, "it was known most of the time: " + knownAdvanced);
     }
 
-    /** Carries an ask to the giver that it is for, by the bytes that go over the wire. */
+    /** A request for a promise, delivered to its recipient in encoded form. */
     private final class Addressed {
         private final String to;
         private final PeerMessage message;
