--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -15,16 +15,16 @@
  */
 final class CancellationReports {
     private final EventLoop loop;
-    private final List<String> others;
-    private final CancellationLog log;
-    private final BooleanSupplier stateRead;
+    private final List<String> otherHosts;
+    private final CancellationLog ownLog;
+    private final BooleanSupplier stateLoaded;
     /** Identifies this process: positions in its cancellation log are not valid for the next process of this host. */
     private final long incarnation;
 
-    private final Map<String, Received> received = new HashMap<>();
+    private final Map<String, PeerLogProgress> progressByHost = new HashMap<>();
 
     /** How much of another controller's cancellation log is known here. */
-    private static final class Received {
+    private static final class PeerLogProgress {
         private long incarnation;
         private long position;
         /** Everything that the other controller confirmed to users before this time, by the loop's clock, is known here. */
@@ -34,7 +34,7 @@
          * Returns whether the report continues the known part of the log. If entries in between are missing, the next request
          * asks for them again, from the known position.
          */
-        private boolean follows(PeerMessage.CancellationReport report) {
+        private boolean canAppend(PeerMessage.CancellationReport report) {
             return report.incarnation() == incarnation ? report.from() <= position : report.from() == 0;
         }
 
@@ -45,42 +45,46 @@
     }
 
     /**
-     * @param others      hosts of the other controllers
+     * @param otherHosts  hosts of the other controllers
      * @param incarnation identifies this process
-     * @param log         cancellations known to this process
-     * @param stateRead   whether this process has read the complete state; until then it cannot report what earlier
+     * @param ownLog      cancellations known to this process
+     * @param stateLoaded whether this process has read the complete state; until then it cannot report what earlier
      *                    processes of its host confirmed to users
      */
     CancellationReports(
-            EventLoop loop, List<String> others, long incarnation, CancellationLog log, BooleanSupplier stateRead) {
+            EventLoop loop,
+            List<String> otherHosts,
+            long incarnation,
+            CancellationLog ownLog,
+            BooleanSupplier stateLoaded) {
         this.loop = loop;
-        this.others = others;
+        this.otherHosts = otherHosts;
         this.incarnation = incarnation;
-        this.log = log;
-        this.stateRead = stateRead;
+        this.ownLog = ownLog;
+        this.stateLoaded = stateLoaded;
     }
 
     /**
      * Returns the request to another controller for a promise and a report, with the log position at which the report is to
      * start.
      *
-     * @param other         host of the other controller
-     * @param host          host of this controller
+     * @param otherHost     host of the other controller
+     * @param ownHost       host of this controller
      * @param number        number of the request
      * @param knownRevision this controller knows everything that was stored up to this revision
      */
-    PeerMessage.Ask request(String other, String host, long token, long number, long knownRevision) {
-        Received known = received.computeIfAbsent(other, h -> new Received());
-        return new PeerMessage.Ask(host, token, number, knownRevision, known.incarnation, known.position);
+    PeerMessage.Ask createRequest(String otherHost, String ownHost, long token, long number, long knownRevision) {
+        PeerLogProgress progress = progressByHost.computeIfAbsent(otherHost, newHost -> new PeerLogProgress());
+        return new PeerMessage.Ask(ownHost, token, number, knownRevision, progress.incarnation, progress.position);
     }
 
     /** Returns this controller's report for a request; null if its log cannot be shown to be complete. */
-    PeerMessage.CancellationReport report(PeerMessage.Ask ask) {
-        if (!stateRead.getAsBoolean()) {
+    PeerMessage.CancellationReport createReport(PeerMessage.Ask request) {
+        if (!stateLoaded.getAsBoolean()) {
             return null;
         }
-        long from = ask.incarnation() == incarnation ? ask.position() : 0;
-        CancellationLog.Page page = log.after(from, ask.knownRevision());
+        long from = request.incarnation() == incarnation ? request.position() : 0;
+        CancellationLog.Page page = ownLog.after(from, request.knownRevision());
         return page == null
                 ? null
                 : new PeerMessage.CancellationReport(incarnation, from, page.to(), page.complete(), page.endings());
@@ -89,32 +93,32 @@
     /**
      * Applies another controller's report. Cancellations are final, so they are valid whichever leader requested the report.
      *
-     * @param askedAt   time at which the answered request was sent, by the loop's clock; null if no longer known
-     * @param cancelled receives each reported cancellation
+     * @param requestSentAt  time at which the answered request was sent, by the loop's clock; null if no longer known
+     * @param onCancellation receives each reported cancellation
      */
-    void received(PeerMessage.Grant grant, Long askedAt, Consumer<CancellationLog.Ending> cancelled) {
+    void applyReport(PeerMessage.Grant grant, Long requestSentAt, Consumer<CancellationLog.Ending> onCancellation) {
         PeerMessage.CancellationReport report = grant.report();
-        Received known = received.get(grant.host());
-        if (report == null || known == null) {
+        PeerLogProgress progress = progressByHost.get(grant.host());
+        if (report == null || progress == null) {
             return;
         }
-        report.cancellations().forEach(cancelled);
-        if (!known.follows(report)) {
+        report.cancellations().forEach(onCancellation);
+        if (!progress.canAppend(report)) {
             return;
         }
-        known.advance(report);
-        if (report.complete() && askedAt != null) {
-            known.completeBefore = Math.max(known.completeBefore, askedAt);
+        progress.advance(report);
+        if (report.complete() && requestSentAt != null) {
+            progress.completeBefore = Math.max(progress.completeBefore, requestSentAt);
         }
     }
 
     /** Returns the time, by the loop's clock, before which all cancellations confirmed by other controllers are known here. */
-    long knownAt() {
-        long before = loop.now();
-        for (String other : others) {
-            Received known = received.get(other);
-            before = known == null ? Long.MIN_VALUE / 2 : Math.min(before, known.completeBefore);
+    long cancellationsKnownBefore() {
+        long knownBefore = loop.now();
+        for (String otherHost : otherHosts) {
+            PeerLogProgress progress = progressByHost.get(otherHost);
+            knownBefore = progress == null ? Long.MIN_VALUE / 2 : Math.min(knownBefore, progress.completeBefore);
         }
-        return before;
+        return knownBefore;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/ClockDrift.java
+++ b/controller/src/main/java/org/landingridge/controller/election/ClockDrift.java
@@ -12,10 +12,10 @@
     /**
      * Returns the time until which the holder of a lease or promise may rely on it, by the holder's clock.
      *
-     * @param sentAt     time at which it was requested, by the holder's clock
-     * @param durationMs how long the granting side honours it, by its own clock, in milliseconds
+     * @param requestedAt time at which it was requested, by the holder's clock
+     * @param durationMs  how long the granting side honours it, by its own clock, in milliseconds
      */
-    static long safeEnd(long sentAt, long durationMs) {
-        return sentAt + (long) (durationMs * (1 - RATE)) - MARGIN_MS;
+    static long safeEnd(long requestedAt, long durationMs) {
+        return requestedAt + (long) (durationMs * (1 - RATE)) - MARGIN_MS;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/ElectionSettings.java
+++ b/controller/src/main/java/org/landingridge/controller/election/ElectionSettings.java
@@ -3,12 +3,12 @@
 /**
  * Settings of the leader election.
  *
- * @param key         the leader key in the state service; the key of the last leader has {@code -last} appended
+ * @param leaderKey   the leader key in the state service; the key of the last leader has {@code -last} appended
  * @param leaseMs     duration of the leader lease, in milliseconds
  * @param freshnessMs maximum age of the leader's view of cancellations with which it may still answer workers, in
  *                    milliseconds; see {@link #freshnessMs(double, double, long)}
  */
-public record ElectionSettings(String key, long leaseMs, long freshnessMs) {
+public record ElectionSettings(String leaderKey, long leaseMs, long freshnessMs) {
     /** Allowance for stopping tasks after a worker lease expires, and for the time from reading the clock to sending a 200. */
     private static final long EXPIRY_MARGIN_MS = 1_000;
 
@@ -23,14 +23,14 @@
      * @param leaderLeaseMs duration of the leader lease, in milliseconds
      */
     public static long freshnessMs(double cancelS, double workerLeaseS, long leaderLeaseMs) {
-        long left = (long) (cancelS * 1000 * (1 - ClockDrift.RATE))
+        long remainingMs = (long) (cancelS * 1000 * (1 - ClockDrift.RATE))
                 - (long) (workerLeaseS * 1000 * (1 + 2 * ClockDrift.RATE))
                 - EXPIRY_MARGIN_MS;
-        return Math.max(leaderLeaseMs, left);
+        return Math.max(leaderLeaseMs, remainingMs);
     }
 
     /** Returns the key that names the last leader; it remains when the leader lease ends. */
     String lastLeaderKey() {
-        return key + "-last";
+        return leaderKey + "-last";
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
+++ b/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
@@ -14,7 +14,7 @@
     private final String key;
     private final LeaderLease lease;
     private long value;
-    private boolean raising;
+    private boolean raisePending;
 
     FencingToken(StoreAccess store, String key, LeaderLease lease) {
         this.store = store;
@@ -33,18 +33,18 @@
 
     /** Raises the token by rewriting the leader key under the same lease, unless a raise is already in progress. */
     void raise(LeaderRecord leader) {
-        if (raising) {
+        if (raisePending) {
             return;
         }
-        raising = true;
-        long before = value;
-        List<Write> writes = List.of(new Write(key, leader.toJson(), leader.lease()));
-        store.client().commit(List.of(new Guard(key, before)), writes, answer -> {
-            raising = false;
-            if (lease.id() == leader.lease() && answer.ok()) {
+        raisePending = true;
+        long previousValue = value;
+        List<Write> writes = List.of(new Write(key, leader.toJson(), leader.leaseId()));
+        store.client().commit(List.of(new Guard(key, previousValue)), writes, answer -> {
+            raisePending = false;
+            if (lease.id() == leader.leaseId() && answer.ok()) {
                 value = Math.max(value, answer.revision());
                 store.cache().committed(key, value);
-                LOG.info("token raised from {} to {}", before, value);
+                LOG.info("token raised from {} to {}", previousValue, value);
             }
         });
     }
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderLease.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderLease.java
@@ -9,7 +9,7 @@
  * which the last successful renewal was sent, plus the lease duration, minus the allowance for clock drift.
  */
 final class LeaderLease {
-    private static final long SHORTEST_TIMEOUT_MS = 500;
+    private static final long MIN_RENEWAL_TIMEOUT_MS = 500;
     private final StateClient client;
     private final EventLoop loop;
     private final long durationMs;
@@ -17,8 +17,8 @@
     private long id;
 
     private long validUntil = Long.MIN_VALUE / 2;
-    private long renewedAt = Long.MIN_VALUE / 2;
-    private boolean renewing;
+    private long lastRenewalSentAt = Long.MIN_VALUE / 2;
+    private boolean renewalPending;
 
     LeaderLease(StateClient client, EventLoop loop, long durationMs) {
         this.client = client;
@@ -31,7 +31,7 @@
     }
 
     /** Returns whether the deadline for acting as leader has not passed yet. */
-    boolean valid() {
+    boolean isValid() {
         return loop.now() < validUntil;
     }
 
@@ -41,19 +41,19 @@
     }
 
     /** Returns the time since the last successful renewal was sent, in milliseconds. */
-    long sinceRenewal() {
-        return loop.now() - renewedAt;
+    long msSinceRenewal() {
+        return loop.now() - lastRenewalSentAt;
     }
 
     /**
      * Starts a leader term under this lease.
      *
-     * @param sentAt time at which the lease was requested, by the loop's clock
+     * @param requestedAt time at which the lease was requested, by the loop's clock
      */
-    void begin(long lease, long sentAt) {
-        id = lease;
-        validUntil = ClockDrift.safeEnd(sentAt, durationMs);
-        renewedAt = sentAt;
+    void begin(long leaseId, long requestedAt) {
+        id = leaseId;
+        validUntil = ClockDrift.safeEnd(requestedAt, durationMs);
+        lastRenewalSentAt = requestedAt;
     }
 
     /** Gives up the lease, so that this controller may no longer act as leader. */
@@ -68,36 +68,36 @@
      *
      * @return whether the deadline was extended
      */
-    boolean extendByPromises(long until) {
-        if (!valid() || until <= validUntil) {
+    boolean extendByPromises(long promisedUntil) {
+        if (!isValid() || promisedUntil <= validUntil) {
             return false;
         }
-        validUntil = until;
+        validUntil = promisedUntil;
         return true;
     }
 
     /**
      * Renews the lease unless a renewal is already in progress.
      *
-     * @param ended runs only if the state service answers that the lease has expired
+     * @param onExpired runs only if the state service answers that the lease has expired
      */
-    void renew(long timeoutMs, Runnable renewed, Runnable ended) {
-        if (renewing) {
+    void renew(long timeoutMs, Runnable onRenewed, Runnable onExpired) {
+        if (renewalPending) {
             return;
         }
-        renewing = true;
+        renewalPending = true;
         long sentAt = loop.now();
-        long lease = id;
-        client.renew(lease, Math.max(SHORTEST_TIMEOUT_MS, timeoutMs), answer -> {
-            renewing = false;
-            if (id != lease) {
+        long leaseId = id;
+        client.renew(leaseId, Math.max(MIN_RENEWAL_TIMEOUT_MS, timeoutMs), answer -> {
+            renewalPending = false;
+            if (id != leaseId) {
                 return;
             }
             if (answer.ok()) {
-                renewedAt(sentAt);
-                renewed.run();
+                recordRenewal(sentAt);
+                onRenewed.run();
             } else if (answer.status() == Status.NOT_FOUND || answer.status() == Status.NO_LEASE) {
-                ended.run();
+                onExpired.run();
             }
         });
     }
@@ -105,26 +105,26 @@
     /**
      * Sends one renewal in addition to the regular ones.
      *
-     * @param failed runs unless the renewal succeeds
+     * @param onFailed runs unless the renewal succeeds
      */
-    void tryRenewal(long timeoutMs, Runnable renewed, Runnable failed) {
-        long lease = id;
+    void tryRenewal(long timeoutMs, Runnable onRenewed, Runnable onFailed) {
+        long leaseId = id;
         long sentAt = loop.now();
-        client.renew(lease, timeoutMs, answer -> {
-            if (id != lease) {
+        client.renew(leaseId, timeoutMs, answer -> {
+            if (id != leaseId) {
                 return;
             }
             if (answer.ok()) {
-                renewedAt(sentAt);
-                renewed.run();
+                recordRenewal(sentAt);
+                onRenewed.run();
             } else {
-                failed.run();
+                onFailed.run();
             }
         });
     }
 
-    private void renewedAt(long sentAt) {
-        renewedAt = Math.max(renewedAt, sentAt);
+    private void recordRenewal(long sentAt) {
+        lastRenewalSentAt = Math.max(lastRenewalSentAt, sentAt);
         validUntil = Math.max(validUntil, ClockDrift.safeEnd(sentAt, durationMs));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderRecord.java
@@ -8,9 +8,9 @@
  *
  * @param host        the leader's host; null if the key does not exist or names no host
  * @param incarnation identifies the process on that host; null if the key does not exist or names no process
- * @param lease       ID of the state service lease that the leader key was bound to; 0 if there is none
+ * @param leaseId     ID of the state service lease that the leader key was bound to; 0 if there is none
  */
-record LeaderRecord(String host, String incarnation, long lease) {
+record LeaderRecord(String host, String incarnation, long leaseId) {
     /** No leader. */
     static final LeaderRecord NONE = new LeaderRecord(null, null, 0);
 
@@ -19,7 +19,7 @@
     private static final String LEASE = "lease";
 
     /** Decodes a stored value; null, for a key that does not exist, is decoded as {@link #NONE}. */
-    static LeaderRecord read(JsonNode value) {
+    static LeaderRecord fromJson(JsonNode value) {
         return value == null
                 ? NONE
                 : new LeaderRecord(
@@ -28,6 +28,6 @@
 
     /** Returns the JSON value to store. */
     JsonNode toJson() {
-        return Json.object().put(HOST, host).put(INCARNATION, incarnation).put(LEASE, lease);
+        return Json.object().put(HOST, host).put(INCARNATION, incarnation).put(LEASE, leaseId);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -40,13 +40,13 @@
         void deposed();
 
         /** Another controller reports that the job was cancelled, stored at this revision. */
-        void cancelled(String job, long revision);
+        void cancelled(String jobId, long revision);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    private static final long RETRY_MS = 200;
+    private static final long BARRIER_RETRY_MS = 200;
     /** The leader requests promises when a renewal is overdue by more than this, in milliseconds. */
-    private static final long LATE_RENEWAL_MS = 100;
+    private static final long RENEWAL_DELAY_LIMIT_MS = 100;
 
     private final WatchCache watchCache;
     private final EventLoop loop;
@@ -64,18 +64,18 @@
 
     private long quiescentSince;
     private long previousToken;
-    private boolean verifying;
+    private boolean leaderCheckPending;
 
     /**
-     * @param random        source of this process's incarnation and of the jitter before claims
-     * @param cancellations cancellations known to this process
+     * @param random          source of this process's incarnation and of the jitter before claims
+     * @param cancellationLog cancellations known to this process
      */
     public Leadership(
             StoreAccess store,
             RandomGenerator random,
             PeerGroup peers,
             ElectionSettings settings,
-            CancellationLog cancellations,
+            CancellationLog cancellationLog,
             Listener listener) {
         this.watchCache = store.cache();
         this.loop = store.loop();
@@ -84,18 +84,18 @@
         this.listener = listener;
         this.incarnation = Long.toUnsignedString(random.nextLong(), 36);
         CancellationReports reports =
-                new CancellationReports(loop, peers.others(), random.nextLong(), cancellations, watchCache::loaded);
-        this.promises = new Promises(store.client(), loop, peers, settings.key(), reports);
+                new CancellationReports(loop, peers.others(), random.nextLong(), cancellationLog, watchCache::loaded);
+        this.promises = new Promises(store.client(), loop, peers, settings.leaderKey(), reports);
         this.lease = new LeaderLease(store.client(), loop, settings.leaseMs());
-        this.token = new FencingToken(store, settings.key(), lease);
+        this.token = new FencingToken(store, settings.leaderKey(), lease);
         this.election = new LeaderElection(
                 store,
                 random,
                 settings,
                 new LeaderRecord(peers.host(), incarnation, 0),
                 state,
-                promises::bound,
-                this::won);
+                promises::isBound,
+                this::beginTerm);
     }
 
     /** Starts the timer that drives claims and renewals. */
@@ -145,10 +145,10 @@
 
     /** Returns whether the leader may send a command or renew a worker's lease; to be checked right before each. */
     public boolean mayAct() {
-        return state.active() && withinRights();
+        return state.isActive() && withinDeadlines();
     }
 
-    private boolean withinRights() {
+    private boolean withinDeadlines() {
         return loop.now() < Math.min(lease.validUntil(), freshnessDeadline());
     }
 
@@ -157,7 +157,7 @@
      * from the state service or from the reports of all other controllers.
      */
     public long cancellationsKnownAt() {
-        return Math.max(watchCache.viewAt(), promises.cancellationsKnownAt());
+        return Math.max(watchCache.viewAt(), promises.cancellationsKnownBefore());
     }
 
     /**
@@ -177,7 +177,7 @@
     public void keyChanged(JsonNode value, long version) {
         election.leaderChanged(value, version);
         if (leads() && version > token.value()) {
-            if (election.selfIsNamed()) {
+            if (election.leaderKeyNamesSelf()) {
                 // This process raised the token itself, and the answer to that write was lost.
                 token.set(version);
             } else {
@@ -195,40 +195,40 @@
     private void tick() {
         switch (state.current()) {
             case FOLLOWING -> consider();
-            case LEADING, PROMISED, SUSPENDED -> maintain();
+            case LEADING, PROMISED, SUSPENDED -> maintainLeadership();
             case CLAIMING -> {}
         }
         loop.after(settings.leaseMs() / 6, this::tick);
     }
 
-    private void maintain() {
-        boolean stale = loop.now() >= freshnessDeadline();
-        if (state.is(State.LEADING) && stale && lease.valid() && loop.now() - wonAt > settings.leaseMs()) {
+    private void maintainLeadership() {
+        boolean viewIsStale = loop.now() >= freshnessDeadline();
+        if (state.is(State.LEADING) && viewIsStale && lease.isValid() && loop.now() - wonAt > settings.leaseMs()) {
             // Renewals succeed but the watch makes no progress, for example because the state service is too slow.
-            handOver("this controller cannot read what changes");
+            handOverLeadership("this controller cannot read what changes");
             return;
         }
-        if (!state.is(State.SUSPENDED) && (stale || !lease.valid())) {
-            suspend(stale);
+        if (!state.is(State.SUSPENDED) && (viewIsStale || !lease.isValid())) {
+            suspend(viewIsStale);
         }
-        if (lease.sinceRenewal() > settings.leaseMs() * 2 / 5 + LATE_RENEWAL_MS) {
-            promises.ask(token.value(), watchCache.revision());
+        if (lease.msSinceRenewal() > settings.leaseMs() * 2 / 5 + RENEWAL_DELAY_LIMIT_MS) {
+            promises.requestPromises(token.value(), watchCache.revision());
         }
-        lease.renew(settings.leaseMs() / 3, this::renewed, () -> stepDown("the lease has ended"));
+        lease.renew(settings.leaseMs() / 3, this::resumeLeading, () -> stepDown("the lease has ended"));
     }
 
-    private void suspend(boolean stale) {
-        if (stale) {
+    private void suspend(boolean viewIsStale) {
+        if (viewIsStale) {
             LOG.warn(
                     "all cancellations are known only up to {} ms ago: no worker is answered any more",
                     loop.now() - cancellationsKnownAt());
         }
-        state.to(State.SUSPENDED);
+        state.moveTo(State.SUSPENDED);
     }
 
-    private void renewed() {
-        if (withinRights()) {
-            state.to(State.LEADING);
+    private void resumeLeading() {
+        if (withinDeadlines()) {
+            state.moveTo(State.LEADING);
         }
     }
 
@@ -237,31 +237,31 @@
      * down. Called whenever one of these may have become true.
      */
     public void consider() {
-        election.consider();
+        election.claimIfPossible();
     }
 
-    private void won(LeaderElection.Claim claim, long revision) {
-        lease.begin(claim.lease(), claim.sentAt());
+    private void beginTerm(LeaderElection.Claim claim, long revision) {
+        lease.begin(claim.leaseId(), claim.leaseRequestedAt());
         quiescentSince = claim.quiescentSince();
         previousToken = claim.previousToken();
         wonAt = loop.now();
         token.set(revision);
-        watchCache.committed(settings.key(), revision);
-        state.to(State.LEADING);
+        watchCache.committed(settings.leaderKey(), revision);
+        state.moveTo(State.LEADING);
         awaitCurrentView();
     }
 
     /** Reports the election only once this controller's view holds everything that was written before it. */
     private void awaitCurrentView() {
-        long elected = token.value();
+        long electedToken = token.value();
         watchCache.barrier(
                 () -> {
-                    if (leads() && token.value() == elected) {
-                        listener.elected(elected);
+                    if (leads() && token.value() == electedToken) {
+                        listener.elected(electedToken);
                     }
                 },
-                () -> loop.after(RETRY_MS, () -> {
-                    if (leads() && token.value() == elected) {
+                () -> loop.after(BARRIER_RETRY_MS, () -> {
+                    if (leads() && token.value() == electedToken) {
                         awaitCurrentView();
                     }
                 }));
@@ -273,7 +273,7 @@
      */
     public void raiseToken() {
         if (state.is(State.LEADING)) {
-            token.raise(election.self(lease.id()));
+            token.raise(election.recordUnderLease(lease.id()));
         }
     }
 
@@ -282,25 +282,25 @@
      * any change of the leader key before the barrier is passed.
      */
     public void suspect() {
-        if (!verifying) {
-            verifying = true;
-            watchCache.barrier(() -> verifying = false, () -> verifying = false);
+        if (!leaderCheckPending) {
+            leaderCheckPending = true;
+            watchCache.barrier(() -> leaderCheckPending = false, () -> leaderCheckPending = false);
         }
     }
 
     /** Answers another controller's request for a promise; a controller that leads or is claiming gives none. */
     public void asked(PeerMessage.Ask ask) {
-        promises.asked(ask, () -> leads() || state.is(State.CLAIMING));
+        promises.answerRequest(ask, () -> leads() || state.is(State.CLAIMING));
     }
 
     /** Applies a promise of another controller and the cancellations reported with it. */
     public void granted(PeerMessage.Grant grant) {
-        promises.reported(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
+        promises.applyReport(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
             return;
         }
-        if (lease.extendByPromises(promises.granted(grant)) && loop.now() < freshnessDeadline()) {
-            state.to(State.PROMISED);
+        if (lease.extendByPromises(promises.recordPromise(grant)) && loop.now() < freshnessDeadline()) {
+            state.moveTo(State.PROMISED);
         }
     }
 
@@ -311,36 +311,36 @@
         // controllers have promised to respect.
         if (!leads()
                 || refusal.token() != token.value()
-                || lease.sinceRenewal() < settings.leaseMs() / 2
-                || !promises.askedLately(refusal.number())) {
+                || lease.msSinceRenewal() < settings.leaseMs() / 2
+                || !promises.isRecentRequest(refusal.number())) {
             return;
         }
         // The other controller can use the state service. Try one more renewal, then hand leadership over.
         lease.tryRenewal(
-                Promises.PROBE_MS,
-                this::renewed,
-                () -> handOver(refusal.host() + " can use the state service and this controller cannot"));
+                Promises.PROBE_TIMEOUT_MS,
+                this::resumeLeading,
+                () -> handOverLeadership(refusal.host() + " can use the state service and this controller cannot"));
     }
 
     /** Ends this leader term and tells the other controllers that the leader key may be replaced. */
-    private void handOver(String why) {
-        long ended = token.value();
-        stepDown(why);
-        peers.sendToOthers(new PeerMessage.HandOver(peers.host(), ended));
+    private void handOverLeadership(String reason) {
+        long endedToken = token.value();
+        stepDown(reason);
+        peers.sendToOthers(new PeerMessage.HandOver(peers.host(), endedToken));
     }
 
     /** Handles the announcement of a leader that it has stepped down and sends no more commands. */
     public void handedOver(PeerMessage.HandOver handOver) {
-        election.handedOver(handOver.token());
+        election.recordHandOver(handOver.token());
         consider();
     }
 
-    private void stepDown(String why) {
-        LOG.warn("stepping down: {}", why);
+    private void stepDown(String reason) {
+        LOG.warn("stepping down: {}", reason);
         lease.end();
         promises.clear();
-        election.pause(settings.leaseMs());
-        state.to(State.FOLLOWING);
+        election.pauseClaims(settings.leaseMs());
+        state.moveTo(State.FOLLOWING);
         listener.deposed();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/LeadershipState.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeadershipState.java
@@ -25,11 +25,11 @@
     }
 
     /** Returns whether this controller leads and is not suspended; the deadlines may have passed since the last check. */
-    boolean active() {
+    boolean isActive() {
         return current == Leadership.State.LEADING || current == Leadership.State.PROMISED;
     }
 
-    void to(Leadership.State next) {
+    void moveTo(Leadership.State next) {
         if (next != current) {
             LOG.info("leadership: {} -> {}", current, next);
             current = next;
