--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -38,7 +38,7 @@
  * restarted process, whose log starts again. The test compares the claimed time with a plain record of all confirmations.
  */
 class PromisesTest {
-    private static final List<String> OTHERS = List.of("rig-1", "rig-2");
+    private static final List<String> OTHER_HOSTS = List.of("rig-1", "rig-2");
     private long now = 1_000;
     private final EventLoop loop = new EventLoop() {
         @Override
@@ -65,49 +65,51 @@
     private final StateClient client =
             new StateClient((addr, method, path, body, timeoutMs, done) -> done.accept(Http.Reply.NOT_SENT), "state");
 
-    private final Map<String, Giver> givers = new LinkedHashMap<>();
-    private final List<PeerMessage> toAsker = new ArrayList<>();
-    private int incarnations;
+    private final Map<String, OtherController> othersByHost = new LinkedHashMap<>();
+    private final List<PeerMessage> answersInTransit = new ArrayList<>();
+    private int lastIncarnation;
 
-    private Promises promises(PeerGroup peers, long incarnation, CancellationLog log, BooleanSupplier stateRead) {
-        CancellationReports reports = new CancellationReports(loop, peers.others(), incarnation, log, stateRead);
+    private Promises createPromises(
+            PeerGroup peers, long incarnation, CancellationLog log, BooleanSupplier stateLoaded) {
+        CancellationReports reports = new CancellationReports(loop, peers.others(), incarnation, log, stateLoaded);
         return new Promises(client, loop, peers, "leader", reports);
     }
 
     /** Another controller, with everything that the processes of its host have confirmed to users, across restarts. */
-    private final class Giver {
+    private final class OtherController {
         private final String host;
-        private final Map<Long, Long> confirmedAt = new LinkedHashMap<>();
+        private final Map<Long, Long> confirmedAtByRevision = new LinkedHashMap<>();
         private JobTable table;
-        private boolean whole;
+        private boolean stateLoaded;
         private Promises promises;
 
-        Giver(String host) {
+        OtherController(String host) {
             this.host = host;
-            begin();
-            whole = true;
+            restart();
+            stateLoaded = true;
         }
 
-        void begin() {
+        void restart() {
             table = new JobTable(loop::now, id -> {});
-            whole = false;
-            PeerGroup peers = new PeerGroup(host, List.of("rig-0"), (to, m) -> toAsker.add(m));
-            promises = promises(peers, ++incarnations, table.endings(), () -> whole);
+            stateLoaded = false;
+            PeerGroup peers =
+                    new PeerGroup(host, List.of("rig-0"), (recipientHost, message) -> answersInTransit.add(message));
+            promises = createPromises(peers, ++lastIncarnation, table.endings(), () -> stateLoaded);
         }
 
-        void read(Map<Long, Long> all) {
-            all.keySet().forEach(this::know);
-            whole = true;
+        void loadState(Map<Long, Long> storedAtByRevision) {
+            storedAtByRevision.keySet().forEach(this::learnCancellation);
+            stateLoaded = true;
         }
 
-        void know(long revision) {
-            cancel(table, revision);
+        void learnCancellation(long revision) {
+            recordCancellation(table, revision);
         }
     }
 
-    private static JobSpec spec(long number) {
+    private static JobSpec spec(long jobNumber) {
         return new JobSpec(
-                String.format("job-%06d", number),
+                String.format("job-%06d", jobNumber),
                 "batch",
                 "blue",
                 false,
@@ -129,7 +131,7 @@
                 null);
     }
 
-    private static void cancel(JobTable table, long revision) {
+    private static void recordCancellation(JobTable table, long revision) {
         JobSpec spec = spec(revision);
         if (table.get(spec.id()) == null) {
             table.changed(spec.id(), StoredJobCodec.accepted(spec, 0), 1);
@@ -141,90 +143,101 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     @DisplayName(
             "whoever calls a time known has all that was confirmed before: reports lost, late, twice, in pages, from former incarnations")
-    void nothingIsMissing(long seed) {
+    void cancellationsConfirmedBeforeKnownTimeAreKnownWhenReportsAreLostLateOrRepeated(long seed) {
         Random random = new Random(seed);
-        Set<Long> here = new HashSet<>();
-        List<PeerMessage> asks = new ArrayList<>();
-        PeerGroup peers = new PeerGroup("rig-0", OTHERS, (to, m) -> asks.add(new Addressed(to, m).route()));
-        Promises asker = promises(peers, 77, new CancellationLog(), () -> true);
-        OTHERS.forEach(h -> givers.put(h, new Giver(h)));
-        Map<Long, Long> stored = new LinkedHashMap<>();
+        Set<Long> reportedRevisions = new HashSet<>();
+        List<PeerMessage> deliveredRequests = new ArrayList<>();
+        PeerGroup peers = new PeerGroup(
+                "rig-0",
+                OTHER_HOSTS,
+                (recipientHost, message) ->
+                        deliveredRequests.add(new AddressedRequest(recipientHost, message).deliver()));
+        Promises requester = createPromises(peers, 77, new CancellationLog(), () -> true);
+        OTHER_HOSTS.forEach(host -> othersByHost.put(host, new OtherController(host)));
+        Map<Long, Long> storedAtByRevision = new LinkedHashMap<>();
         long revision = 10;
-        long since = 10;
-        boolean flood = seed % 2 == 0;
-        int knownAdvanced = 0;
+        long requesterRevision = 10;
+        boolean withBursts = seed % 2 == 0;
+        int stepsWithKnownTime = 0;
         for (int step = 0; step < 3_000; step++) {
             now += random.nextInt(20);
-            Giver g = givers.get(OTHERS.get(random.nextInt(2)));
-            int what = random.nextInt(100);
-            if (what < 40) {
+            OtherController actor = othersByHost.get(OTHER_HOSTS.get(random.nextInt(2)));
+            int action = random.nextInt(100);
+            if (action < 40) {
                 // The controller confirms a cancellation, or sometimes a large number of them.
-                for (int i = flood && random.nextInt(60) == 0 ? 2_500 : 1; i > 0; i--) {
-                    stored.put(++revision, now);
-                    if (g.whole) {
-                        g.know(revision);
-                        g.confirmedAt.put(revision, now);
+                for (int remaining = withBursts && random.nextInt(60) == 0 ? 2_500 : 1; remaining > 0; remaining--) {
+                    storedAtByRevision.put(++revision, now);
+                    if (actor.stateLoaded) {
+                        actor.learnCancellation(revision);
+                        actor.confirmedAtByRevision.put(revision, now);
                     }
                 }
-            } else if (what < 45 && !stored.isEmpty()) {
+            } else if (action < 45 && !storedAtByRevision.isEmpty()) {
                 // The controller learns of a cancellation that was stored earlier and confirms it too, in any order.
-                List<Long> all = new ArrayList<>(stored.keySet());
-                long r = all.get(Math.max(0, all.size() - 1 - random.nextInt(50)));
-                if (g.whole) {
-                    g.know(r);
-                    g.confirmedAt.putIfAbsent(r, now);
+                List<Long> storedRevisions = new ArrayList<>(storedAtByRevision.keySet());
+                long learnedRevision =
+                        storedRevisions.get(Math.max(0, storedRevisions.size() - 1 - random.nextInt(50)));
+                if (actor.stateLoaded) {
+                    actor.learnCancellation(learnedRevision);
+                    actor.confirmedAtByRevision.putIfAbsent(learnedRevision, now);
                 }
-            } else if (what < 47) {
-                g.begin();
-            } else if (what < 50 && !g.whole) {
-                g.read(stored);
-            } else if (what < 52) {
+            } else if (action < 47) {
+                actor.restart();
+            } else if (action < 50 && !actor.stateLoaded) {
+                actor.loadState(storedAtByRevision);
+            } else if (action < 52) {
                 // The requesting controller's own view of the state advances.
-                since = Math.max(since, revision - random.nextInt(200));
-            } else if (what < 75) {
-                asker.ask(5, since);
-            } else if (!toAsker.isEmpty()) {
-                int at = random.nextInt(toAsker.size());
-                PeerMessage m = random.nextInt(5) == 0 ? toAsker.get(at) : toAsker.remove(at);
-                if (random.nextInt(4) > 0 && m instanceof PeerMessage.Grant grant) {
-                    asker.reported(grant, e -> here.add(e.revision()));
+                requesterRevision = Math.max(requesterRevision, revision - random.nextInt(200));
+            } else if (action < 75) {
+                requester.requestPromises(5, requesterRevision);
+            } else if (!answersInTransit.isEmpty()) {
+                int index = random.nextInt(answersInTransit.size());
+                PeerMessage message =
+                        random.nextInt(5) == 0 ? answersInTransit.get(index) : answersInTransit.remove(index);
+                if (random.nextInt(4) > 0 && message instanceof PeerMessage.Grant grant) {
+                    requester.applyReport(grant, cancellation -> reportedRevisions.add(cancellation.revision()));
                 }
-                if (toAsker.size() > 30) {
-                    toAsker.subList(0, 20).clear();
+                if (answersInTransit.size() > 30) {
+                    answersInTransit.subList(0, 20).clear();
                 }
             }
-            long known = asker.cancellationsKnownAt();
-            knownAdvanced += known > 0 ? 1 : 0;
-            for (Giver giver : givers.values()) {
-                long view = since;
-                giver.confirmedAt.forEach((r, at) -> assertTrue(
-                        at >= known || r <= view || here.contains(r),
-                        () -> r + " confirmed by " + giver.host + " at " + at
-                                + " is missing, though all is known before " + known));
+            long knownBefore = requester.cancellationsKnownBefore();
+            stepsWithKnownTime += knownBefore > 0 ? 1 : 0;
+            for (OtherController other : othersByHost.values()) {
+                long currentRequesterRevision = requesterRevision;
+                other.confirmedAtByRevision.forEach((confirmedRevision, confirmedAt) -> assertTrue(
+                        confirmedAt >= knownBefore
+                                || confirmedRevision <= currentRequesterRevision
+                                || reportedRevisions.contains(confirmedRevision),
+                        () -> confirmedRevision + " confirmed by " + other.host + " at " + confirmedAt
+                                + " is missing, though all is known before " + knownBefore));
             }
         }
-        assertTrue(knownAdvanced > 1_000, "it was known most of the time: " + knownAdvanced);
+        assertTrue(stepsWithKnownTime > 1_000, "it was known most of the time: " + stepsWithKnownTime);
     }
 
     /** A request for a promise, delivered to its recipient in encoded form. */
-    private final class Addressed {
-        private final String to;
+    private final class AddressedRequest {
+        private final String recipientHost;
         private final PeerMessage message;
 
-        Addressed(String to, PeerMessage message) {
-            this.to = to;
+        AddressedRequest(String recipientHost, PeerMessage message) {
+            this.recipientHost = recipientHost;
             this.message = message;
         }
 
-        PeerMessage route() {
-            givers.get(to).promises.asked((PeerMessage.Ask) copy(message), () -> false);
+        PeerMessage deliver() {
+            othersByHost
+                    .get(recipientHost)
+                    .promises
+                    .answerRequest((PeerMessage.Ask) encodeAndDecode(message), () -> false);
             return message;
         }
     }
 
-    private static PeerMessage copy(PeerMessage m) {
+    private static PeerMessage encodeAndDecode(PeerMessage message) {
         try {
-            return PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(m.encode())));
+            return PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(message.encode())));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -232,13 +245,13 @@
 
     @Test
     @DisplayName("records of an earlier version have no report, and are no proof of anything; cut off ones are refused")
-    void earlierVersionsAndNonsense() throws IOException {
+    void grantWithoutReportIsDecodedAndTruncatedGrantIsRejected() throws IOException {
         byte[] grant = new PeerMessage.Grant("rig-1", 3, 4, null).encode();
-        byte[] before = java.util.Arrays.copyOf(grant, grant.length - 1);
+        byte[] withoutReport = java.util.Arrays.copyOf(grant, grant.length - 1);
         assertEquals(
                 new PeerMessage.Grant("rig-1", 3, 4, null),
-                PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(before))));
-        PeerMessage.Grant full = new PeerMessage.Grant(
+                PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(withoutReport))));
+        PeerMessage.Grant grantWithReport = new PeerMessage.Grant(
                 "rig-1",
                 3,
                 4,
@@ -250,18 +263,19 @@
                         List.of(
                                 new CancellationLog.Ending(7, "job-000007"),
                                 new CancellationLog.Ending(8, "job-000008"))));
-        assertEquals(full, copy(full));
-        byte[] bytes = full.encode();
-        for (int cut = before.length + 1; cut < bytes.length; cut++) {
-            byte[] part = java.util.Arrays.copyOf(bytes, cut);
+        assertEquals(grantWithReport, encodeAndDecode(grantWithReport));
+        byte[] encoded = grantWithReport.encode();
+        for (int length = withoutReport.length + 1; length < encoded.length; length++) {
+            byte[] truncated = java.util.Arrays.copyOf(encoded, length);
             assertThrows(
-                    IOException.class, () -> PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(part))));
+                    IOException.class,
+                    () -> PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(truncated))));
         }
     }
 
     @Test
     @DisplayName("a cancellation that is heard of before the job itself ends the job when it comes")
-    void cancelledBeforeItIsKnown() {
+    void jobIsCancelledOnArrivalWhenItsCancellationCameFirst() {
         JobTable table = new JobTable(loop::now, id -> {});
         table.cancelled("job-000009", 9);
         table.changed("job-000009", StoredJobCodec.accepted(spec(9), 0), 5);
@@ -276,12 +290,14 @@
 
     @Test
     @DisplayName("how long a leader may go on without news leaves a lease before cancel_s is over, on every deployment")
-    void freshness() {
+    void freshnessLimitLeavesOneWorkerLeaseBeforeCancelLimit() {
         double[][] deployments = {{30, 10}, {45, 20}, {40, 10}, {46.5, 26.5}, {47, 22}};
-        for (double[] d : deployments) {
-            long fresh = ElectionSettings.freshnessMs(d[0], d[1], 3_000);
-            assertTrue(fresh > 3_000, fresh + " ms with " + d[0]);
-            assertTrue(fresh * 1.0005 + d[1] * 1_000.5 + 500 < d[0] * 1_000 * 0.9995, fresh + " ms with " + d[0]);
+        for (double[] limits : deployments) {
+            long freshnessMs = ElectionSettings.freshnessMs(limits[0], limits[1], 3_000);
+            assertTrue(freshnessMs > 3_000, freshnessMs + " ms with " + limits[0]);
+            assertTrue(
+                    freshnessMs * 1.0005 + limits[1] * 1_000.5 + 500 < limits[0] * 1_000 * 0.9995,
+                    freshnessMs + " ms with " + limits[0]);
         }
         assertEquals(
                 3_000, ElectionSettings.freshnessMs(15, 20, 3_000), "where it cannot be kept, the lead still works");
@@ -290,21 +306,21 @@
     @Test
     @DisplayName(
             "a record that has let go of something the leader lacks gives no report; it comes in pages where it has all")
-    void theRecordIsBounded() {
+    void logReportsInPagesAndGivesNoReportWhenNeededEntriesAreOverwritten() {
         JobTable table = new JobTable(loop::now, id -> {});
         for (long revision = 1; revision <= 6_000; revision++) {
-            cancel(table, revision);
+            recordCancellation(table, revision);
         }
-        CancellationLog endings = table.endings();
-        assertEquals(null, endings.after(0, 1_000), "what was stored after 1,000 is not all there any more");
-        List<Long> got = new ArrayList<>();
-        CancellationLog.Page page = endings.after(0, 2_000);
-        for (int pages = 0; !page.complete() && pages < 9; pages++) {
-            page.endings().forEach(e -> got.add(e.revision()));
-            page = endings.after(page.to(), 2_000);
+        CancellationLog cancellationLog = table.endings();
+        assertEquals(null, cancellationLog.after(0, 1_000), "what was stored after 1,000 is not all there any more");
+        List<Long> revisions = new ArrayList<>();
+        CancellationLog.Page page = cancellationLog.after(0, 2_000);
+        for (int pageCount = 0; !page.complete() && pageCount < 9; pageCount++) {
+            page.endings().forEach(cancellation -> revisions.add(cancellation.revision()));
+            page = cancellationLog.after(page.to(), 2_000);
         }
-        page.endings().forEach(e -> got.add(e.revision()));
-        assertEquals(4_000, got.size());
-        assertEquals(6_000L, got.get(3_999));
+        page.endings().forEach(cancellation -> revisions.add(cancellation.revision()));
+        assertEquals(4_000, revisions.size());
+        assertEquals(6_000L, revisions.get(3_999));
     }
 }
