--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -78,7 +78,10 @@
         return new PeerMessage.Ask(ownHost, token, number, knownRevision, progress.incarnation, progress.position);
     }
 
-    /** Returns this controller's report for a request; null if its log cannot be shown to be complete. */
+    /**
+     * Returns this controller's report for a request; null if this process has not read the complete state yet, or if its log
+     * may have overwritten entries that the requesting leader lacks.
+     */
     PeerMessage.CancellationReport createReport(PeerMessage.Ask request) {
         if (!stateLoaded.getAsBoolean()) {
             return null;
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -146,8 +146,7 @@
         long leaderKeyVersion = watchCache.version(settings.leaderKey());
         long lastLeaderKeyVersion = watchCache.version(settings.lastLeaderKey());
         long quiescentSince = quiescentSince();
-        // The earlier process of this host is dead and its key keeps the other controllers from claiming: no jitter is
-        // needed.
+        // The earlier process of this host is dead, and its key blocks the other controllers: no jitter is needed.
         loop.after(
                 leaderOnOwnHost ? 0 : random.nextInt(MAX_CLAIM_JITTER_MS),
                 () -> claim(leaderKeyVersion, lastLeaderKeyVersion, quiescentSince));
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -33,13 +33,17 @@
 
     /** Notified of the start and end of this controller's leader terms, and of cancellations that other controllers report. */
     public interface Listener {
-        /** This controller leads with this token, and its copy of the state holds everything written before the election. */
+        /** Called once this controller leads with this token and its view holds everything written before the election. */
         void elected(long token);
 
-        /** This controller no longer leads. */
+        /** Called when this controller no longer leads. */
         void deposed();
 
-        /** Another controller reports that the job was cancelled, stored at this revision. */
+        /**
+         * Called when another controller reports that a job was cancelled.
+         *
+         * @param revision revision at which the cancellation was stored
+         */
         void cancelled(String jobId, long revision);
     }
 
@@ -307,8 +311,7 @@
     /** Handles a refused promise: the other controller leads, is claiming, or can reach the state service. */
     public void refused(PeerMessage.Refuse refusal) {
         // Ignore a late refusal, which is about an earlier failure: during an outage it would end a leader term that
-        // the other
-        // controllers have promised to respect.
+        // the other controllers have promised to respect.
         if (!leads()
                 || refusal.token() != token.value()
                 || lease.msSinceRenewal() < settings.leaseMs() / 2
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -61,7 +61,7 @@
             return () -> {};
         }
     };
-    /** No controller can use the state service. */
+    /** A state service that no controller can reach. */
     private final StateClient client =
             new StateClient((addr, method, path, body, timeoutMs, done) -> done.accept(Http.Reply.NOT_SENT), "state");
 
