--- a/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
+++ b/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
@@ -44,7 +44,7 @@
             if (lease.id() == leader.leaseId() && answer.ok()) {
                 value = Math.max(value, answer.revision());
                 store.cache().committed(key, value);
-                LOG.info("token raised from {} to {}", previousValue, value);
+                LOG.info("token raised, from={} to={}", previousValue, value);
             }
         });
     }
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -185,7 +185,7 @@
                 // This process raised the token itself, and the answer to that write was lost.
                 token.set(version);
             } else {
-                stepDown("another controller holds the key");
+                stepDown("another controller holds the leader key");
             }
         }
         consider();
@@ -209,7 +209,7 @@
         boolean viewIsStale = loop.now() >= freshnessDeadline();
         if (state.is(State.LEADING) && viewIsStale && lease.isValid() && loop.now() - wonAt > settings.leaseMs()) {
             // Renewals succeed but the watch makes no progress, for example because the state service is too slow.
-            handOverLeadership("this controller cannot read what changes");
+            handOverLeadership("this controller receives no changes from the state service");
             return;
         }
         if (!state.is(State.SUSPENDED) && (viewIsStale || !lease.isValid())) {
@@ -218,13 +218,13 @@
         if (lease.msSinceRenewal() > settings.leaseMs() * 2 / 5 + RENEWAL_DELAY_LIMIT_MS) {
             promises.requestPromises(token.value(), watchCache.revision());
         }
-        lease.renew(settings.leaseMs() / 3, this::resumeLeading, () -> stepDown("the lease has ended"));
+        lease.renew(settings.leaseMs() / 3, this::resumeLeading, () -> stepDown("the leader lease has expired"));
     }
 
     private void suspend(boolean viewIsStale) {
         if (viewIsStale) {
             LOG.warn(
-                    "all cancellations are known only up to {} ms ago: no worker is answered any more",
+                    "workers not answered because the view of cancellations is too old, ageMs={}",
                     loop.now() - cancellationsKnownAt());
         }
         state.moveTo(State.SUSPENDED);
@@ -339,7 +339,7 @@
     }
 
     private void stepDown(String reason) {
-        LOG.warn("stepping down: {}", reason);
+        LOG.warn("stepping down, reason={}", reason);
         lease.end();
         promises.clear();
         election.pauseClaims(settings.leaseMs());
--- a/controller/src/main/java/org/landingridge/controller/election/LeadershipState.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeadershipState.java
@@ -31,7 +31,7 @@
 
     void moveTo(Leadership.State next) {
         if (next != current) {
-            LOG.info("leadership: {} -> {}", current, next);
+            LOG.info("leadership state changed, from={} to={}", current, next);
             current = next;
         }
     }
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -142,7 +142,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     @DisplayName(
-            "whoever calls a time known has all that was confirmed before: reports lost, late, twice, in pages, from former incarnations")
+            "cancellations confirmed before the known time are known, although reports are lost, late, repeated, paged or"
+                    + " from earlier processes")
     void cancellationsConfirmedBeforeKnownTimeAreKnownWhenReportsAreLostLateOrRepeated(long seed) {
         Random random = new Random(seed);
         Set<Long> reportedRevisions = new HashSet<>();
@@ -210,10 +211,13 @@
                                 || confirmedRevision <= currentRequesterRevision
                                 || reportedRevisions.contains(confirmedRevision),
                         () -> confirmedRevision + " confirmed by " + other.host + " at " + confirmedAt
-                                + " is missing, though all is known before " + knownBefore));
+                                + " is missing, although all confirmations are claimed to be known before "
+                                + knownBefore));
             }
         }
-        assertTrue(stepsWithKnownTime > 1_000, "it was known most of the time: " + stepsWithKnownTime);
+        assertTrue(
+                stepsWithKnownTime > 1_000,
+                "steps with a known time, expected more than 1000, found " + stepsWithKnownTime);
     }
 
     /** A request for a promise, delivered to its recipient in encoded form. */
@@ -244,7 +248,8 @@
     }
 
     @Test
-    @DisplayName("records of an earlier version have no report, and are no proof of anything; cut off ones are refused")
+    @DisplayName(
+            "a grant of an earlier version is decoded without a report and proves nothing; a truncated grant is rejected")
     void grantWithoutReportIsDecodedAndTruncatedGrantIsRejected() throws IOException {
         byte[] grant = new PeerMessage.Grant("rig-1", 3, 4, null).encode();
         byte[] withoutReport = java.util.Arrays.copyOf(grant, grant.length - 1);
@@ -274,7 +279,7 @@
     }
 
     @Test
-    @DisplayName("a cancellation that is heard of before the job itself ends the job when it comes")
+    @DisplayName("a cancellation received before the job itself cancels the job on its arrival")
     void jobIsCancelledOnArrivalWhenItsCancellationCameFirst() {
         JobTable table = new JobTable(loop::now, id -> {});
         table.cancelled("job-000009", 9);
@@ -289,30 +294,35 @@
     }
 
     @Test
-    @DisplayName("how long a leader may go on without news leaves a lease before cancel_s is over, on every deployment")
+    @DisplayName("the freshness limit leaves one worker lease before cancel_s has passed, in every deployment")
     void freshnessLimitLeavesOneWorkerLeaseBeforeCancelLimit() {
         double[][] deployments = {{30, 10}, {45, 20}, {40, 10}, {46.5, 26.5}, {47, 22}};
         for (double[] limits : deployments) {
             long freshnessMs = ElectionSettings.freshnessMs(limits[0], limits[1], 3_000);
-            assertTrue(freshnessMs > 3_000, freshnessMs + " ms with " + limits[0]);
+            assertTrue(freshnessMs > 3_000, freshnessMs + " ms with cancel_s=" + limits[0]);
             assertTrue(
                     freshnessMs * 1.0005 + limits[1] * 1_000.5 + 500 < limits[0] * 1_000 * 0.9995,
-                    freshnessMs + " ms with " + limits[0]);
+                    freshnessMs + " ms with cancel_s=" + limits[0]);
         }
         assertEquals(
-                3_000, ElectionSettings.freshnessMs(15, 20, 3_000), "where it cannot be kept, the lead still works");
+                3_000,
+                ElectionSettings.freshnessMs(15, 20, 3_000),
+                "settings that leave too little time fall back to the leader lease");
     }
 
     @Test
     @DisplayName(
-            "a record that has let go of something the leader lacks gives no report; it comes in pages where it has all")
+            "a log that has overwritten entries the leader lacks gives no report; a complete one is reported in pages")
     void logReportsInPagesAndGivesNoReportWhenNeededEntriesAreOverwritten() {
         JobTable table = new JobTable(loop::now, id -> {});
         for (long revision = 1; revision <= 6_000; revision++) {
             recordCancellation(table, revision);
         }
         CancellationLog cancellationLog = table.endings();
-        assertEquals(null, cancellationLog.after(0, 1_000), "what was stored after 1,000 is not all there any more");
+        assertEquals(
+                null,
+                cancellationLog.after(0, 1_000),
+                "some entries stored after revision 1,000 have been overwritten");
         List<Long> revisions = new ArrayList<>();
         CancellationLog.Page page = cancellationLog.after(0, 2_000);
         for (int pageCount = 0; !page.complete() && pageCount < 9; pageCount++) {
