--- a/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
+++ b/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
@@ -7,14 +7,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The revision at which the leader's key was put last by this controller: every command carries it. */
+/** The fencing token that every command carries: the revision at which this controller last wrote the leader key. */
 final class FencingToken {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private final StoreAccess store;
     private final String key;
     private final LeaderLease lease;
     private long value;
-    private boolean raising;
+    private boolean raisePending;
 
     FencingToken(StoreAccess store, String key, LeaderLease lease) {
         this.store = store;
@@ -26,25 +26,25 @@
         return value;
     }
 
-    /** The revision of an election that was won, or of a raise whose answer got lost. */
+    /** Sets the token after an election win, or after a raise whose answer was lost. */
     void set(long revision) {
         value = revision;
     }
 
-    /** Puts the leader's key once more, under the same lease, unless that is under way. */
+    /** Raises the token by rewriting the leader key under the same lease, unless a raise is already in progress. */
     void raise(LeaderRecord leader) {
-        if (raising) {
+        if (raisePending) {
             return;
         }
-        raising = true;
-        long before = value;
-        List<Write> writes = List.of(new Write(key, leader.toJson(), leader.lease()));
-        store.client().commit(List.of(new Guard(key, before)), writes, answer -> {
-            raising = false;
-            if (lease.id() == leader.lease() && answer.ok()) {
+        raisePending = true;
+        long previousValue = value;
+        List<Write> writes = List.of(new Write(key, leader.toJson(), leader.leaseId()));
+        store.client().commit(List.of(new Guard(key, previousValue)), writes, answer -> {
+            raisePending = false;
+            if (lease.id() == leader.leaseId() && answer.ok()) {
                 value = Math.max(value, answer.revision());
                 store.cache().committed(key, value);
-                LOG.info("token raised from {} to {}", before, value);
+                LOG.info("token raised, from={} to={}", previousValue, value);
             }
         });
     }
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -14,32 +14,32 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * Who the leader is, by the leader's key, and the claims of this controller on that key: when one may be made, and how one
- * ends whose outcome is unknown.
+ * Tracks the current leader by the leader key, and makes this controller's claims on that key: decides when a claim is allowed
+ * and resolves claims whose outcome is unknown.
  */
 final class LeaderElection {
-    /** Without an answer of the state service for so long there is no point in a claim. */
-    private static final long UNANSWERED_MS = 2_500;
-    /** Claims of several controllers are spread over so many milliseconds. */
-    private static final int SPREAD_MS = 60;
+    /** No claim is made when the last answer of the state service is older than this, in milliseconds. */
+    private static final long MAX_ANSWER_AGE_MS = 2_500;
+    /** Upper bound of the random delay before a claim, in milliseconds; keeps controllers from claiming at the same time. */
+    private static final int MAX_CLAIM_JITTER_MS = 60;
 
-    private static final long PAUSE_UNKNOWN_MS = 300;
-    private static final long PAUSE_LOST_MS = 200;
+    private static final long UNKNOWN_OUTCOME_PAUSE_MS = 300;
+    private static final long LOST_CLAIM_PAUSE_MS = 200;
 
     /**
-     * One try to take the lead.
+     * One attempt to become leader.
      *
-     * @param lease          the state service's lease that the key is bound to
-     * @param sentAt         when that was asked for
-     * @param quiescentSince since when no earlier leader can have answered a worker
-     * @param previousToken  the token under which the last leader began
+     * @param leaseId          ID of the state service lease that the leader key is bound to
+     * @param leaseRequestedAt time at which that lease was requested, by the loop's clock
+     * @param quiescentSince   time since which no earlier leader can have answered a worker, by the loop's clock
+     * @param previousToken    fencing token with which the previous leader started its term; 0 if there was none
      */
-    record Claim(long lease, long sentAt, long quiescentSince, long previousToken) {}
+    record Claim(long leaseId, long leaseRequestedAt, long quiescentSince, long previousToken) {}
 
-    /** Called when an election is won. */
-    interface Winner {
-        /** @param token the revision at which the claim put the leader's key */
-        void won(Claim claim, long token);
+    /** Notified when this controller wins an election. */
+    interface WinListener {
+        /** @param token revision at which the claim wrote the leader key */
+        void electionWon(Claim claim, long token);
     }
 
     private final StoreAccess store;
@@ -49,23 +49,23 @@
     private final ElectionSettings settings;
     private final LeaderRecord self;
     private final LeadershipState state;
-    private final BooleanSupplier promised;
-    private final Winner winner;
+    private final BooleanSupplier boundByPromise;
+    private final WinListener winListener;
     private final long startedAt;
     private LeaderRecord leader = LeaderRecord.NONE;
-    /** The last leader, by a key that stays when the leader lease ends. */
+    /** The last leader, from a key that remains when the leader lease ends. */
     private LeaderRecord lastLeader = LeaderRecord.NONE;
 
     private boolean catchingUp;
     private long claimNotBefore;
-    /** The claim whose transaction is out; null while there is none. */
-    private Claim pending;
-    /** The leader that has stepped down and said so, by its token: its key may be replaced. */
+    /** The claim whose transaction has not been answered yet; null if there is none. */
+    private Claim pendingClaim;
+    /** Token of a leader that has announced that it stepped down, so that its key may be replaced; 0 if there is none. */
     private long handedOverToken;
 
     /**
-     * @param self     this process, without a lease
-     * @param promised whether this controller has promised another one not to lead
+     * @param self           record of this process, without a lease
+     * @param boundByPromise whether this controller is bound by a promise to another controller not to lead
      */
     LeaderElection(
             StoreAccess store,
@@ -73,8 +73,8 @@
             ElectionSettings settings,
             LeaderRecord self,
             LeadershipState state,
-            BooleanSupplier promised,
-            Winner winner) {
+            BooleanSupplier boundByPromise,
+            WinListener winListener) {
         this.store = store;
         this.watchCache = store.cache();
         this.loop = store.loop();
@@ -82,190 +82,196 @@
         this.settings = settings;
         this.self = self;
         this.state = state;
-        this.promised = promised;
-        this.winner = winner;
+        this.boundByPromise = boundByPromise;
+        this.winListener = winListener;
         this.startedAt = loop.now();
     }
 
-    /** What the leader's key says. */
+    /** Returns the value of the leader key. */
     LeaderRecord leader() {
         return leader;
     }
 
-    /** True if the leader's key names this process. */
-    boolean selfIsNamed() {
+    /** Returns whether the leader key names this process. */
+    boolean leaderKeyNamesSelf() {
         return self.incarnation().equals(leader.incarnation());
     }
 
-    /** What the leader's key says of this process under a lease. */
-    LeaderRecord self(long lease) {
-        return new LeaderRecord(self.host(), self.incarnation(), lease);
+    /** Returns the value of the leader key for this process under the given lease. */
+    LeaderRecord recordUnderLease(long leaseId) {
+        return new LeaderRecord(self.host(), self.incarnation(), leaseId);
     }
 
-    /** The watch's news of the leader's key; wins the pending claim if the key shows it. */
+    /** Applies a change of the leader key from the watch; the pending claim is won if the key holds its record. */
     void leaderChanged(JsonNode value, long version) {
-        leader = LeaderRecord.read(value);
-        if (pending != null && put(pending, leader)) {
-            // Its answer is late or lost, and the others follow this controller already.
-            won(pending, version);
+        leader = LeaderRecord.fromJson(value);
+        if (pendingClaim != null && hasWritten(pendingClaim, leader)) {
+            // The answer to the claim is late or lost, but the other controllers already follow this one.
+            finishWonClaim(pendingClaim, version);
         }
     }
 
-    /** The watch's news of the key that names the last leader. */
+    /** Applies a change, from the watch, of the key that names the last leader. */
     void lastLeaderChanged(JsonNode value) {
-        lastLeader = LeaderRecord.read(value);
+        lastLeader = LeaderRecord.fromJson(value);
     }
 
-    /** The leader of this token has stepped down and gives no more commands. */
-    void handedOver(long token) {
+    /** Records that the leader with this token has stepped down and sends no more commands. */
+    void recordHandOver(long token) {
         handedOverToken = token;
     }
 
-    /** Makes no claim for so many milliseconds. */
-    void pause(long pauseMs) {
+    /** Makes no claim for the given time. */
+    void pauseClaims(long pauseMs) {
         claimNotBefore = loop.now() + pauseMs;
     }
 
     /**
-     * Claims the lead where the key is free, or where it names an earlier process of this very host. Called whenever that may
-     * have become so.
+     * Claims leadership if the leader key is free, names an earlier process of this host, or names a leader that has stepped
+     * down. Called whenever one of these may have become true.
      */
-    void consider() {
+    void claimIfPossible() {
         if (!state.is(State.FOLLOWING) || !canClaim()) {
             return;
         }
-        boolean ownHost = self.host().equals(leader.host());
-        boolean handedOver = handedOverToken != 0 && handedOverToken == watchCache.version(settings.key());
-        if (leader.host() != null && !ownHost && !handedOver || promised.getAsBoolean()) {
+        boolean leaderOnOwnHost = self.host().equals(leader.host());
+        boolean leaderHandedOver = handedOverToken != 0 && handedOverToken == watchCache.version(settings.leaderKey());
+        if (leader.host() != null && !leaderOnOwnHost && !leaderHandedOver || boundByPromise.getAsBoolean()) {
             return;
         }
-        if (!ownHost && !handedOver && mayHavePromised()) {
+        if (!leaderOnOwnHost && !leaderHandedOver && earlierPromiseMayBind()) {
             return;
         }
-        state.to(State.CLAIMING);
-        long seen = watchCache.version(settings.key());
-        long seenLast = watchCache.version(settings.lastLeaderKey());
+        state.moveTo(State.CLAIMING);
+        long leaderKeyVersion = watchCache.version(settings.leaderKey());
+        long lastLeaderKeyVersion = watchCache.version(settings.lastLeaderKey());
         long quiescentSince = quiescentSince();
-        // The earlier process of this host is dead: no need to draw lots with the others.
-        loop.after(ownHost ? 0 : random.nextInt(SPREAD_MS), () -> claim(seen, seenLast, quiescentSince));
+        // The earlier process of this host is dead, and its key blocks the other controllers: no jitter is needed.
+        loop.after(
+                leaderOnOwnHost ? 0 : random.nextInt(MAX_CLAIM_JITTER_MS),
+                () -> claim(leaderKeyVersion, lastLeaderKeyVersion, quiescentSince));
     }
 
     private boolean canClaim() {
         return !catchingUp
                 && watchCache.following()
                 && loop.now() >= claimNotBefore
-                && loop.now() - watchCache.lastAnswer() <= UNANSWERED_MS;
+                && loop.now() - watchCache.lastAnswer() <= MAX_ANSWER_AGE_MS;
     }
 
     /**
-     * An earlier process of this host may have promised a leader not to lead. No such promise binds where the last leader was
-     * an earlier process of this very host, which is dead, or where no one has led yet.
+     * Returns whether a promise not to lead, given by an earlier process of this host, may still be in force. There is none if
+     * the last leader was an earlier process of this host, which is dead, or if there has been no leader yet.
      */
-    private boolean mayHavePromised() {
-        boolean unbound = self.host().equals(lastLeader.host()) || watchCache.version(settings.lastLeaderKey()) == 0;
-        return !unbound && loop.now() - startedAt < Promises.DURATION_MS * 1.01;
+    private boolean earlierPromiseMayBind() {
+        boolean noPromisePossible =
+                self.host().equals(lastLeader.host()) || watchCache.version(settings.lastLeaderKey()) == 0;
+        return !noPromisePossible && loop.now() - startedAt < Promises.DURATION_MS * 1.01;
     }
 
     /**
-     * Whatever an earlier process of this host answered is over since this process began. What this one answered when it had
-     * the lead before is not: counted from its start, all leases of its own former leader term would be long over.
+     * Returns the time since which no earlier leader can have answered a worker. An earlier process of this host cannot have
+     * answered after this process started. The start time must not be used if this process itself was the last leader: the
+     * worker leases it granted in that term would all count as expired.
      */
     private long quiescentSince() {
-        boolean earlierProcess =
+        boolean earlierProcessLed =
                 self.host().equals(lastLeader.host()) && !self.incarnation().equals(lastLeader.incarnation());
-        return earlierProcess ? startedAt : loop.now();
+        return earlierProcessLed ? startedAt : loop.now();
     }
 
-    private void claim(long seen, long seenLast, long quiescentSince) {
+    private void claim(long leaderKeyVersion, long lastLeaderKeyVersion, long quiescentSince) {
         long sentAt = loop.now();
-        store.client().grant(settings.leaseMs(), granted -> {
-            if (!granted.ok() || granted.lease() == 0) {
-                claimFailed(PAUSE_UNKNOWN_MS);
+        store.client().grant(settings.leaseMs(), grantAnswer -> {
+            if (!grantAnswer.ok() || grantAnswer.lease() == 0) {
+                returnToFollowing(UNKNOWN_OUTCOME_PAUSE_MS);
                 return;
             }
-            Claim claim = new Claim(granted.lease(), sentAt, quiescentSince, seenLast);
-            pending = claim;
-            JsonNode record = self(claim.lease).toJson();
+            Claim claim = new Claim(grantAnswer.lease(), sentAt, quiescentSince, lastLeaderKeyVersion);
+            pendingClaim = claim;
+            JsonNode record = recordUnderLease(claim.leaseId).toJson();
             List<Write> writes = List.of(
-                    new Write(settings.key(), record, claim.lease), new Write(settings.lastLeaderKey(), record, 0));
-            // What was concluded from the last leader's name holds only if no one has led since.
-            List<Guard> guards =
-                    List.of(new Guard(settings.key(), seen), new Guard(settings.lastLeaderKey(), seenLast));
-            store.client().commit(guards, writes, answer -> claimAnswered(claim, answer));
+                    new Write(settings.leaderKey(), record, claim.leaseId),
+                    new Write(settings.lastLeaderKey(), record, 0));
+            // The conclusions drawn from the last leader hold only if nobody has led since, hence the second guard.
+            List<Guard> guards = List.of(
+                    new Guard(settings.leaderKey(), leaderKeyVersion),
+                    new Guard(settings.lastLeaderKey(), lastLeaderKeyVersion));
+            store.client().commit(guards, writes, answer -> handleClaimAnswer(claim, answer));
         });
     }
 
-    private void claimAnswered(Claim claim, Answer answer) {
-        if (pending != claim) {
-            // The watch's news have decided it.
+    private void handleClaimAnswer(Claim claim, Answer answer) {
+        if (pendingClaim != claim) {
+            // A change of the leader key from the watch has already decided this claim.
             return;
         }
         if (answer.ok()) {
             watchCache.committed(settings.lastLeaderKey(), answer.revision());
-            won(claim, answer.revision());
+            finishWonClaim(claim, answer.revision());
         } else if (answer.status() == Status.UNKNOWN) {
-            resolve(claim);
+            resolveUnknownClaim(claim);
         } else {
-            claimFailed(claim, PAUSE_LOST_MS);
+            abandonClaim(claim, LOST_CLAIM_PAUSE_MS);
             if (answer.status() == Status.CONFLICT) {
-                // Somebody was quicker. Who that is has to be read first: claims made before are lost as well, and
-                // seven controllers that make them keep the state service from the winner.
+                // Another controller won. Wait until the watch shows which one: claims made earlier would fail too, and
+                // those of seven controllers would take state service capacity from the winner.
                 catchUp();
             }
         }
     }
 
-    /** The claim may have been carried out: the key itself shows it. */
-    private void resolve(Claim claim) {
-        store.client().get(settings.key(), answer -> {
-            if (pending != claim) {
+    /** Reads the leader key to find out whether a claim with an unknown outcome was applied. */
+    private void resolveUnknownClaim(Claim claim) {
+        store.client().get(settings.leaderKey(), answer -> {
+            if (pendingClaim != claim) {
                 return;
             }
-            if (answer.ok() && put(claim, LeaderRecord.read(answer.value()))) {
-                won(claim, answer.version());
+            if (answer.ok() && hasWritten(claim, LeaderRecord.fromJson(answer.value()))) {
+                finishWonClaim(claim, answer.version());
             } else if (answer.status() == Status.REFUSED || answer.status() == Status.UNKNOWN) {
-                loop.after(PAUSE_UNKNOWN_MS, () -> resolve(claim));
+                loop.after(UNKNOWN_OUTCOME_PAUSE_MS, () -> resolveUnknownClaim(claim));
             } else {
-                // Not there yet; it may still arrive, and is then given up by letting its lease go.
-                claimFailed(claim, PAUSE_UNKNOWN_MS);
+                // Not applied so far. It may still be applied late; releasing its lease then removes the key.
+                abandonClaim(claim, UNKNOWN_OUTCOME_PAUSE_MS);
             }
         });
     }
 
     /**
-     * True if this is the claim that put the record: an earlier one of the same process, carried out late, has bound the key
-     * to another lease, which is not renewed any more.
+     * Returns whether the stored record was written by this claim. An earlier claim of the same process that was applied late
+     * has bound the key to another lease, which is no longer renewed.
      */
-    private boolean put(Claim claim, LeaderRecord stored) {
-        return self.incarnation().equals(stored.incarnation()) && stored.lease() == claim.lease;
+    private boolean hasWritten(Claim claim, LeaderRecord stored) {
+        return self.incarnation().equals(stored.incarnation()) && stored.leaseId() == claim.leaseId;
     }
 
-    /** Makes no claim before the watch has brought what was there when this is called. */
+    /** Blocks further claims until the watch has delivered everything that was stored before this call. */
     private void catchUp() {
         catchingUp = true;
         watchCache.barrier(
                 () -> {
                     catchingUp = false;
-                    consider();
+                    claimIfPossible();
                 },
-                () -> loop.after(PAUSE_LOST_MS, () -> catchingUp = false));
+                () -> loop.after(LOST_CLAIM_PAUSE_MS, () -> catchingUp = false));
     }
 
-    private void claimFailed(Claim claim, long pauseMs) {
-        pending = null;
-        store.client().release(claim.lease, ignored -> {});
-        claimFailed(pauseMs);
+    private void abandonClaim(Claim claim, long pauseMs) {
+        pendingClaim = null;
+        store.client().release(claim.leaseId, ignored -> {});
+        returnToFollowing(pauseMs);
     }
 
-    private void claimFailed(long pauseMs) {
-        pause(pauseMs);
-        state.to(State.FOLLOWING);
+    private void returnToFollowing(long pauseMs) {
+        pauseClaims(pauseMs);
+        state.moveTo(State.FOLLOWING);
     }
 
-    private void won(Claim claim, long token) {
-        pending = null;
-        leader = self(claim.lease);
+    private void finishWonClaim(Claim claim, long token) {
+        pendingClaim = null;
+        leader = recordUnderLease(claim.leaseId);
         lastLeader = leader;
-        winner.won(claim, token);
+        winListener.electionWon(claim, token);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller leads, and may act. One key, bound to a lease of the state service, names the leader; the revision
- * at which it was put is the fencing token. The right to act runs from when the last successful renewal was sent, for the
- * lease's duration less drift.
+ * Whether this controller is the leader, and whether it may act as such. One key, bound to a lease in the state service, names
+ * the leader; the revision at which that key was written is the fencing token. A leader may act for the lease duration, less an
+ * allowance for clock drift, after the last successful renewal was sent, and only while its view of cancellations is fresh.
  */
 public final class Leadership {
     /**
-     * LEADING by the lease. PROMISED: the state service does not answer, but every other controller has promised not to take
-     * the lead for a while. SUSPENDED: neither, or it is too long since all cancellations were known; no command is given,
-     * but if the lease turns out to be alive the leader goes on under the same token, since then no one else can have led
-     * meanwhile.
+     * LEADING: the leader holds a valid lease. PROMISED: the state service does not answer, but every other controller has
+     * promised not to lead for a limited time. SUSPENDED: neither holds, or the view of cancellations is too old, so no command
+     * is sent. If the lease then proves to be still valid, the leader continues with the same token, because no other
+     * controller can have led in between.
      */
     public enum State {
         FOLLOWING,
@@ -31,22 +31,26 @@
         SUSPENDED
     }
 
-    /** Called for every change of state. */
+    /** Notified of the start and end of this controller's leader terms, and of cancellations that other controllers report. */
     public interface Listener {
-        /** This controller leads under the token, and its copy of the state holds all that was written before. */
+        /** Called once this controller leads with this token and its view holds everything written before the election. */
         void elected(long token);
 
-        /** This controller does not lead any more. */
+        /** Called when this controller no longer leads. */
         void deposed();
 
-        /** Another controller knows the job to be cancelled, at this revision. */
-        void cancelled(String job, long revision);
+        /**
+         * Called when another controller reports that a job was cancelled.
+         *
+         * @param revision revision at which the cancellation was stored
+         */
+        void cancelled(String jobId, long revision);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    private static final long RETRY_MS = 200;
-    /** A renewal that is late by more than this lets the leader ask for promises. */
-    private static final long LATE_RENEWAL_MS = 100;
+    private static final long BARRIER_RETRY_MS = 200;
+    /** The leader requests promises when a renewal is overdue by more than this, in milliseconds. */
+    private static final long RENEWAL_DELAY_LIMIT_MS = 100;
 
     private final WatchCache watchCache;
     private final EventLoop loop;
@@ -59,23 +63,23 @@
     private final FencingToken token;
     private final LeaderElection election;
     private final Promises promises;
-    /** When this controller took the lead last; what it knows may be a watch's wait old then. */
+    /** Time of the last election win, by the loop's clock; its view may then be as old as one long-poll wait of the watch. */
     private long wonAt;
 
     private long quiescentSince;
     private long previousToken;
-    private boolean verifying;
+    private boolean leaderCheckPending;
 
     /**
-     * @param random        draws this process' incarnation and the pauses before claims
-     * @param cancellations the cancellations that this process knows
+     * @param random          source of this process's incarnation and of the jitter before claims
+     * @param cancellationLog cancellations known to this process
      */
     public Leadership(
             StoreAccess store,
             RandomGenerator random,
             PeerGroup peers,
             ElectionSettings settings,
-            CancellationLog cancellations,
+            CancellationLog cancellationLog,
             Listener listener) {
         this.watchCache = store.cache();
         this.loop = store.loop();
@@ -84,106 +88,110 @@
         this.listener = listener;
         this.incarnation = Long.toUnsignedString(random.nextLong(), 36);
         CancellationReports reports =
-                new CancellationReports(loop, peers.others(), random.nextLong(), cancellations, watchCache::loaded);
-        this.promises = new Promises(store.client(), loop, peers, settings.key(), reports);
+                new CancellationReports(loop, peers.others(), random.nextLong(), cancellationLog, watchCache::loaded);
+        this.promises = new Promises(store.client(), loop, peers, settings.leaderKey(), reports);
         this.lease = new LeaderLease(store.client(), loop, settings.leaseMs());
-        this.token = new FencingToken(store, settings.key(), lease);
+        this.token = new FencingToken(store, settings.leaderKey(), lease);
         this.election = new LeaderElection(
                 store,
                 random,
                 settings,
                 new LeaderRecord(peers.host(), incarnation, 0),
                 state,
-                promises::bound,
-                this::won);
+                promises::isBound,
+                this::beginTerm);
     }
 
-    /** Begins to follow, to claim and to renew, by a timer of its own. */
+    /** Starts the timer that drives claims and renewals. */
     public void start() {
         tick();
     }
 
-    /** The state in the election. */
+    /** Returns the election state of this controller. */
     public State state() {
         return state.current();
     }
 
-    /** Names this process among all processes of its host. */
+    /** Returns the identifier that distinguishes this process from all other processes of its host. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** The host in the leader's key, null while there is none. */
+    /** Returns the host named in the leader key; null if there is none. */
     public String leaderHost() {
         return election.leader().host();
     }
 
-    /** The fencing token under which this controller leads, or led last. */
+    /** Returns the fencing token of this controller's current, or else last, leader term. */
     public long token() {
         return token.value();
     }
 
-    /** Since when, by the loop's clock, no earlier leader can have answered a worker. */
+    /** Returns the time since which no earlier leader can have answered a worker, by the loop's clock. */
     public long quiescentSince() {
         return quiescentSince;
     }
 
-    /** The token under which the last leader began, before this one; 0 where there was none. */
+    /** Returns the fencing token with which the leader before this one started its term; 0 if there was none. */
     public long previousToken() {
         return previousToken;
     }
 
-    /** Version of the leader's key that the leader's writes are conditional on; 0 while this process may not write. */
+    /** Returns the version of the leader key that the leader's writes are guarded by; 0 while this process may not write. */
     public long writeGuard() {
         return leads() ? token.value() : 0;
     }
 
-    /** True while this controller leads, whether it may act now or not. */
+    /** Returns whether this controller leads, even if it may not act at present. */
     public boolean leads() {
         return state.leads();
     }
 
-    /** True while a command or a renewal of a worker's lease may be given: checked right before each. */
+    /** Returns whether the leader may send a command or renew a worker's lease; to be checked right before each. */
     public boolean mayAct() {
-        return state.active() && withinRights();
+        return state.isActive() && withinDeadlines();
     }
 
-    private boolean withinRights() {
+    private boolean withinDeadlines() {
         return loop.now() < Math.min(lease.validUntil(), freshnessDeadline());
     }
 
     /**
-     * Every cancellation that any controller confirmed to a user before this time, by the loop's clock, is known here: by what was
-     * read of the state, or by the reports of all others.
+     * Returns a time, by the loop's clock: every cancellation that any controller confirmed to a user before it is known here,
+     * from the state service or from the reports of all other controllers.
      */
     public long cancellationsKnownAt() {
-        return Math.max(watchCache.viewAt(), promises.cancellationsKnownAt());
+        return Math.max(watchCache.viewAt(), promises.cancellationsKnownBefore());
     }
 
     /**
-     * Until when workers may be answered without more news of cancellations, by the loop's clock. Beyond it the lead ends by
-     * itself: the tasks of a job whose cancellation was confirmed could otherwise run on for as long as an outage lasts.
-     * What is cancelled now must be off its machine by then and a lease of the machine.
+     * Returns the deadline, by the loop's clock, for answering workers without a newer view of cancellations. After it the
+     * leader is suspended; otherwise the tasks of a job with a confirmed cancellation could run for the whole length of an
+     * outage. The tasks of a job that is cancelled now must be gone by this deadline plus one worker lease.
      */
     public long freshnessDeadline() {
         return cancellationsKnownAt() + settings.freshnessMs();
     }
 
-    /** The watch's news of the leader's key; null where it has been deleted. */
+    /**
+     * Applies a change of the leader key from the watch.
+     *
+     * @param value the new value; null if the key was deleted
+     */
     public void keyChanged(JsonNode value, long version) {
         election.leaderChanged(value, version);
         if (leads() && version > token.value()) {
-            if (election.selfIsNamed()) {
-                // A token that was raised by a write of ours whose answer got lost.
+            if (election.leaderKeyNamesSelf()) {
+                // This process raised the token itself, and the answer to that write was lost.
                 token.set(version);
             } else {
-                stepDown("another controller holds the key");
+                stepDown("another controller holds the leader key");
             }
         }
         consider();
     }
 
-    /** The watch's news of the key that names the last leader, for as long as no other follows. */
+    /** Applies a change, from the watch, of the key that names the last leader. */
     public void lastLeaderChanged(JsonNode value) {
         election.lastLeaderChanged(value);
     }
@@ -191,148 +199,151 @@
     private void tick() {
         switch (state.current()) {
             case FOLLOWING -> consider();
-            case LEADING, PROMISED, SUSPENDED -> maintain();
+            case LEADING, PROMISED, SUSPENDED -> maintainLeadership();
             case CLAIMING -> {}
         }
         loop.after(settings.leaseMs() / 6, this::tick);
     }
 
-    private void maintain() {
-        boolean stale = loop.now() >= freshnessDeadline();
-        if (state.is(State.LEADING) && stale && lease.valid() && loop.now() - wonAt > settings.leaseMs()) {
-            // The lease is renewed and nothing can be read, as where the state service is too slow for it.
-            handOver("this controller cannot read what changes");
+    private void maintainLeadership() {
+        boolean viewIsStale = loop.now() >= freshnessDeadline();
+        if (state.is(State.LEADING) && viewIsStale && lease.isValid() && loop.now() - wonAt > settings.leaseMs()) {
+            // Renewals succeed but the watch makes no progress, for example because the state service is too slow.
+            handOverLeadership("this controller receives no changes from the state service");
             return;
         }
-        if (!state.is(State.SUSPENDED) && (stale || !lease.valid())) {
-            suspend(stale);
+        if (!state.is(State.SUSPENDED) && (viewIsStale || !lease.isValid())) {
+            suspend(viewIsStale);
         }
-        if (lease.sinceRenewal() > settings.leaseMs() * 2 / 5 + LATE_RENEWAL_MS) {
-            promises.ask(token.value(), watchCache.revision());
+        if (lease.msSinceRenewal() > settings.leaseMs() * 2 / 5 + RENEWAL_DELAY_LIMIT_MS) {
+            promises.requestPromises(token.value(), watchCache.revision());
         }
-        lease.renew(settings.leaseMs() / 3, this::renewed, () -> stepDown("the lease has ended"));
+        lease.renew(settings.leaseMs() / 3, this::resumeLeading, () -> stepDown("the leader lease has expired"));
     }
 
-    private void suspend(boolean stale) {
-        if (stale) {
+    private void suspend(boolean viewIsStale) {
+        if (viewIsStale) {
             LOG.warn(
-                    "all cancellations are known only up to {} ms ago: no worker is answered any more",
+                    "workers not answered because the view of cancellations is too old, ageMs={}",
                     loop.now() - cancellationsKnownAt());
         }
-        state.to(State.SUSPENDED);
+        state.moveTo(State.SUSPENDED);
     }
 
-    private void renewed() {
-        if (withinRights()) {
-            state.to(State.LEADING);
+    private void resumeLeading() {
+        if (withinDeadlines()) {
+            state.moveTo(State.LEADING);
         }
     }
 
     /**
-     * Claims the lead where the key is free, or where it names an earlier process of this very host. Called whenever that may
-     * have become so.
+     * Claims leadership if the leader key is free, names an earlier process of this host, or names a leader that has stepped
+     * down. Called whenever one of these may have become true.
      */
     public void consider() {
-        election.consider();
+        election.claimIfPossible();
     }
 
-    private void won(LeaderElection.Claim claim, long revision) {
-        lease.begin(claim.lease(), claim.sentAt());
+    private void beginTerm(LeaderElection.Claim claim, long revision) {
+        lease.begin(claim.leaseId(), claim.leaseRequestedAt());
         quiescentSince = claim.quiescentSince();
         previousToken = claim.previousToken();
         wonAt = loop.now();
         token.set(revision);
-        watchCache.committed(settings.key(), revision);
-        state.to(State.LEADING);
+        watchCache.committed(settings.leaderKey(), revision);
+        state.moveTo(State.LEADING);
         awaitCurrentView();
     }
 
-    /** The new leader's view must hold everything that was written before it was elected. */
+    /** Reports the election only once this controller's view holds everything that was written before it. */
     private void awaitCurrentView() {
-        long elected = token.value();
+        long electedToken = token.value();
         watchCache.barrier(
                 () -> {
-                    if (leads() && token.value() == elected) {
-                        listener.elected(elected);
+                    if (leads() && token.value() == electedToken) {
+                        listener.elected(electedToken);
                     }
                 },
-                () -> loop.after(RETRY_MS, () -> {
-                    if (leads() && token.value() == elected) {
+                () -> loop.after(BARRIER_RETRY_MS, () -> {
+                    if (leads() && token.value() == electedToken) {
                         awaitCurrentView();
                     }
                 }));
     }
 
     /**
-     * Takes a higher token under the same lease. Commands given under the old one that are still on their way are then
-     * refused by every worker that has seen the new one.
+     * Obtains a higher token under the same lease. Workers that have seen the new token reject commands with the old one that
+     * are still in transit.
      */
     public void raiseToken() {
         if (state.is(State.LEADING)) {
-            token.raise(election.self(lease.id()));
+            token.raise(election.recordUnderLease(lease.id()));
         }
     }
 
-    /** A worker has seen a higher token than ours: the state service is asked who leads, past a barrier. */
+    /**
+     * Checks with the state service who leads, after a worker has seen a higher token than this leader's. The watch delivers
+     * any change of the leader key before the barrier is passed.
+     */
     public void suspect() {
-        if (!verifying) {
-            verifying = true;
-            watchCache.barrier(() -> verifying = false, () -> verifying = false);
+        if (!leaderCheckPending) {
+            leaderCheckPending = true;
+            watchCache.barrier(() -> leaderCheckPending = false, () -> leaderCheckPending = false);
         }
     }
 
-    /** Another controller asks for a promise; whoever leads, or may be about to, gives none. */
+    /** Answers another controller's request for a promise; a controller that leads or is claiming gives none. */
     public void asked(PeerMessage.Ask ask) {
-        promises.asked(ask, () -> leads() || state.is(State.CLAIMING));
+        promises.answerRequest(ask, () -> leads() || state.is(State.CLAIMING));
     }
 
-    /** Another controller has given its promise, and reports the cancellations that it knows. */
+    /** Applies a promise of another controller and the cancellations reported with it. */
     public void granted(PeerMessage.Grant grant) {
-        promises.reported(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
+        promises.applyReport(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
             return;
         }
-        if (lease.extendByPromises(promises.granted(grant)) && loop.now() < freshnessDeadline()) {
-            state.to(State.PROMISED);
+        if (lease.extendByPromises(promises.recordPromise(grant)) && loop.now() < freshnessDeadline()) {
+            state.moveTo(State.PROMISED);
         }
     }
 
-    /** Another controller gives no promise, since it can use the state service or leads. */
+    /** Handles a refused promise: the other controller leads, is claiming, or can reach the state service. */
     public void refused(PeerMessage.Refuse refusal) {
-        // One that comes late is about an earlier failure: in an outage it would cost the lead that the others have
-        // promised.
+        // Ignore a late refusal, which is about an earlier failure: during an outage it would end a leader term that
+        // the other controllers have promised to respect.
         if (!leads()
                 || refusal.token() != token.value()
-                || lease.sinceRenewal() < settings.leaseMs() / 2
-                || !promises.askedLately(refusal.number())) {
+                || lease.msSinceRenewal() < settings.leaseMs() / 2
+                || !promises.isRecentRequest(refusal.number())) {
             return;
         }
-        // Someone else can use the state service. One more try of our own, then the lead goes to that controller.
+        // The other controller can use the state service. Try one more renewal, then hand leadership over.
         lease.tryRenewal(
-                Promises.PROBE_MS,
-                this::renewed,
-                () -> handOver(refusal.host() + " can use the state service and this controller cannot"));
+                Promises.PROBE_TIMEOUT_MS,
+                this::resumeLeading,
+                () -> handOverLeadership(refusal.host() + " can use the state service and this controller cannot"));
     }
 
-    /** Steps down for good and lets the others know that the key may be replaced. */
-    private void handOver(String why) {
-        long ended = token.value();
-        stepDown(why);
-        peers.sendToOthers(new PeerMessage.HandOver(peers.host(), ended));
+    /** Ends this leader term and tells the other controllers that the leader key may be replaced. */
+    private void handOverLeadership(String reason) {
+        long endedToken = token.value();
+        stepDown(reason);
+        peers.sendToOthers(new PeerMessage.HandOver(peers.host(), endedToken));
     }
 
-    /** The leader of this token gives no more commands, as it says itself. */
+    /** Handles the announcement of a leader that it has stepped down and sends no more commands. */
     public void handedOver(PeerMessage.HandOver handOver) {
-        election.handedOver(handOver.token());
+        election.recordHandOver(handOver.token());
         consider();
     }
 
-    private void stepDown(String why) {
-        LOG.warn("stepping down: {}", why);
+    private void stepDown(String reason) {
+        LOG.warn("stepping down, reason={}", reason);
         lease.end();
         promises.clear();
-        election.pause(settings.leaseMs());
-        state.to(State.FOLLOWING);
+        election.pauseClaims(settings.leaseMs());
+        state.moveTo(State.FOLLOWING);
         listener.deposed();
     }
 }
