--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -17,8 +17,8 @@
 import org.landingridge.wire.RentRequest;
 
 /**
- * Describes machines to the scheduler in one cycle. Besides, it adds to the teams what their tasks take, and to the groups
- * in which zones their tasks are.
+ * Builds the scheduler's candidate nodes for one cycle from the machines of the fleet and the pending rent operations. Also
+ * adds the CPU and GPU usage of running tasks to their teams, and counts the tasks of each group by zone.
  */
 final class CandidateNodeBuilder {
     private final Fleet fleet;
@@ -44,12 +44,12 @@
         this.now = now;
     }
 
-    /** The nodes in the order in which they were added. */
+    /** Returns the nodes in the order in which they were added. */
     List<CandidateNode> nodes() {
         return nodes;
     }
 
-    /** Adds the machines of the fleet that take tasks or are on their way. */
+    /** Adds the machines of the fleet that can take tasks now or are expected to be able to soon. */
     void addMachines() {
         if (fleet.anyUnreadable()) {
             holdForAllTeams(Double.MAX_VALUE, Double.MAX_VALUE);
@@ -62,7 +62,9 @@
     private void addMachine(Machine machine) {
         boolean usable = fleet.usable(machine, now);
         if (fleet.unaccounted(machine)) {
-            // It may run tasks of any team that nobody has reported, as many as fit: they count within the limits.
+            // The machine may run unreported tasks of any team, up to its full size, so its size counts against the
+            // limit
+            // of every team.
             holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
         }
         CandidateNode node =
@@ -71,13 +73,13 @@
         node.awaitingHeartbeat = fleet.unheard(machine, now);
         boolean idle = addAttempts(machine, node);
         node.idleMs = idle ? fleet.idleMs(machine, now) : 0;
-        // What neither takes tasks nor is on its way counts for nothing.
+        // Machines that can take no tasks, neither now nor soon, are left out.
         if (usable || fleet.coming(machine, now)) {
             nodes.add(node);
         }
     }
 
-    /** Adds what takes room on the machine; true where nothing does. */
+    /** Adds the live attempts on the machine to the node; returns true if there are none. */
     private boolean addAttempts(Machine machine, CandidateNode node) {
         boolean idle = true;
         boolean unknown = false;
@@ -88,7 +90,7 @@
             idle = false;
             addAttempt(attempt, node);
             if (attempt.spec() == null && !unknown) {
-                // Nobody here remembers its job: what it takes is unknown, and so is its team.
+                // The job is not known, so neither are its team and its resource needs.
                 unknown = true;
                 holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
             }
@@ -134,7 +136,7 @@
         }
     }
 
-    /** Adds the machines that open rents may bring. */
+    /** Adds a node for each machine that an open rent operation may still provide, unless the operation was escalated. */
     void addRents(Operations operations, Map<String, MachineType> types) {
         for (Operation operation : operations.all()) {
             if (operation.open()
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -5,7 +5,7 @@
 import org.landingridge.controller.history.Compactor;
 import org.landingridge.controller.jobs.JobTable;
 
-/** What the compaction of the job history has to respect in this leader term. */
+/** Tells the compactor of the job history when it may run and which jobs it must not move, in this leader term. */
 final class CompactionOwner implements Compactor.Owner {
     private final LeaderContext context;
     private final Fleet fleet;
--- a/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
@@ -9,11 +9,17 @@
 import org.landingridge.controller.scheduling.Team;
 import org.landingridge.controller.settings.Settings;
 
-/** The teams of the live configuration as the scheduler sees them: by index, all by the same change. */
+/**
+ * The teams of the live configuration, by index, for the scheduler. All teams of a cycle come from the same revision of the
+ * configuration.
+ */
 final class ConfiguredTeams {
-    /** A change is in force within 7 s wherever it was made: beyond that less what a command takes, nothing is started. */
+    /**
+     * Age of the leader's view beyond which it starts nothing, in milliseconds. A configuration change must take effect within
+     * 7 s, whichever controller accepted it; 1 s of that is left for sending a command.
+     */
     private static final long IN_FORCE_MS = 6_000;
-    /** After so long without news of the state service it is asked whether there are any. */
+    /** Age of the leader's view beyond which it asks the state service for changes, in milliseconds. */
     private static final long ASK_AGAIN_MS = 2_500;
 
     private final LeaderContext context;
@@ -25,8 +31,8 @@
         this.context = context;
     }
 
-    /** The teams as they are configured now, without usage; a cycle reads the configuration here only. */
-    @SuppressWarnings("ReferenceEquality") // each change makes a new immutable configuration
+    /** Returns the currently configured teams, without usage. A cycle reads the configuration only through this method. */
+    @SuppressWarnings("ReferenceEquality") // each change creates a new immutable configuration
     List<Team> refresh() {
         Configuration current = context.configuration().current();
         if (current != configuration) {
@@ -42,19 +48,21 @@
         return teams;
     }
 
-    /** The index of a team as of the last {@link #refresh}, or the given one where there is no such team. */
+    /** Returns the index of a team as of the last {@link #refresh}, or the given default if there is no such team. */
     int index(String name, int otherwise) {
         return indexByName.getOrDefault(name, otherwise);
     }
 
-    /** True once the teams were ever changed while the cluster ran. */
+    /** Returns true if the teams were ever changed by a live configuration change, in this or an earlier term. */
     boolean everChanged() {
         return configuration.number() != 0;
     }
 
     /**
-     * True while this leader may lack a change that others could have made: it starts nothing that may be forbidden by now.
-     * In an outage nobody can make one, and the promises of all others say so. Where nothing was ever configured, nothing is asked.
+     * Returns true while another controller may have committed a configuration change that this leader has not seen yet. The
+     * leader then starts nothing, since the change may forbid it. During an outage of the state service no change can be
+     * committed, and the promises of all other controllers confirm that. Returns false, without asking the state service, if the
+     * configuration was never changed.
      */
     boolean mayBeOutdated(long now) {
         if (!everChanged()) {
--- a/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -5,19 +5,19 @@
 import org.landingridge.controller.observability.EventLog;
 import org.landingridge.controller.recovery.ObservationWindow;
 
-/** How far a new leader has come in reconciling the heartbeats with the stored state, for people: events and status. */
+/** Tracks how far a new leader has reconciled heartbeats with the stored state, and reports it as events and in the status. */
 final class FailoverProgress {
-    /** The names are shown. */
+    /** The phase of the failover; the names of the constants are shown in the status. */
     private enum State {
-        /** Which machines are there is not known yet. */
+        /** The set of machines is not known yet. */
         GATHERING,
-        /** Machines are left to be accounted for. */
+        /** Some machines are not accounted for yet. */
         SETTLING,
         /** Every machine is accounted for. */
         OVER
     }
 
-    /** Of the machines to be accounted for, the shares in percent that are announced. */
+    /** Percentages of accounted-for machines at which an event is emitted. */
     private static final int[] SHARES = {50, 95, 100};
 
     private final Fleet fleet;
@@ -36,7 +36,7 @@
         this.asked = fleet.unaccounted();
     }
 
-    /** Notes how far it has come, and announces what is new. */
+    /** Updates the state, and emits events for the progress since the last call. */
     void update(long now) {
         int left = fleet.unaccounted();
         announceShares(left, now);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** The only place where the state changes. */
+    /** Changes the state and emits the matching event; no other method changes the state. */
     private void transition(State next, long now) {
         state = next;
         eventLog.emit(
@@ -70,7 +70,7 @@
                 fleet.blocked());
     }
 
-    /** Adds the state, the counts, and the machines by decision. */
+    /** Adds the state, the counts, and the machines grouped by decision to the node. */
     void describe(ObjectNode node, long now) {
         node.put("state", state.name())
                 .put("sinceMs", now - beganAt)
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -14,11 +14,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the fleet with the cloud's lists, and returns machines that are of no use. */
+/** Compares the fleet with the cloud's machine lists, and returns unusable machines to the cloud. */
 final class InstanceReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceReconciler.class);
     private static final long LIST_PAUSE_MS = 2_000;
-    /** What a list may lag beyond twice the usual. */
+    /** Margin added to twice the configured list lag, in milliseconds. */
     private static final long LAG_MARGIN_MS = 2_000;
 
     private final LeaderContext context;
@@ -33,10 +33,10 @@
     private boolean closed;
 
     /**
-     * Begins with the first call of {@link #list}.
+     * Creates a reconciler that sends nothing to the cloud until it is called.
      *
-     * @param onGone   called with machines that the cloud has taken, according to its lists
-     * @param onListed called after each list that was read
+     * @param onGone   called with the ids of machines that the cloud has taken back, according to its lists
+     * @param onListed called after each list has been processed
      */
     InstanceReconciler(
             LeaderContext context,
@@ -54,12 +54,12 @@
         this.listLagMs = Math.round(context.settings().cloudLimits().listLagS() * 1000);
     }
 
-    /** Ends with the leader term. */
+    /** Makes the reconciler ignore lists that arrive after the end of the leader term. */
     void close() {
         closed = true;
     }
 
-    /** Returns machines that never came up, fail their tasks, or are lost as far as is known. */
+    /** Returns machines to the cloud that never came up, fail their tasks, or are considered lost. */
     void returnUseless(long now) {
         List<String> useless = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
@@ -75,7 +75,7 @@
         operations.returnMachines(useless);
     }
 
-    /** Asks for the cloud's list, where it is time to. */
+    /** Requests the cloud's machine list if no request is pending and the pause since the last list has passed. */
     void list() {
         long askedAt = context.loop().now();
         if (listing || askedAt < nextList) {
@@ -94,7 +94,8 @@
     private void reconcile(List<CloudMachine> machines, long askedAt) {
         for (CloudMachine listed : machines) {
             reconcile(listed);
-            // A machine that was returned may be listed for a while yet: it would be remembered for good.
+            // The cloud may list a returned machine for a while; recording it would leave an entry that is never
+            // removed.
             if (fleet.machine(listed.id()) != null) {
                 listedMachines.listed(listed.id(), askedAt);
             }
@@ -106,8 +107,9 @@
     private void reconcile(CloudMachine listed) {
         Machine machine = fleet.machine(listed.id());
         if (machine == null && !fleet.wasReleased(listed.id()) && !listed.failed()) {
-            // No operation claims it: a rent that succeeded late, or it was there before us. It is used, or returned
-            // idle.
+            // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
+            // this
+            // leader term. The scheduler uses it, or returns it as idle.
             LOG.info("unknown machine listed, taken in, machine={}", listed.id());
             fleet.appeared(listed.id(), listed.addr(), listed.type(), listed.zone(), listed.spot());
         } else if (machine != null && listed.failed()) {
@@ -116,8 +118,9 @@
     }
 
     /**
-     * A machine that was listed and is absent is gone, unless the list is older than the one that showed it: lists lag
-     * by up to twice the usual and run backwards. It is applied to machines whose lease has expired only.
+     * Removes machines that an earlier list showed and this list doesn't. Lists can lag by up to twice the configured time and
+     * a later list can show an older state, so the earlier list must be older by more than that. Only machines whose lease has
+     * expired are removed.
      */
     private void removeAbsent(List<CloudMachine> machines, long askedAt) {
         Set<String> present = new HashSet<>();
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
@@ -22,11 +22,11 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * What a leader term works with: the parts that every controller runs, and that outlive the term.
+ * The dependencies of a leader term: components that every controller runs and that outlive the term.
  *
- * @param lead          whether this controller leads, and its fencing token
- * @param capabilities  what all controllers understand
- * @param configuration the teams as they are in force
+ * @param lead          the state of this controller in the leader election, and its fencing token
+ * @param capabilities  the features that all controllers of the cluster support
+ * @param configuration the live configuration of the teams
  */
 public record LeaderContext(
         Environment environment,
@@ -38,10 +38,10 @@
         Capabilities capabilities,
         ConfigurationView configuration,
         Observability observability) {
-    /** The process: its event loop and clocks, its connections, its source of random numbers. */
+    /** The process environment: event loop with its clocks, HTTP connections, and random number generator. */
     public record Environment(EventLoop loop, Http http, RandomGenerator random) {}
 
-    /** What was configured at the start of the process. */
+    /** The configuration that was read when the process started. */
     public record Configured(Settings settings, Policy policy) {}
 
     /** Access to the state service. */
@@ -50,14 +50,14 @@
     /**
      * Access to the cloud.
      *
-     * @param types the machine types on offer, by name; a view that follows the cloud
+     * @param types live view of the machine types that the cloud offers, by name
      */
     public record Cloud(CloudClient client, Map<String, MachineType> types) {}
 
-    /** The jobs: known ones, ended ones, and the lookup of those that others await. */
+    /** Access to jobs: the table of known jobs, the history of ended jobs, and the lookup of awaited jobs. */
     public record Jobs(JobTable table, History history, JobLookup lookup) {}
 
-    /** Where the term reports what happens. */
+    /** Metrics, incidents and structured events that the term reports to. */
     public record Observability(Metrics metrics, IncidentReport incidents, EventLog eventLog) {}
 
     EventLoop loop() {
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
@@ -11,7 +11,7 @@
 import org.landingridge.controller.fleet.Fleet;
 import org.landingridge.controller.fleet.Machine;
 
-/** The leader's part of {@code /api/status}. */
+/** The part of {@code /api/status} that only the leader can provide. */
 final class LeaderStatus {
     private final Fleet fleet;
     private final Operations operations;
@@ -23,7 +23,7 @@
         this.failover = failover;
     }
 
-    /** Tasks seen running, by job. */
+    /** Returns the number of running tasks by job id, according to the latest heartbeats. */
     Map<String, Integer> running() {
         Map<String, Integer> counts = new LinkedHashMap<>();
         for (Machine machine : fleet.machines()) {
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -30,15 +30,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One time in office of a leader: everything that it knows and does, rebuilt from the state service and from heartbeats at
- * each election, and dropped as a whole when the leadership ends.
+ * The state and the components of one leader term. They are rebuilt from the state service and from heartbeats after each
+ * election, and discarded together when the leadership ends.
  */
 public final class LeaderTerm implements JobTable.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MS = 500;
-    /** Beyond the time of a heartbeat a new leader waits so long at most before it scales out. */
+    /** Longest wait of a new leader before it scales out, beyond the assumed heartbeat interval, in milliseconds. */
     private static final long OBSERVATION_MARGIN_MS = 1_500;
-    /** The time of a heartbeat in milliseconds for each second of its interval: a quarter more than that. */
+    /** Assumed heartbeat interval in milliseconds per configured second; a quarter longer, since heartbeats can be late. */
     private static final double HEARTBEAT_MS_PER_S = 1250;
 
     private final LeaderContext context;
@@ -63,10 +63,10 @@
     private boolean closed;
 
     /**
-     * Begins at once.
+     * Loads the stored documents and starts the term.
      *
-     * @param stored the leader's documents
-     * @param seenAt when, by the loop's clock, each came to be known here in its present form
+     * @param stored the documents that earlier leaders stored, by key
+     * @param seenAt when this process first saw the current version of each document, by key and the event loop's clock
      */
     public LeaderTerm(LeaderContext context, Map<String, JsonNode> stored, Map<String, Long> seenAt) {
         this.context = context;
@@ -171,7 +171,7 @@
                         fleet.unaccounted());
     }
 
-    /** Ends the term; nothing of it is written or sent any more. */
+    /** Ends the term. Nothing more is written or sent on its behalf. */
     public void close() {
         closed = true;
         trigger.close();
@@ -182,22 +182,22 @@
         writer.clear();
     }
 
-    /** A worker's heartbeat; the exchange is answered now or later. */
+    /** Processes a worker's heartbeat. The exchange may be answered after this method has returned. */
     public void report(Heartbeat heartbeat, Http.Exchange exchange) {
         fleet.report(heartbeat, exchange);
     }
 
-    /** Something has changed that the scheduler should know: a scheduling cycle follows soon. */
+    /** Requests a scheduling cycle after a change that affects scheduling. */
     public void changed() {
         trigger.changed();
     }
 
-    /** Tasks seen running, by job. */
+    /** Returns the number of running tasks by job id, according to the latest heartbeats. */
     public Map<String, Integer> running() {
         return status.running();
     }
 
-    /** Adds the leader's part of {@code /api/status}. */
+    /** Adds the leader's part of {@code /api/status} to the node. */
     public void describe(ObjectNode node) {
         status.describe(node, loop.now());
     }
@@ -225,7 +225,7 @@
         trigger.changed();
     }
 
-    /** How many machines and jobs a scheduling cycle visits. */
+    /** Returns the number of machines and jobs that a scheduling cycle visits. */
     private int visits() {
         return fleet.size() + table.active().size();
     }
@@ -249,7 +249,7 @@
         loop.after(TICK_MS, this::tick);
     }
 
-    /** Inner, since the fleet is made before the parts that follow its events. */
+    /** Forwards events of the fleet. An inner class, since the fleet is created before the components that handle them. */
     private final class FleetEvents implements Fleet.Events {
         @Override
         public void changed() {
--- a/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
@@ -12,20 +12,20 @@
 import org.landingridge.controller.recovery.Decision;
 import org.landingridge.controller.recovery.Decision.Reason;
 
-/** The machines of the fleet by what is to be done about them and why, for the status. */
+/** Groups the machines of the fleet by the decision taken about each: its action and reason. Shown in the status. */
 final class MachinesByDecision {
-    /** So many machines of a group are named. */
+    /** Machines of a group whose ids are listed. */
     private static final int MOST_NAMED = 5;
 
-    /** Machines with one decision. */
+    /** The machines with the same decision. */
     private static final class Group {
         private int count;
         private final List<String> named = new ArrayList<>();
-        /** Milliseconds from now until when they are waited for at most; negative where no time is known. */
+        /** Longest remaining time until a lease of these machines expires, in milliseconds; -1 if no lease is waited for. */
         private long waitMs = -1;
     }
 
-    /** In the order of first appearance, which is that of the status. */
+    /** In order of first appearance, which is also the order in the status. */
     private final Map<Decision, Group> groups = new LinkedHashMap<>();
 
     private MachinesByDecision() {}
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Adds an object {@code machines}, unless there are no machines. */
+    /** Adds an object {@code machines} to the node, unless there are no machines. */
     void describe(ObjectNode node) {
         groups.forEach((decision, group) -> {
             ObjectNode of = node.withObject("/machines/" + name(decision.action()) + "/" + name(decision.reason()));
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -8,7 +8,7 @@
 import org.landingridge.controller.scheduling.Scheduler;
 import org.landingridge.wire.RentRequest;
 
-/** Carries outcomes of cloud operations into the fleet, the registry and the next scheduling cycle. */
+/** Applies the outcomes of cloud operations to the fleet and the machine registry, and requests scheduling cycles. */
 final class OperationEvents implements Operations.Events {
     private final LeaderContext context;
     private final Fleet fleet;
@@ -55,7 +55,7 @@
         return Scheduler.pool(request.type(), request.zone(), request.spot());
     }
 
-    /** Also called for machines that are gone according to the cloud's lists. */
+    /** Removes machines that were returned, and machines that the cloud's lists no longer show. */
     @Override
     public void returned(List<String> machines) {
         for (String id : machines) {
--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -13,7 +13,7 @@
 import org.landingridge.controller.scheduling.SchedulingPlan;
 import org.landingridge.wire.RentRequest;
 
-/** Carries out what the scheduler decided. The scheduler's opaque handles are the fleet's jobs, machines and attempts. */
+/** Carries out the scheduler's plans. The plan's opaque handles are the fleet's jobs, machines and attempts. */
 final class PlanExecutor {
     private final LeaderContext context;
     private final Fleet fleet;
@@ -36,7 +36,7 @@
         scaleIn(plan.idle);
     }
 
-    /** Stops work beyond limits that were lowered. */
+    /** Stops attempts that exceed a lowered quota. */
     void stopExcess(List<CandidateNode.Running> excess) {
         excess.forEach(this::stop);
         fleet.flush();
--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -12,15 +12,15 @@
 import org.landingridge.wire.Priority;
 
 /**
- * What jobs inherit from those that need them, directly or through others: the highest priority, and the time by which they have
- * to be over so that the last job of the pipeline can still be in time.
+ * What jobs inherit from the jobs that await them, directly or indirectly: the highest priority, and the time by which they must
+ * finish so that the last job of the pipeline can still meet its deadline.
  */
 final class PriorityInheritance {
     /**
-     * What one job inherits.
+     * What one job inherits. Times are by the event loop's clock.
      *
-     * @param due     by the clock of the pass; Long.MAX_VALUE: nothing is expected of what needs it
-     * @param lastDue until when being over still counts for something
+     * @param due     when the job should finish; Long.MAX_VALUE if no job that awaits it has a deadline
+     * @param lastDue until when a late finish still has some value
      */
     record Inherited(Priority priority, long due, long lastDue) {
         Inherited and(Inherited other) {
@@ -35,7 +35,11 @@
 
     private PriorityInheritance() {}
 
-    /** @param active all jobs that are neither done nor cancelled */
+    /**
+     * Computes what jobs inherit.
+     *
+     * @param active all jobs that are neither done nor cancelled
+     */
     static PriorityInheritance of(Collection<Job> active, RuntimeForecast forecast, long now, long timeOfDay) {
         PriorityInheritance all = new PriorityInheritance();
         List<Job> waiting = new ArrayList<>();
@@ -44,7 +48,9 @@
                 waiting.add(job);
             }
         }
-        // What a job awaits was accepted before it: in this order each has inherited all before it hands on.
+        // Awaited jobs were accepted before the jobs that await them. From newest to oldest, each job has inherited
+        // everything
+        // before it passes it on.
         waiting.sort(Comparator.comparingLong(Job::created).reversed());
         for (Job job : waiting) {
             TaskGroup group = new TaskGroup(job.spec(), null, job.created(), 0, 0);
@@ -72,13 +78,13 @@
                 : inherited.priority;
     }
 
-    /** The job as the scheduler is to see it. */
+    /** Returns the job's specification with the higher of its own and its inherited priority. */
     JobSpec spec(JobSpec spec) {
         Priority priority = priority(spec);
         return priority == spec.priority() ? spec : spec.withPriority(priority);
     }
 
-    /** Tightens what is expected of a group. */
+    /** Tightens the group's due times to the inherited ones, if there are any. */
     void apply(TaskGroup group, String id) {
         Inherited inherited = byId.get(id);
         if (inherited == null || inherited.due == Long.MAX_VALUE) {
--- a/controller/src/main/java/org/landingridge/controller/leader/ProgressEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ProgressEvents.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries stored results into the fleet and ends jobs of which all tasks are done. */
+/** Reports stored task results to the fleet, and ends jobs whose tasks are all done. */
 final class ProgressEvents implements CompletionStore.Events {
     private static final Logger LOG = LoggerFactory.getLogger(ProgressEvents.class);
     private final LeaderContext context;
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -12,30 +12,42 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * Forecasts of the run and start times of jobs, from the platform's objectives, the jobs' own deadlines and what completed
- * tasks showed.
+ * Forecasts run times and due times of jobs from the platform's objectives, the jobs' own deadlines and estimates, and the run
+ * times of completed tasks.
  */
 final class RuntimeForecast {
-    /** Weight of the newest job in a running share. */
+    /** Weight of the newest job in moving averages over jobs. */
     private static final double NEWEST = 0.1;
-    /** Weight of the newest task in the running ratio of a class. */
+    /** Weight of the newest task in a class's moving average of actual to estimated run time. */
     private static final double NEWEST_RATIO = 0.05;
-    /** A job with fewer boot times than that to spare is taken to be hurried: boots vary, and images are fetched. */
+    /**
+     * Slack, in boot times, below which a job's deadline counts as tight. More than one, since boot times vary and images must
+     * be fetched.
+     */
     private static final double PATIENCE = 2.5;
-    /** A job that has waited for so many times its allowance is first come again, whatever it has missed. */
+    /**
+     * Multiple of its allowed time after which a waiting job no longer yields to jobs that can still be in time, even if its own
+     * deadline is missed.
+     */
     private static final double STARVED = 6;
-    /** Of what a task has run beyond expectation it is taken to run so much again. */
+    /** Least remaining run time assumed for a running task, as a share of the time that it has run. */
     private static final double OVERRUN = 0.25;
-    /** The estimate counts as much as so many tasks that completed; the first to complete are the shorter ones. */
+    /**
+     * Weight of the owner's estimate, in completed tasks. The first tasks to complete are the shorter ones, so their mean alone
+     * would be too low.
+     */
     private static final double ESTIMATE_WEIGHT = 4;
-    /** Estimates err: served in the order of their latest start, jobs without a margin are all late by a little. */
+    /**
+     * Safety factor on expected run times. Estimates are inexact, and without a margin jobs that are scheduled by their latest
+     * start would all finish slightly late.
+     */
     private static final double RUN_MARGIN = 1.25;
-    /** From a task's placing to its run, image and command included, in seconds. */
+    /** Assumed time from a task's placement to its run, including the start command and the image fetch, in seconds. */
     private static final double START_S = 4;
-    /** Boot time, in seconds, until the machine types are known. */
+    /** Boot time assumed until the machine types are known, in seconds. */
     private static final double DEFAULT_BOOT_S = 60;
 
-    /** Completed tasks of one job. */
+    /** Run times of the completed tasks of one job. */
     private static final class CompletedTasks {
         private final String jobClass;
         private int tasks;
@@ -54,26 +66,26 @@
     }
 
     private final Policy policy;
-    /** By job. */
     private final Map<String, CompletedTasks> completed = new HashMap<>();
-    /** The platform's objectives by class, in seconds. */
+    /** The platform's shortest start objective by job class, in seconds. */
     private final Map<String, Double> startWithin = new HashMap<>();
-
+    /** The platform's shortest finish objective by job class, in seconds. */
     private final Map<String, Double> finishWithin = new HashMap<>();
+    /** The platform's longest finish objective by job class, in seconds. */
     private final Map<String, Double> finishAtLast = new HashMap<>();
-    /** Times the deadline that the platform still asks about. */
+    /** Multiple of a job's own deadline up to which a late finish still counts in the platform's objectives. */
     private double lastDeadlineTimes = 1;
-    /** How many times its estimate a task runs, by class. */
+    /** Moving average of actual to estimated run time of tasks, by job class. */
     private final Map<String, Double> ratio = new HashMap<>();
-    /** How many times the mean the longest task of a job runs, by class. */
+    /** Moving average of the longest to the mean run time of a job's tasks, by job class. */
     private final Map<String, Double> longest = new HashMap<>();
-    /** Running share of the jobs that cannot wait for a boot and still be in time; negative while nothing is known. */
+    /** Moving average of the share of jobs with a tight deadline; negative until the first job with a deadline is seen. */
     private double hurried = -1;
-    /** The same by class. */
+    /** Moving average of the share of jobs with a tight deadline, by job class. */
     private final Map<String, Double> hurriedClass = new HashMap<>();
 
     private double bootS = DEFAULT_BOOT_S;
-    /** Index of the newest job from which hurry was learned. */
+    /** Index of the newest job that the shares of jobs with a tight deadline include. */
     private int newestIndex = -1;
 
     RuntimeForecast(List<Settings.Objective> objectives, Policy policy) {
@@ -91,8 +103,8 @@
     }
 
     /**
-     * Learns from a task that completed. Owners' estimates err, by class mostly in one direction; the tasks of one job
-     * are more alike than any estimate.
+     * Learns from a completed task. Owners' estimates are inexact, mostly in the same direction within a job class; the run
+     * times of completed tasks of the same job predict better than any estimate.
      */
     void completed(JobSpec spec, double tookS) {
         if (tookS > 0) {
@@ -106,7 +118,7 @@
         }
     }
 
-    /** Learns from a job that is over how much longer the longest of its tasks ran. */
+    /** Learns from an ended job how much longer than the mean its longest task ran, and drops the job's run times. */
     void ended(String job) {
         CompletedTasks tasks = completed.remove(job);
         if (tasks != null && tasks.tasks > 1) {
@@ -117,7 +129,7 @@
         }
     }
 
-    /** How long a task of the job is expected to run, in seconds; 0 for a service, and where nothing is known. */
+    /** Returns the expected run time of a task of the job, in seconds; 0 for a service and for a job without an estimate. */
     double runS(JobSpec spec) {
         if (spec.service()) {
             return 0;
@@ -129,12 +141,15 @@
                 : (estimateS * ESTIMATE_WEIGHT + tasks.sumS) / (ESTIMATE_WEIGHT + tasks.tasks);
     }
 
-    /** How much longer a task is expected to run: one that has outrun its estimate, a part of what it ran already. */
+    /**
+     * Returns the expected remaining run time of a task, in seconds. A task that has run longer than expected is assumed to run
+     * on for a fixed share of its run time so far.
+     */
     double leftS(JobSpec spec, double ranS) {
         return Math.max(runS(spec) - ranS, OVERRUN * ranS);
     }
 
-    /** Notes what is expected of a group; the first sight of a job also tells how hurried jobs are. */
+    /** Sets the group's expected times, and learns from a job that is seen for the first time whether deadlines are tight. */
     void fill(TaskGroup group, Job job, long now, long timeOfDay) {
         expect(group, job, now, timeOfDay);
         Double within = within(job.spec());
@@ -150,12 +165,15 @@
         group.mayWaitForBoots = hurriedClass.getOrDefault(job.spec().jobClass(), hurry) <= 0.5;
     }
 
-    /** Seconds within which the job should be over, from its submission or from when it could start; null: nobody said. */
+    /**
+     * Returns the time within which the job should finish, in seconds, counted from its submission or from when it became ready;
+     * null if there is no deadline and no objective.
+     */
     private Double within(JobSpec spec) {
         return spec.deadlineS() != null ? spec.deadlineS() : finishWithin.get(spec.jobClass());
     }
 
-    /** Notes what is expected of a group, and learns nothing. */
+    /** Sets the group's expected times without learning from the job. */
     void expect(TaskGroup group, Job job, long now, long timeOfDay) {
         JobSpec spec = job.spec();
         group.startWithinS = startWithin.getOrDefault(spec.jobClass(), 0.0);
@@ -165,19 +183,21 @@
         Double within = within(spec);
         long submitted = now + job.submittedAt() - timeOfDay;
         if (job.readySince() > 0 && spec.deadlineS() == null) {
-            // Only the deadline counts from the submission: all else from when the job could start.
+            // Only a job's own deadline counts from its submission. Objectives count from when the job became ready.
             submitted = job.readySince();
         }
         group.startBy = submitted;
         if (within == null && group.startWithinS > 0 && !spec.service()) {
-            // Its start is expected: what it takes for that is not left to whatever cheap machines there are.
+            // An objective sets the start of such jobs, so they get a due time and do not have to wait for cheap
+            // machines.
             group.startBy = submitted + Math.round(group.startWithinS * 1000);
             group.due = group.startBy + Math.round(group.longestRunS * 1000);
             group.lastDue = now - submitted < STARVED * group.startWithinS * 1000 ? group.due : Long.MAX_VALUE;
             return;
         }
         if (within == null) {
-            // Nobody has said by when: dear machines are not for it, unless the cheap ones do not come for long.
+            // Without a deadline the job doesn't justify expensive machines, unless no cheap ones are available for a
+            // long time.
             group.withoutDeadline = !spec.service();
             group.mayWaitForBoots = group.withoutDeadline;
             return;
@@ -191,8 +211,9 @@
     }
 
     /**
-     * How long an idle machine is kept. Where work may wait for a boot and still be in time, machines go back soon;
-     * where it may not, the room for the next burst has to be there already.
+     * Returns how long an idle machine is kept, in milliseconds, and updates the assumed boot time from the machine types. Idle
+     * machines are returned early if most jobs can wait for a machine to boot. If most deadlines are tight, machines are kept
+     * longer, since the capacity for the next burst must be up already.
      */
     long idleMs(Collection<MachineType> types) {
         bootS = types.stream().mapToDouble(MachineType::bootS).max().orElse(60);
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -18,8 +18,8 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * One cycle of scheduling: takes a snapshot of machines, jobs and teams, lets the scheduler decide, and applies its plan.
- * Between cycles it owns the demand of the last minutes and the pace at which excess work is stopped.
+ * Runs scheduling cycles: takes a snapshot of machines, jobs and teams, lets the scheduler compute a plan, and executes it.
+ * Between cycles it keeps the recent demand and the time of the next step in stopping work that exceeds a lowered quota.
  */
 final class SchedulingCycle {
     private final LeaderContext context;
@@ -52,7 +52,7 @@
         this.beganAt = context.loop().now();
     }
 
-    /** Runs one cycle, unless this controller may not act or may lack a change of the configuration. */
+    /** Runs one cycle, unless this controller may not act, knows no machine types, or may have an outdated configuration. */
     void run() {
         if (!context.lead().mayAct() || context.types().isEmpty()) {
             return;
@@ -91,7 +91,7 @@
                 standing(snapshot, idleMs)));
     }
 
-    /** Room that is kept for services; null where there are none. */
+    /** Returns the capacity to keep free for services, or null if there are no services. */
     private Scheduler.Spare spare(Collection<TaskGroup> groups) {
         JobSpec largest = null;
         int replicas = 0;
@@ -110,19 +110,20 @@
         return new Scheduler.Spare(largest, Math.max(2, kept));
     }
 
-    /** Processors that are kept up, whether or not they are asked for now. */
+    /** Returns the number of CPUs to keep running even if they are not requested at the moment. */
     private double standing(SchedulingSnapshot snapshot, long idleMs) {
-        // What an earlier leader may have started cannot be placed while machines are unaccounted for: that it does not
-        // ask for room now says nothing, and machines returned then were rented again a minute later.
+        // Tasks that an earlier leader may have started cannot be placed while machines are unaccounted for, so they
+        // are
+        // missing from the demand. Machines returned on that basis were rented again a minute later.
         double most = demand.record(
                 snapshot.now(), demand(snapshot.teams(), snapshot.groups().values()), idleMs);
-        // Nor does a new leader know what was asked for in the time that counts: a fleet that stood at a first start
-        // was returned within seconds, and rented again.
+        // A new leader doesn't know the recent demand either. Without this rule, an existing fleet was returned within
+        // seconds of the first start of the controllers, and rented again.
         boolean fresh = snapshot.now() - beganAt < Math.round(context.policy().idleS() * 1000);
         return fresh || fleet.unaccounted() > 0 ? Double.MAX_VALUE : most;
     }
 
-    /** Processors that the teams ask for within their guarantees; all that they ask for where they have none. */
+    /** Returns the CPUs that the teams use and request: up to the guarantee for a team that has one, all of them otherwise. */
     private static double demand(List<Team> teams, Collection<TaskGroup> groups) {
         double[] asked = new double[teams.size()];
         for (TaskGroup group : groups) {
@@ -136,15 +137,16 @@
     }
 
     /**
-     * Pools in which nothing is to be had, by what the cloud said, or in which it would be of no use: where most
-     * machines of a zone are silent the zone is cut off, and new ones there could not be reached either.
+     * Returns the pools in which no machines should be rented, with the time until when. These are pools in which the cloud had
+     * no capacity, pools whose machines all boot late, and all pools of zones in which most machines are silent: such a zone
+     * is probably cut off from the network, and new machines in it could not be reached either.
      */
     private Map<String, Long> closedPools(long now) {
         Map<String, Long> closed = capacity.pausedUntil();
         boolean lapsed = false;
         for (Machine machine : fleet.machines()) {
             lapsed |= machine.state() == Machine.State.LAPSED;
-            // Where machines boot late together, more of them would come as late: others are asked first.
+            // If all machines of a pool boot late, new ones would be late too; other pools are tried first.
             if (fleet.lateWithAll(machine, now)) {
                 closed.put(Scheduler.pool(machine.kind().name(), machine.zone(), machine.spot()), now + 1);
             }
@@ -174,7 +176,7 @@
         });
     }
 
-    /** Stops a step of the work beyond limits that were lowered. */
+    /** Stops the next portion of the work that exceeds a lowered quota, if the pause between two steps has passed. */
     private void stopExcess(SchedulingSnapshot snapshot) {
         if (!configuredTeams.everChanged() || snapshot.now() < nextExcessStep) {
             return;
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingSnapshot.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingSnapshot.java
@@ -7,11 +7,11 @@
 import org.landingridge.controller.scheduling.Team;
 
 /**
- * What one scheduling cycle decides from.
+ * The input of one scheduling cycle.
  *
- * @param now    by the loop's clock
- * @param teams  by index, with what their tasks take on the nodes
- * @param groups waiting tasks by job, in the order of the jobs' arrival
- * @param nodes  machines that take tasks or are on their way, then those that were asked for
+ * @param now    current time of the event loop's clock, in milliseconds
+ * @param teams  the teams by index, with the resources that their tasks use on the nodes
+ * @param groups the waiting tasks by job id, in the order in which the jobs were accepted
+ * @param nodes  machines that can take tasks now or soon, followed by machines that pending rent operations may provide
  */
 record SchedulingSnapshot(long now, List<Team> teams, Map<String, TaskGroup> groups, List<CandidateNode> nodes) {}
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingTrigger.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingTrigger.java
@@ -3,10 +3,10 @@
 import java.util.function.IntSupplier;
 import org.landingridge.net.EventLoop;
 
-/** Runs a scheduling cycle soon after a change; changes in between share one cycle. */
+/** Runs a scheduling cycle shortly after a change. Changes during the pause before a cycle share that cycle. */
 final class SchedulingTrigger {
     private static final long PAUSE_MS = 25;
-    /** A cycle visits every machine and job: the pause before it grows by a millisecond for so many of them. */
+    /** Machines and jobs per millisecond of pause. A cycle visits all of them, so cycles of large clusters run less often. */
     private static final int VISITS_PER_MS = 25;
 
     private final EventLoop loop;
@@ -15,14 +15,18 @@
     private boolean due;
     private boolean closed;
 
-    /** @param visits how many machines and jobs a cycle visits */
+    /**
+     * Creates a trigger that runs nothing until a change is reported.
+     *
+     * @param visits supplies the number of machines and jobs that a cycle visits
+     */
     SchedulingTrigger(EventLoop loop, IntSupplier visits, Runnable cycle) {
         this.loop = loop;
         this.visits = visits;
         this.cycle = cycle;
     }
 
-    /** Something has changed that the scheduler should know. */
+    /** Schedules a cycle after a change that affects scheduling, unless one is scheduled already. */
     void changed() {
         if (due || closed) {
             return;
@@ -36,7 +40,7 @@
         });
     }
 
-    /** Ends with the leader term. */
+    /** Prevents further cycles, at the end of the leader term. */
     void close() {
         closed = true;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -13,7 +13,7 @@
 import org.landingridge.controller.store.Keys;
 import org.landingridge.wire.ReturnRequest;
 
-/** Takes over the documents of earlier leaders: finished tasks, the machine registry, open operations. */
+/** Loads the documents that earlier leaders stored: finished tasks, the machine registry and cloud operations. */
 final class StoredDocumentLoader {
     private static final String PROGRESS = Keys.ROOT + CompletionStore.PREFIX;
     private static final String MACHINES = Keys.ROOT + MachineRegistry.PREFIX;
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Takes everything over; the order matters, since each step reads what those before it made known.
+     * Loads all documents. The order of the steps matters, since each step uses what the earlier steps have loaded.
      *
      * @param stored the documents by key
-     * @param seenAt when, by the loop's clock, each came to be known here in its present form
+     * @param seenAt when this process first saw the current version of each document, by key and the event loop's clock
      */
     void load(Map<String, JsonNode> stored, Map<String, Long> seenAt) {
         readFinishedTasks(stored);
@@ -59,8 +59,8 @@
     }
 
     /**
-     * A fresh process has read the finished tasks before it read their jobs, for such is the order of the keys: unless they
-     * are read once more, it starts all of a job's tasks again.
+     * Reads the finished tasks into the job table. A process that has just started read them before their jobs, since documents
+     * are read in key order. If they were not read again here, it would start all tasks of those jobs again.
      */
     private void readFinishedTasks(Map<String, JsonNode> stored) {
         stored.forEach((key, value) -> {
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -7,7 +7,7 @@
 import org.landingridge.controller.fleet.Task;
 import org.landingridge.controller.scheduling.TaskGroup;
 
-/** Describes waiting tasks to the scheduler, with the runtime forecast and what jobs inherit from their dependants. */
+/** Builds the scheduler's task groups from the waiting tasks of each job, with its forecast and its inherited priority. */
 final class TaskGroupBuilder {
     private final LeaderContext context;
     private final Fleet fleet;
@@ -21,14 +21,14 @@
         this.teams = teams;
     }
 
-    /** One group for each job of a configured team, by the job's id. */
+    /** Returns a group for each job that is ready and belongs to a configured team, by job id. */
     Map<String, TaskGroup> build(long now) {
         long timeOfDay = context.loop().timeOfDay();
         PriorityInheritance inheritance = PriorityInheritance.of(context.table().active(), forecast, now, timeOfDay);
         Map<String, TaskGroup> groups = new LinkedHashMap<>();
         for (ActiveJob job : fleet.jobs()) {
             int team = teams.index(job.spec().team(), -1);
-            // A job that waits for others takes no part in limits, guarantees, turns and forecasts.
+            // A job that awaits others is left out of limits, guarantees, the order of jobs and forecasts.
             if (team >= 0 && job.job().ready()) {
                 groups.put(job.id(), group(job, team, inheritance, now, timeOfDay));
             }
@@ -49,7 +49,7 @@
         return group;
     }
 
-    /** A job that fails wherever it is tried runs one task at a time. */
+    /** Returns how many tasks of a broken job may start: one at a time. */
     private static int probes(ActiveJob job) {
         return job.count(Task.State.ON_MACHINE) == 0 ? 1 : 0;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/package-info.java
@@ -1,9 +1,9 @@
 /**
- * One time in office of a leader: takes over what earlier leaders stored, schedules, reconciles the fleet with the cloud's
- * lists, and reports how far a failover has come.
+ * A leader term: loads the documents that earlier leaders stored, schedules tasks, reconciles the fleet with the cloud's
+ * machine lists, and reports the progress of a failover.
  *
- * <p>{@link org.landingridge.controller.leader.LeaderTerm} owns the state of the term and its parts; it is made at an election
- * and dropped as a whole when the leadership ends. Everything runs on the event loop. The package wires the others together
- * and may depend on all of them; only the controller's top level depends on it.
+ * <p>{@link org.landingridge.controller.leader.LeaderTerm} owns the state and the components of one term. It is created when
+ * this controller is elected and discarded when its leadership ends. Everything runs on the event loop. This package connects
+ * the other packages and may depend on all of them; only the top-level package of the controller depends on it.
  */
 package org.landingridge.controller.leader;
