--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -62,9 +62,8 @@
     private void addMachine(Machine machine) {
         boolean usable = fleet.usable(machine, now);
         if (fleet.unaccounted(machine)) {
-            // The machine may run unreported tasks of any team, up to its full size, so its size counts against the
-            // limit
-            // of every team.
+            // The machine may run unreported tasks of any team, up to its full size, so its size counts against every
+            // team's limit.
             holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
         }
         CandidateNode node =
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -94,8 +94,7 @@
     private void reconcile(List<CloudMachine> machines, long askedAt) {
         for (CloudMachine listed : machines) {
             reconcile(listed);
-            // The cloud may list a returned machine for a while; recording it would leave an entry that is never
-            // removed.
+            // The cloud may list a returned machine for a while; a record of it would never be removed.
             if (fleet.machine(listed.id()) != null) {
                 listedMachines.listed(listed.id(), askedAt);
             }
@@ -108,8 +107,7 @@
         Machine machine = fleet.machine(listed.id());
         if (machine == null && !fleet.wasReleased(listed.id()) && !listed.failed()) {
             // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
-            // this
-            // leader term. The scheduler uses it, or returns it as idle.
+            // this leader term. The scheduler uses it, or returns it as idle.
             LOG.info("unknown machine listed, taken in, machine={}", listed.id());
             fleet.appeared(listed.id(), listed.addr(), listed.type(), listed.zone(), listed.spot());
         } else if (machine != null && listed.failed()) {
--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -49,8 +49,7 @@
             }
         }
         // Awaited jobs were accepted before the jobs that await them. From newest to oldest, each job has inherited
-        // everything
-        // before it passes it on.
+        // everything before it passes it on.
         waiting.sort(Comparator.comparingLong(Job::created).reversed());
         for (Job job : waiting) {
             TaskGroup group = new TaskGroup(job.spec(), null, job.created(), 0, 0);
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Returns the expected remaining run time of a task, in seconds. A task that has run longer than expected is assumed to run
-     * on for a fixed share of its run time so far.
+     * Returns the expected remaining run time of a task, in seconds: at least a fixed share of the time that it has run, since
+     * it may run longer than expected.
      */
     double leftS(JobSpec spec, double ranS) {
         return Math.max(runS(spec) - ranS, OVERRUN * ranS);
@@ -188,16 +188,14 @@
         }
         group.startBy = submitted;
         if (within == null && group.startWithinS > 0 && !spec.service()) {
-            // An objective sets the start of such jobs, so they get a due time and do not have to wait for cheap
-            // machines.
+            // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
             group.startBy = submitted + Math.round(group.startWithinS * 1000);
             group.due = group.startBy + Math.round(group.longestRunS * 1000);
             group.lastDue = now - submitted < STARVED * group.startWithinS * 1000 ? group.due : Long.MAX_VALUE;
             return;
         }
         if (within == null) {
-            // Without a deadline the job doesn't justify expensive machines, unless no cheap ones are available for a
-            // long time.
+            // Without a deadline the job doesn't justify expensive machines, unless there are no cheap ones for long.
             group.withoutDeadline = !spec.service();
             group.mayWaitForBoots = group.withoutDeadline;
             return;
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -113,8 +113,7 @@
     /** Returns the number of CPUs to keep running even if they are not requested at the moment. */
     private double standing(SchedulingSnapshot snapshot, long idleMs) {
         // Tasks that an earlier leader may have started cannot be placed while machines are unaccounted for, so they
-        // are
-        // missing from the demand. Machines returned on that basis were rented again a minute later.
+        // are missing from the demand. Machines returned on that basis were rented again a minute later.
         double most = demand.record(
                 snapshot.now(), demand(snapshot.teams(), snapshot.groups().values()), idleMs);
         // A new leader doesn't know the recent demand either. Without this rule, an existing fleet was returned within
