--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -23,24 +23,24 @@
 final class CandidateNodeBuilder {
     private final Fleet fleet;
     private final RuntimeForecast forecast;
-    private final ConfiguredTeams configured;
+    private final ConfiguredTeams configuredTeams;
     private final List<Team> teams;
-    private final Map<String, TaskGroup> groups;
+    private final Map<String, TaskGroup> groupsByJob;
     private final long now;
     private final List<CandidateNode> nodes = new ArrayList<>();
 
     CandidateNodeBuilder(
             Fleet fleet,
             RuntimeForecast forecast,
-            ConfiguredTeams configured,
+            ConfiguredTeams configuredTeams,
             List<Team> teams,
-            Map<String, TaskGroup> groups,
+            Map<String, TaskGroup> groupsByJob,
             long now) {
         this.fleet = fleet;
         this.forecast = forecast;
-        this.configured = configured;
+        this.configuredTeams = configuredTeams;
         this.teams = teams;
-        this.groups = groups;
+        this.groupsByJob = groupsByJob;
         this.now = now;
     }
 
@@ -52,7 +52,7 @@
     /** Adds the machines of the fleet that can take tasks now or are expected to be able to soon. */
     void addMachines() {
         if (fleet.anyUnreadable()) {
-            holdForAllTeams(Double.MAX_VALUE, Double.MAX_VALUE);
+            addUnverifiedToAllTeams(Double.MAX_VALUE, Double.MAX_VALUE);
         }
         for (Machine machine : fleet.machines()) {
             addMachine(machine);
@@ -60,41 +60,41 @@
     }
 
     private void addMachine(Machine machine) {
-        boolean usable = fleet.usable(machine, now);
+        boolean isUsable = fleet.usable(machine, now);
         if (fleet.unaccounted(machine)) {
             // The machine may run unreported tasks of any team, up to its full size, so its size counts against every
             // team's limit.
-            holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
+            addUnverifiedToAllTeams(machine.kind().cpus(), machine.kind().gpus());
         }
         CandidateNode node =
-                new CandidateNode(machine.kind(), machine.zone(), machine.spot(), machine, usable, machine.images());
+                new CandidateNode(machine.kind(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
         node.draining = fleet.draining(machine, now);
         node.awaitingHeartbeat = fleet.unheard(machine, now);
-        boolean idle = addAttempts(machine, node);
-        node.idleMs = idle ? fleet.idleMs(machine, now) : 0;
+        boolean isIdle = addAttempts(machine, node);
+        node.idleMs = isIdle ? fleet.idleMs(machine, now) : 0;
         // Machines that can take no tasks, neither now nor soon, are left out.
-        if (usable || fleet.coming(machine, now)) {
+        if (isUsable || fleet.coming(machine, now)) {
             nodes.add(node);
         }
     }
 
     /** Adds the live attempts on the machine to the node; returns true if there are none. */
     private boolean addAttempts(Machine machine, CandidateNode node) {
-        boolean idle = true;
-        boolean unknown = false;
+        boolean isIdle = true;
+        boolean hasUnknownJob = false;
         for (Attempt attempt : machine.attempts().values()) {
             if (!attempt.live()) {
                 continue;
             }
-            idle = false;
+            isIdle = false;
             addAttempt(attempt, node);
-            if (attempt.spec() == null && !unknown) {
+            if (attempt.spec() == null && !hasUnknownJob) {
                 // The job is not known, so neither are its team and its resource needs.
-                unknown = true;
-                holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
+                hasUnknownJob = true;
+                addUnverifiedToAllTeams(machine.kind().cpus(), machine.kind().gpus());
             }
         }
-        return idle;
+        return isIdle;
     }
 
     private void addAttempt(Attempt attempt, CandidateNode node) {
@@ -102,46 +102,46 @@
             node.fetching++;
         }
         JobSpec spec = attempt.spec();
-        int team = spec == null ? 0 : configured.index(spec.team(), 0);
-        TaskGroup group = groups.get(attempt.jobId());
-        node.add(running(attempt, group == null ? spec : group.spec, team));
+        int teamIndex = spec == null ? 0 : configuredTeams.indexOf(spec.team(), 0);
+        TaskGroup group = groupsByJob.get(attempt.jobId());
+        node.add(describeAttempt(attempt, group == null ? spec : group.spec, teamIndex));
         if (spec != null) {
-            charge(teams.get(team), spec, attempt.stopWanted());
+            addUsage(teams.get(teamIndex), spec, attempt.stopWanted());
         }
         if (group != null) {
             group.perZone.merge(node.zone, 1, Integer::sum);
         }
     }
 
-    private CandidateNode.Running running(Attempt attempt, JobSpec spec, int team) {
+    private CandidateNode.Running describeAttempt(Attempt attempt, JobSpec spec, int teamIndex) {
         CandidateNode.Running running =
-                new CandidateNode.Running(spec, team, attempt, attempt.since(), attempt.stopWanted());
+                new CandidateNode.Running(spec, teamIndex, attempt, attempt.since(), attempt.stopWanted());
         running.ranS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
-        running.leftS = attempt.spec() == null ? 0 : forecast.leftS(attempt.spec(), running.ranS);
+        running.leftS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.ranS);
         return running;
     }
 
-    private static void charge(Team team, JobSpec spec, boolean stopping) {
+    private static void addUsage(Team team, JobSpec spec, boolean isStopping) {
         team.usedCpus += spec.cpus();
         team.usedGpus += spec.gpus();
-        if (stopping) {
+        if (isStopping) {
             team.stopping(spec);
         }
     }
 
-    private void holdForAllTeams(double cpus, double gpus) {
+    private void addUnverifiedToAllTeams(double cpus, double gpus) {
         for (Team team : teams) {
             team.addUnverified(cpus, gpus);
         }
     }
 
     /** Adds a node for each machine that an open rent operation may still provide, unless the operation was escalated. */
-    void addRents(Operations operations, Map<String, MachineType> types) {
+    void addPendingRents(Operations operations, Map<String, MachineType> typesByName) {
         for (Operation operation : operations.all()) {
             if (operation.open()
                     && operation.state() != Operation.State.ESCALATED
                     && operation.request() instanceof RentRequest rent) {
-                MachineType type = types.get(rent.type());
+                MachineType type = typesByName.get(rent.type());
                 for (int i = 0; type != null && i < rent.count(); i++) {
                     nodes.add(new CandidateNode(type, rent.zone(), rent.spot(), null, false, Set.of()));
                 }
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -17,7 +17,7 @@
 
     @Override
     public boolean mayAct() {
-        return context.lead().mayAct();
+        return context.leadership().mayAct();
     }
 
     @Override
@@ -27,7 +27,7 @@
 
     @Override
     public Set<String> needed() {
-        JobTable table = context.table();
+        JobTable table = context.jobTable();
         Set<String> ids = fleet.jobsOnMachines();
         table.active().forEach(job -> ids.addAll(job.spec().awaits()));
         table.terminated().unpersisted().forEach(job -> ids.addAll(job.spec().awaits()));
--- a/controller/src/main/java/org/landingridge/controller/leader/ProgressEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
@@ -8,12 +8,12 @@
 import org.slf4j.LoggerFactory;
 
 /** Reports stored task results to the fleet, and ends jobs whose tasks are all done. */
-final class ProgressEvents implements CompletionStore.Events {
-    private static final Logger LOG = LoggerFactory.getLogger(ProgressEvents.class);
+final class CompletionEvents implements CompletionStore.Events {
+    private static final Logger LOG = LoggerFactory.getLogger(CompletionEvents.class);
     private final LeaderContext context;
     private final Fleet fleet;
 
-    ProgressEvents(LeaderContext context, Fleet fleet) {
+    CompletionEvents(LeaderContext context, Fleet fleet) {
         this.context = context;
         this.fleet = fleet;
     }
@@ -25,15 +25,15 @@
 
     @Override
     public void done(Job job, long revision) {
-        long tookS = (context.loop().timeOfDay() - job.submittedAt()) / 1000;
-        LOG.debug("job done, job={} tookS={}", job.id(), tookS);
+        long durationS = (context.loop().timeOfDay() - job.submittedAt()) / 1000;
+        LOG.debug("job done, job={} tookS={}", job.id(), durationS);
         Double deadlineS = job.spec() == null ? null : job.spec().deadlineS();
-        if (deadlineS != null && tookS > deadlineS) {
+        if (deadlineS != null && durationS > deadlineS) {
             context.incidents()
                     .record(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
-                            + tookS + " s instead of " + Math.round(deadlineS) + " s, with " + fleet.waiting()
+                            + durationS + " s instead of " + Math.round(deadlineS) + " s, with " + fleet.waiting()
                             + " tasks of all jobs waiting for room now");
         }
-        context.table().end(job, Job.Status.DONE, job.tasks(), revision, true);
+        context.jobTable().end(job, Job.Status.DONE, job.tasks(), revision, true);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
@@ -18,14 +18,14 @@
      * Age of the leader's view beyond which it starts nothing, in milliseconds. A configuration change must take effect within
      * 7 s, whichever controller accepted it; 1 s of that is left for sending a command.
      */
-    private static final long IN_FORCE_MS = 6_000;
+    private static final long MAX_VIEW_AGE_MS = 6_000;
     /** Age of the leader's view beyond which it asks the state service for changes, in milliseconds. */
-    private static final long ASK_AGAIN_MS = 2_500;
+    private static final long REFRESH_VIEW_AGE_MS = 2_500;
 
     private final LeaderContext context;
     private final Map<String, Integer> indexByName = new HashMap<>();
     private Configuration configuration;
-    private boolean asking;
+    private boolean isBarrierPending;
 
     ConfiguredTeams(LeaderContext context) {
         this.context = context;
@@ -49,12 +49,12 @@
     }
 
     /** Returns the index of a team as of the last {@link #refresh}, or the given default if there is no such team. */
-    int index(String name, int otherwise) {
-        return indexByName.getOrDefault(name, otherwise);
+    int indexOf(String name, int defaultIndex) {
+        return indexByName.getOrDefault(name, defaultIndex);
     }
 
     /** Returns true if the teams were ever changed by a live configuration change, in this or an earlier term. */
-    boolean everChanged() {
+    boolean wasEverChanged() {
         return configuration.number() != 0;
     }
 
@@ -65,14 +65,14 @@
      * configuration was never changed.
      */
     boolean mayBeOutdated(long now) {
-        if (!everChanged()) {
+        if (!wasEverChanged()) {
             return false;
         }
-        long age = now - context.lead().cancellationsKnownAt();
-        if (age > ASK_AGAIN_MS && !asking) {
-            asking = true;
-            context.watchCache().barrier(() -> asking = false, () -> asking = false);
+        long viewAgeMs = now - context.leadership().cancellationsKnownAt();
+        if (viewAgeMs > REFRESH_VIEW_AGE_MS && !isBarrierPending) {
+            isBarrierPending = true;
+            context.watchCache().barrier(() -> isBarrierPending = false, () -> isBarrierPending = false);
         }
-        return age > IN_FORCE_MS;
+        return viewAgeMs > MAX_VIEW_AGE_MS;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -18,42 +18,51 @@
     }
 
     /** Percentages of accounted-for machines at which an event is emitted. */
-    private static final int[] SHARES = {50, 95, 100};
+    private static final int[] ANNOUNCED_PERCENTS = {50, 95, 100};
 
     private final Fleet fleet;
     private final ObservationWindow observationWindow;
     private final EventLog eventLog;
-    private final long beganAt;
-    private final int asked;
+    private final long startedAt;
+    private final int initiallyUnaccounted;
     private State state = State.GATHERING;
-    private int sharesAnnounced;
+    private int announcedCount;
 
-    FailoverProgress(Fleet fleet, ObservationWindow observationWindow, EventLog eventLog, long beganAt) {
+    FailoverProgress(Fleet fleet, ObservationWindow observationWindow, EventLog eventLog, long startedAt) {
         this.fleet = fleet;
         this.observationWindow = observationWindow;
         this.eventLog = eventLog;
-        this.beganAt = beganAt;
-        this.asked = fleet.unaccounted();
+        this.startedAt = startedAt;
+        this.initiallyUnaccounted = fleet.unaccounted();
     }
 
     /** Updates the state, and emits events for the progress since the last call. */
     void update(long now) {
-        int left = fleet.unaccounted();
-        announceShares(left, now);
+        int unaccounted = fleet.unaccounted();
+        announceProgress(unaccounted, now);
         if (state == State.GATHERING && observationWindow.state(now) == ObservationWindow.State.COMPLETE) {
             transition(State.SETTLING, now);
         }
-        if (state == State.SETTLING && left == 0) {
+        if (state == State.SETTLING && unaccounted == 0) {
             transition(State.OVER, now);
         }
     }
 
-    private void announceShares(int left, long now) {
-        while (sharesAnnounced < SHARES.length && (asked - left) * 100L >= (long) SHARES[sharesAnnounced] * asked) {
-            if (asked > 0) {
-                eventLog.emit("known", "percent", SHARES[sharesAnnounced], "afterMs", now - beganAt, "left", left);
+    private void announceProgress(int unaccounted, long now) {
+        while (announcedCount < ANNOUNCED_PERCENTS.length
+                && (initiallyUnaccounted - unaccounted) * 100L
+                        >= (long) ANNOUNCED_PERCENTS[announcedCount] * initiallyUnaccounted) {
+            if (initiallyUnaccounted > 0) {
+                eventLog.emit(
+                        "known",
+                        "percent",
+                        ANNOUNCED_PERCENTS[announcedCount],
+                        "afterMs",
+                        now - startedAt,
+                        "left",
+                        unaccounted);
             }
-            sharesAnnounced++;
+            announcedCount++;
         }
     }
 
@@ -63,7 +72,7 @@
         eventLog.emit(
                 next == State.OVER ? "recovered" : "picture_complete",
                 "afterMs",
-                now - beganAt,
+                now - startedAt,
                 "machines",
                 fleet.size(),
                 "held",
@@ -73,8 +82,8 @@
     /** Adds the state, the counts, and the machines grouped by decision to the node. */
     void describe(ObjectNode node, long now) {
         node.put("state", state.name())
-                .put("sinceMs", now - beganAt)
-                .put("asked", asked)
+                .put("sinceMs", now - startedAt)
+                .put("asked", initiallyUnaccounted)
                 .put("left", fleet.unaccounted())
                 .put("heldTasks", fleet.blocked());
         MachinesByDecision.of(fleet, now).describe(node);
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -17,9 +17,9 @@
 /** Compares the fleet with the cloud's machine lists, and returns unusable machines to the cloud. */
 final class InstanceReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceReconciler.class);
-    private static final long LIST_PAUSE_MS = 2_000;
+    private static final long MIN_LIST_PAUSE_MS = 2_000;
     /** Margin added to twice the configured list lag, in milliseconds. */
-    private static final long LAG_MARGIN_MS = 2_000;
+    private static final long LIST_LAG_MARGIN_MS = 2_000;
 
     private final LeaderContext context;
     private final Fleet fleet;
@@ -28,8 +28,8 @@
     private final Consumer<List<String>> onGone;
     private final Runnable onListed;
     private final long listLagMs;
-    private boolean listing;
-    private long nextList;
+    private boolean isListRequestPending;
+    private long nextListAt;
     private boolean closed;
 
     /**
@@ -60,57 +60,62 @@
     }
 
     /** Returns machines to the cloud that never came up, fail their tasks, or are considered lost. */
-    void returnUseless(long now) {
-        List<String> useless = new ArrayList<>();
+    void returnUnusableMachines(long now) {
+        List<String> unusableIds = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             Decision decision = fleet.judge(machine, now);
             if (decision.is(Action.GIVE_BACK)) {
-                String why = decision.reason().text();
-                LOG.info("machine returned, machine={} reason={}", machine.id(), why);
-                context.incidents().record(machine.id() + ": " + why + "; given back");
+                String reason = decision.reason().text();
+                LOG.info("machine returned, machine={} reason={}", machine.id(), reason);
+                context.incidents().record(machine.id() + ": " + reason + "; given back");
                 fleet.scaleIn(machine, decision);
-                useless.add(machine.id());
+                unusableIds.add(machine.id());
             }
         }
-        operations.returnMachines(useless);
+        operations.returnMachines(unusableIds);
     }
 
     /** Requests the cloud's machine list if no request is pending and the pause since the last list has passed. */
-    void list() {
-        long askedAt = context.loop().now();
-        if (listing || askedAt < nextList) {
+    void requestList() {
+        long requestedAt = context.loop().now();
+        if (isListRequestPending || requestedAt < nextListAt) {
             return;
         }
-        listing = true;
-        context.cloud().list(machines -> {
-            listing = false;
-            nextList = context.loop().now() + Math.max(LIST_PAUSE_MS, listLagMs / 2);
-            if (!closed && machines != null && context.lead().mayAct()) {
-                reconcile(machines, askedAt);
+        isListRequestPending = true;
+        context.cloudClient().list(cloudMachines -> {
+            isListRequestPending = false;
+            nextListAt = context.loop().now() + Math.max(MIN_LIST_PAUSE_MS, listLagMs / 2);
+            if (!closed && cloudMachines != null && context.leadership().mayAct()) {
+                reconcile(cloudMachines, requestedAt);
             }
         });
     }
 
-    private void reconcile(List<CloudMachine> machines, long askedAt) {
-        for (CloudMachine listed : machines) {
-            reconcile(listed);
+    private void reconcile(List<CloudMachine> cloudMachines, long requestedAt) {
+        for (CloudMachine cloudMachine : cloudMachines) {
+            reconcileMachine(cloudMachine);
             // The cloud may list a returned machine for a while; a record of it would never be removed.
-            if (fleet.machine(listed.id()) != null) {
-                listedMachines.listed(listed.id(), askedAt);
+            if (fleet.machine(cloudMachine.id()) != null) {
+                listedMachines.recordListed(cloudMachine.id(), requestedAt);
             }
         }
-        removeAbsent(machines, askedAt);
+        removeUnlisted(cloudMachines, requestedAt);
         onListed.run();
     }
 
-    private void reconcile(CloudMachine listed) {
-        Machine machine = fleet.machine(listed.id());
-        if (machine == null && !fleet.wasReleased(listed.id()) && !listed.failed()) {
+    private void reconcileMachine(CloudMachine cloudMachine) {
+        Machine machine = fleet.machine(cloudMachine.id());
+        if (machine == null && !fleet.wasReleased(cloudMachine.id()) && !cloudMachine.failed()) {
             // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
             // this leader term. The scheduler uses it, or returns it as idle.
-            LOG.info("unknown machine listed, taken in, machine={}", listed.id());
-            fleet.appeared(listed.id(), listed.addr(), listed.type(), listed.zone(), listed.spot());
-        } else if (machine != null && listed.failed()) {
+            LOG.info("unknown machine listed, taken in, machine={}", cloudMachine.id());
+            fleet.appeared(
+                    cloudMachine.id(),
+                    cloudMachine.addr(),
+                    cloudMachine.type(),
+                    cloudMachine.zone(),
+                    cloudMachine.spot());
+        } else if (machine != null && cloudMachine.failed()) {
             fleet.failed(machine);
         }
     }
@@ -120,21 +125,22 @@
      * a later list can show an older state, so the earlier list must be older by more than that. Only machines whose lease has
      * expired are removed.
      */
-    private void removeAbsent(List<CloudMachine> machines, long askedAt) {
-        Set<String> present = new HashSet<>();
-        machines.forEach(listed -> present.add(listed.id()));
-        List<String> gone = new ArrayList<>();
+    private void removeUnlisted(List<CloudMachine> cloudMachines, long requestedAt) {
+        Set<String> listedIds = new HashSet<>();
+        cloudMachines.forEach(cloudMachine -> listedIds.add(cloudMachine.id()));
+        List<String> goneIds = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (machine.state() == Machine.State.LAPSED
-                    && !present.contains(machine.id())
-                    && listedMachines.listedLongBefore(machine.id(), askedAt, 2 * listLagMs + LAG_MARGIN_MS)) {
-                gone.add(machine.id());
+                    && !listedIds.contains(machine.id())
+                    && listedMachines.wasListedLongBefore(
+                            machine.id(), requestedAt, 2 * listLagMs + LIST_LAG_MARGIN_MS)) {
+                goneIds.add(machine.id());
             }
         }
-        if (!gone.isEmpty()) {
-            LOG.info("machines no longer listed, machines={}", gone);
-            context.incidents().record("taken by the cloud: " + String.join(", ", gone));
-            onGone.accept(gone);
+        if (!goneIds.isEmpty()) {
+            LOG.info("machines no longer listed, machines={}", goneIds);
+            context.incidents().record("taken by the cloud: " + String.join(", ", goneIds));
+            onGone.accept(goneIds);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
@@ -24,15 +24,15 @@
 /**
  * The dependencies of a leader term: components that every controller runs and that outlive the term.
  *
- * @param lead          the state of this controller in the leader election, and its fencing token
+ * @param leadership    the state of this controller in the leader election, and its fencing token
  * @param capabilities  the features that all controllers of the cluster support
  * @param configuration the live configuration of the teams
  */
 public record LeaderContext(
         Environment environment,
-        Configured configured,
+        Configured startupConfiguration,
         Store store,
-        Leadership lead,
+        Leadership leadership,
         Cloud cloudAccess,
         Jobs jobs,
         Capabilities capabilities,
@@ -45,17 +45,17 @@
     public record Configured(Settings settings, Policy policy) {}
 
     /** Access to the state service. */
-    public record Store(StateClient client, WatchCache watchCache, BatchWriter writer) {}
+    public record Store(StateClient stateClient, WatchCache watchCache, BatchWriter writer) {}
 
     /**
      * Access to the cloud.
      *
-     * @param types live view of the machine types that the cloud offers, by name
+     * @param machineTypes live view of the machine types that the cloud offers, by name
      */
-    public record Cloud(CloudClient client, Map<String, MachineType> types) {}
+    public record Cloud(CloudClient cloudClient, Map<String, MachineType> machineTypes) {}
 
     /** Access to jobs: the table of known jobs, the history of ended jobs, and the lookup of awaited jobs. */
-    public record Jobs(JobTable table, History history, JobLookup lookup) {}
+    public record Jobs(JobTable jobTable, History history, JobLookup jobLookup) {}
 
     /** Metrics, incidents and structured events that the term reports to. */
     public record Observability(Metrics metrics, IncidentReport incidents, EventLog eventLog) {}
@@ -73,15 +73,15 @@
     }
 
     Settings settings() {
-        return configured.settings();
+        return startupConfiguration.settings();
     }
 
     Policy policy() {
-        return configured.policy();
+        return startupConfiguration.policy();
     }
 
-    StateClient client() {
-        return store.client();
+    StateClient stateClient() {
+        return store.stateClient();
     }
 
     WatchCache watchCache() {
@@ -92,24 +92,24 @@
         return store.writer();
     }
 
-    CloudClient cloud() {
-        return cloudAccess.client();
+    CloudClient cloudClient() {
+        return cloudAccess.cloudClient();
     }
 
-    Map<String, MachineType> types() {
-        return cloudAccess.types();
+    Map<String, MachineType> machineTypes() {
+        return cloudAccess.machineTypes();
     }
 
-    JobTable table() {
-        return jobs.table();
+    JobTable jobTable() {
+        return jobs.jobTable();
     }
 
     History history() {
         return jobs.history();
     }
 
-    JobLookup lookup() {
-        return jobs.lookup();
+    JobLookup jobLookup() {
+        return jobs.jobLookup();
     }
 
     Metrics metrics() {
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
@@ -15,16 +15,16 @@
 final class LeaderStatus {
     private final Fleet fleet;
     private final Operations operations;
-    private final FailoverProgress failover;
+    private final FailoverProgress failoverProgress;
 
-    LeaderStatus(Fleet fleet, Operations operations, FailoverProgress failover) {
+    LeaderStatus(Fleet fleet, Operations operations, FailoverProgress failoverProgress) {
         this.fleet = fleet;
         this.operations = operations;
-        this.failover = failover;
+        this.failoverProgress = failoverProgress;
     }
 
     /** Returns the number of running tasks by job id, according to the latest heartbeats. */
-    Map<String, Integer> running() {
+    Map<String, Integer> runningTasksByJob() {
         Map<String, Integer> counts = new LinkedHashMap<>();
         for (Machine machine : fleet.machines()) {
             for (Attempt attempt : machine.attempts().values()) {
@@ -39,7 +39,7 @@
     void describe(ObjectNode status, long now) {
         describeMachines(status.putObject("machines"));
         status.put("unaccounted", fleet.unaccounted());
-        failover.describe(status.putObject("recovery"), now);
+        failoverProgress.describe(status.putObject("recovery"), now);
         describeOpenOperations(status.putArray("unsettledOperations"));
     }
 
@@ -51,10 +51,11 @@
         counts.forEach(machines::put);
     }
 
-    private void describeOpenOperations(ArrayNode open) {
+    private void describeOpenOperations(ArrayNode openOperations) {
         for (Operation operation : operations.all()) {
             if (operation.open()) {
-                open.addObject()
+                openOperations
+                        .addObject()
                         .put("key", operation.name())
                         .put("kind", operation.kind().name())
                         .put("state", operation.state().name())
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -35,69 +35,71 @@
  */
 public final class LeaderTerm implements JobTable.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
-    private static final long TICK_MS = 500;
+    private static final long TICK_INTERVAL_MS = 500;
     /** Longest wait of a new leader before it scales out, beyond the assumed heartbeat interval, in milliseconds. */
     private static final long OBSERVATION_MARGIN_MS = 1_500;
     /** Assumed heartbeat interval in milliseconds per configured second; a quarter longer, since heartbeats can be late. */
-    private static final double HEARTBEAT_MS_PER_S = 1250;
+    private static final double ASSUMED_HEARTBEAT_MS_PER_S = 1250;
 
     private final LeaderContext context;
     private final EventLoop loop;
-    private final Leadership lead;
+    private final Leadership leadership;
     private final BatchWriter writer;
     private final Settings settings;
-    private final JobTable table;
+    private final JobTable jobTable;
     private final SchedulingTrigger trigger;
     private final RuntimeForecast forecast;
     private final Fleet fleet;
-    private final MachineRegistry registry;
-    private final CompletionStore progress;
-    private final CancellationWriter cancellations;
+    private final MachineRegistry machineRegistry;
+    private final CompletionStore completionStore;
+    private final CancellationWriter cancellationWriter;
     private final Operations operations;
     private final Compactor compactor;
     private final ObservationWindow observationWindow;
-    private final FailoverProgress failover;
-    private final SchedulingCycle cycle;
-    private final InstanceReconciler reconciler;
-    private final LeaderStatus status;
+    private final FailoverProgress failoverProgress;
+    private final SchedulingCycle schedulingCycle;
+    private final InstanceReconciler instanceReconciler;
+    private final LeaderStatus leaderStatus;
     private boolean closed;
 
     /**
      * Loads the stored documents and starts the term.
      *
-     * @param stored the documents that earlier leaders stored, by key
-     * @param seenAt when this process first saw the current version of each document, by key and the event loop's clock
+     * @param documents   the documents that earlier leaders stored, by key
+     * @param seenAtByKey when this process first saw the current version of each document, by key and the event loop's clock
      */
-    public LeaderTerm(LeaderContext context, Map<String, JsonNode> stored, Map<String, Long> seenAt) {
+    public LeaderTerm(LeaderContext context, Map<String, JsonNode> documents, Map<String, Long> seenAtByKey) {
         this.context = context;
         this.loop = context.loop();
-        this.lead = context.lead();
+        this.leadership = context.leadership();
         this.writer = context.writer();
         this.settings = context.settings();
-        this.table = context.table();
-        trigger = new SchedulingTrigger(loop, this::visits, this::schedule);
+        this.jobTable = context.jobTable();
+        trigger = new SchedulingTrigger(loop, this::visitCount, this::schedule);
         forecast = new RuntimeForecast(settings.objectives(), context.policy());
         fleet = createFleet();
         context.metrics().takeovers.increment();
-        context.incidents().record("this controller took the lead under token " + lead.token());
+        context.incidents().record("this controller took the lead under token " + leadership.token());
         int valueBytes = settings.stateLimits().valueBytes();
-        registry = new MachineRegistry(Keys.ROOT, writer, fleet, valueBytes);
-        progress = new CompletionStore(Keys.ROOT, Keys.JOBS, writer, valueBytes, new ProgressEvents(context, fleet));
-        cancellations = new CancellationWriter(writer, table);
-        PoolCapacity capacity = new PoolCapacity(loop);
+        machineRegistry = new MachineRegistry(Keys.ROOT, writer, fleet, valueBytes);
+        completionStore =
+                new CompletionStore(Keys.ROOT, Keys.JOBS, writer, valueBytes, new CompletionEvents(context, fleet));
+        cancellationWriter = new CancellationWriter(writer, jobTable);
+        PoolCapacity poolCapacity = new PoolCapacity(loop);
         ListedMachines listedMachines = new ListedMachines();
         OperationEvents operationEvents =
-                new OperationEvents(context, fleet, registry, capacity, listedMachines, trigger);
+                new OperationEvents(context, fleet, machineRegistry, poolCapacity, listedMachines, trigger);
         operations = createOperations(operationEvents);
-        new StoredDocumentLoader(context, fleet, registry, progress, operations).load(stored, seenAt);
+        new StoredDocumentLoader(context, fleet, machineRegistry, completionStore, operations)
+                .load(documents, seenAtByKey);
         compactor = createCompactor();
         observationWindow = createObservationWindow();
-        failover = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
-        cycle = new SchedulingCycle(context, fleet, operations, forecast, capacity, observationWindow);
-        reconciler = new InstanceReconciler(
+        failoverProgress = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
+        schedulingCycle = new SchedulingCycle(context, fleet, operations, forecast, poolCapacity, observationWindow);
+        instanceReconciler = new InstanceReconciler(
                 context, fleet, operations, listedMachines, operationEvents::returned, observationWindow::listed);
-        status = new LeaderStatus(fleet, operations, failover);
-        announce();
+        leaderStatus = new LeaderStatus(fleet, operations, failoverProgress);
+        reportStart();
         fleet.start();
         compactor.start();
         tick();
@@ -108,10 +110,10 @@
                 new FleetParameters(
                         loop,
                         context.http(),
-                        lead,
+                        leadership,
                         settings.workers(),
-                        context.types()::get,
-                        this::knownSpec,
+                        context.machineTypes()::get,
+                        this::specOrNull,
                         context.policy(),
                         settings.machine().maxConnections(),
                         context.metrics(),
@@ -120,51 +122,51 @@
                 new FleetEvents());
     }
 
-    private JobSpec knownSpec(String jobId) {
-        Job job = table.get(jobId);
+    private JobSpec specOrNull(String jobId) {
+        Job job = jobTable.get(jobId);
         return job == null ? null : job.spec();
     }
 
     private Operations createOperations(Operations.Events events) {
         Operations.Scope scope = new Operations.Scope(
                 Keys.ROOT,
-                lead.token(),
+                leadership.token(),
                 context.policy().queryLimitS(),
                 settings.stateLimits().valueBytes());
-        return new Operations(loop, context.random(), context.cloud(), writer, scope, events);
+        return new Operations(loop, context.random(), context.cloudClient(), writer, scope, events);
     }
 
     private Compactor createCompactor() {
         return new Compactor(
                 new Compactor.Dependencies(
-                        context.client(),
+                        context.stateClient(),
                         context.watchCache(),
                         loop,
-                        table,
+                        jobTable,
                         context.history(),
                         context.capabilities(),
                         context.metrics()),
                 new CompactionOwner(context, fleet),
-                lead::writeGuard,
+                leadership::writeGuard,
                 settings.stateLimits(),
                 context.policy().historyShare());
     }
 
     private ObservationWindow createObservationWindow() {
-        long heartbeatMs = Math.round(settings.workers().reportS() * HEARTBEAT_MS_PER_S);
+        long heartbeatMs = Math.round(settings.workers().reportS() * ASSUMED_HEARTBEAT_MS_PER_S);
         return new ObservationWindow(loop.now(), heartbeatMs + OBSERVATION_MARGIN_MS);
     }
 
-    private void announce() {
-        int jobs = table.active().size();
-        LOG.info("leader term began, token={} jobs={} machines={}", lead.token(), jobs, fleet.size());
+    private void reportStart() {
+        int activeJobs = jobTable.active().size();
+        LOG.info("leader term began, token={} jobs={} machines={}", leadership.token(), activeJobs, fleet.size());
         context.eventLog()
                 .emit(
                         "elected",
                         "token",
-                        lead.token(),
+                        leadership.token(),
                         "jobs",
-                        jobs,
+                        activeJobs,
                         "machines",
                         fleet.size(),
                         "asked",
@@ -176,7 +178,7 @@
         closed = true;
         trigger.close();
         compactor.close();
-        reconciler.close();
+        instanceReconciler.close();
         fleet.close();
         operations.close();
         writer.clear();
@@ -189,17 +191,17 @@
 
     /** Requests a scheduling cycle after a change that affects scheduling. */
     public void changed() {
-        trigger.changed();
+        trigger.requestCycle();
     }
 
     /** Returns the number of running tasks by job id, according to the latest heartbeats. */
     public Map<String, Integer> running() {
-        return status.running();
+        return leaderStatus.runningTasksByJob();
     }
 
     /** Adds the leader's part of {@code /api/status} to the node. */
     public void describe(ObjectNode node) {
-        status.describe(node, loop.now());
+        leaderStatus.describe(node, loop.now());
     }
 
     @Override
@@ -211,66 +213,66 @@
     @Override
     public void jobEnded(Job job) {
         compactor.noted();
-        forecast.ended(job.id());
-        ActiveJob active = fleet.job(job.id());
-        if (active != null) {
-            progress.ended(active);
+        forecast.recordJobEnded(job.id());
+        ActiveJob activeJob = fleet.job(job.id());
+        if (activeJob != null) {
+            completionStore.ended(activeJob);
         }
         fleet.jobEnded(job);
-        cancellations.write();
+        cancellationWriter.write();
     }
 
     @Override
     public void jobReady(Job job) {
-        trigger.changed();
+        trigger.requestCycle();
     }
 
     /** Returns the number of machines and jobs that a scheduling cycle visits. */
-    private int visits() {
-        return fleet.size() + table.active().size();
+    private int visitCount() {
+        return fleet.size() + jobTable.active().size();
     }
 
     private void schedule() {
-        context.metrics().busy.during(Part.SCHEDULING, cycle::run);
-        failover.update(loop.now());
+        context.metrics().busy.during(Part.SCHEDULING, schedulingCycle::run);
+        failoverProgress.update(loop.now());
     }
 
     private void tick() {
         if (closed) {
             return;
         }
-        if (lead.mayAct()) {
-            reconciler.returnUseless(loop.now());
-            reconciler.list();
-            context.lookup().resolveAll();
-            cancellations.write();
-            trigger.changed();
+        if (leadership.mayAct()) {
+            instanceReconciler.returnUnusableMachines(loop.now());
+            instanceReconciler.requestList();
+            context.jobLookup().resolveAll();
+            cancellationWriter.write();
+            trigger.requestCycle();
         }
-        loop.after(TICK_MS, this::tick);
+        loop.after(TICK_INTERVAL_MS, this::tick);
     }
 
     /** Forwards events of the fleet. An inner class, since the fleet is created before the components that handle them. */
     private final class FleetEvents implements Fleet.Events {
         @Override
         public void changed() {
-            trigger.changed();
+            trigger.requestCycle();
         }
 
         @Override
         public void finished(Task task) {
-            progress.finished(task);
+            completionStore.finished(task);
         }
 
         @Override
         public void completed(Attempt attempt) {
             if (attempt.runningSince() > 0) {
-                forecast.completed(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
+                forecast.recordCompletedTask(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
             }
         }
 
         @Override
         public void registry(Machine machine) {
-            registry.add(machine);
+            machineRegistry.add(machine);
         }
 
         @Override
@@ -280,7 +282,7 @@
 
         @Override
         public void unreadableOver() {
-            registry.dropUnreadable();
+            machineRegistry.dropUnreadable();
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
@@ -15,14 +15,14 @@
 /** Groups the machines of the fleet by the decision taken about each: its action and reason. Shown in the status. */
 final class MachinesByDecision {
     /** Machines of a group whose ids are listed. */
-    private static final int MOST_NAMED = 5;
+    private static final int MAX_LISTED_IDS = 5;
 
     /** The machines with the same decision. */
     private static final class Group {
         private int count;
-        private final List<String> named = new ArrayList<>();
+        private final List<String> listedIds = new ArrayList<>();
         /** Longest remaining time until a lease of these machines expires, in milliseconds; -1 if no lease is waited for. */
-        private long waitMs = -1;
+        private long longestWaitMs = -1;
     }
 
     /** In order of first appearance, which is also the order in the status. */
@@ -31,39 +31,40 @@
     private MachinesByDecision() {}
 
     static MachinesByDecision of(Fleet fleet, long now) {
-        MachinesByDecision all = new MachinesByDecision();
+        MachinesByDecision machinesByDecision = new MachinesByDecision();
         for (Machine machine : fleet.machines()) {
-            all.add(machine, fleet.judge(machine, now), fleet.leaseEnds(machine) - now);
+            machinesByDecision.add(machine, fleet.judge(machine, now), fleet.leaseEnds(machine) - now);
         }
-        return all;
+        return machinesByDecision;
     }
 
     private void add(Machine machine, Decision decision, long leaseEndsInMs) {
-        Group group = groups.computeIfAbsent(decision, d -> new Group());
+        Group group = groups.computeIfAbsent(decision, newDecision -> new Group());
         group.count++;
-        if (group.count <= MOST_NAMED && !decision.is(Action.ADOPT)) {
-            group.named.add(machine.id());
+        if (group.count <= MAX_LISTED_IDS && !decision.is(Action.ADOPT)) {
+            group.listedIds.add(machine.id());
         }
         if (decision.is(Action.WAIT) && decision.reason() != Reason.BOOTING) {
-            group.waitMs = Math.max(group.waitMs, Math.max(0, leaseEndsInMs));
+            group.longestWaitMs = Math.max(group.longestWaitMs, Math.max(0, leaseEndsInMs));
         }
     }
 
     /** Adds an object {@code machines} to the node, unless there are no machines. */
     void describe(ObjectNode node) {
         groups.forEach((decision, group) -> {
-            ObjectNode of = node.withObject("/machines/" + name(decision.action()) + "/" + name(decision.reason()));
-            of.put("why", decision.reason().text()).put("count", group.count);
-            if (!group.named.isEmpty()) {
-                group.named.forEach(of.putArray("first")::add);
+            ObjectNode groupNode = node.withObject(
+                    "/machines/" + lowerCaseName(decision.action()) + "/" + lowerCaseName(decision.reason()));
+            groupNode.put("why", decision.reason().text()).put("count", group.count);
+            if (!group.listedIds.isEmpty()) {
+                group.listedIds.forEach(groupNode.putArray("first")::add);
             }
-            if (group.waitMs >= 0) {
-                of.put("untilMs", group.waitMs);
+            if (group.longestWaitMs >= 0) {
+                groupNode.put("untilMs", group.longestWaitMs);
             }
         });
     }
 
-    private static String name(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -12,43 +12,43 @@
 final class OperationEvents implements Operations.Events {
     private final LeaderContext context;
     private final Fleet fleet;
-    private final MachineRegistry registry;
-    private final PoolCapacity capacity;
+    private final MachineRegistry machineRegistry;
+    private final PoolCapacity poolCapacity;
     private final ListedMachines listedMachines;
     private final SchedulingTrigger trigger;
 
     OperationEvents(
             LeaderContext context,
             Fleet fleet,
-            MachineRegistry registry,
-            PoolCapacity capacity,
+            MachineRegistry machineRegistry,
+            PoolCapacity poolCapacity,
             ListedMachines listedMachines,
             SchedulingTrigger trigger) {
         this.context = context;
         this.fleet = fleet;
-        this.registry = registry;
-        this.capacity = capacity;
+        this.machineRegistry = machineRegistry;
+        this.poolCapacity = poolCapacity;
         this.listedMachines = listedMachines;
         this.trigger = trigger;
     }
 
     @Override
-    public void rented(RentRequest request, List<String> machines) {
-        for (String id : machines) {
+    public void rented(RentRequest request, List<String> machineIds) {
+        for (String id : machineIds) {
             fleet.rented(id, request.type(), request.zone(), request.spot());
         }
-        if (machines.size() < request.count()) {
+        if (machineIds.size() < request.count()) {
             noCapacity(request);
         } else {
-            capacity.granted(pool(request));
+            poolCapacity.recordGrant(pool(request));
         }
-        trigger.changed();
+        trigger.requestCycle();
     }
 
     @Override
     public void noCapacity(RentRequest request) {
-        capacity.refused(pool(request));
-        trigger.changed();
+        poolCapacity.recordRefusal(pool(request));
+        trigger.requestCycle();
     }
 
     private static String pool(RentRequest request) {
@@ -57,13 +57,13 @@
 
     /** Removes machines that were returned, and machines that the cloud's lists no longer show. */
     @Override
-    public void returned(List<String> machines) {
-        for (String id : machines) {
+    public void returned(List<String> machineIds) {
+        for (String id : machineIds) {
             fleet.gone(id);
-            registry.remove(id);
+            machineRegistry.remove(id);
             listedMachines.forget(id);
         }
-        trigger.changed();
+        trigger.requestCycle();
     }
 
     @Override
@@ -76,6 +76,6 @@
 
     @Override
     public boolean mayAct() {
-        return context.lead().mayAct();
+        return context.leadership().mayAct();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -53,26 +53,26 @@
 
     private void stop(CandidateNode.Running running) {
         Attempt attempt = (Attempt) running.attempt;
-        boolean maySave = attempt.spec().checkpointS() > 0 && !running.withoutSave;
-        fleet.stop(attempt, maySave ? attempt.spec().saveS() : 0);
+        boolean canSave = attempt.spec().checkpointS() > 0 && !running.withoutSave;
+        fleet.stop(attempt, canSave ? attempt.spec().saveS() : 0);
     }
 
     private void scaleOut(List<SchedulingPlan.Rent> rents) {
-        boolean observed = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
+        boolean isFleetObserved = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
         for (SchedulingPlan.Rent rent : rents) {
-            if (observed && !operations.rentPending(rent.type(), rent.zone(), rent.spot())) {
+            if (isFleetObserved && !operations.rentPending(rent.type(), rent.zone(), rent.spot())) {
                 operations.rent(new RentRequest(rent.type(), rent.zone(), rent.spot(), rent.count()));
             }
         }
     }
 
-    private void scaleIn(List<CandidateNode> idle) {
-        List<String> ids = new ArrayList<>();
-        for (CandidateNode node : idle) {
+    private void scaleIn(List<CandidateNode> idleNodes) {
+        List<String> machineIds = new ArrayList<>();
+        for (CandidateNode node : idleNodes) {
             Machine machine = (Machine) node.machine;
             fleet.markLeaving(machine);
-            ids.add(machine.id());
+            machineIds.add(machine.id());
         }
-        operations.returnMachines(ids);
+        operations.returnMachines(machineIds);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/PoolCapacity.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PoolCapacity.java
@@ -9,34 +9,34 @@
  * are named by {@link org.landingridge.controller.scheduling.Scheduler#pool}.
  */
 final class PoolCapacity {
-    private static final long FIRST_PAUSE_MS = 3_000;
-    private static final long MOST_PAUSE_MS = 20_000;
-    private static final int MOST_DOUBLINGS = 3;
+    private static final long INITIAL_PAUSE_MS = 3_000;
+    private static final long MAX_PAUSE_MS = 20_000;
+    private static final int MAX_DOUBLINGS = 3;
 
     private final EventLoop loop;
     /** Consecutive refusals, by pool. */
-    private final Map<String, Integer> refusals = new HashMap<>();
+    private final Map<String, Integer> refusalsByPool = new HashMap<>();
 
-    private final Map<String, Long> pausedUntil = new HashMap<>();
+    private final Map<String, Long> pausedUntilByPool = new HashMap<>();
 
     PoolCapacity(EventLoop loop) {
         this.loop = loop;
     }
 
     /** Records that the cloud provided fewer machines of this pool than requested, and pauses the pool. */
-    void refused(String pool) {
-        int times = refusals.merge(pool, 1, Integer::sum);
-        long pauseMs = Math.min(MOST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(MOST_DOUBLINGS, times - 1));
-        pausedUntil.put(pool, loop.now() + pauseMs);
+    void recordRefusal(String pool) {
+        int consecutiveRefusals = refusalsByPool.merge(pool, 1, Integer::sum);
+        long pauseMs = Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS << Math.min(MAX_DOUBLINGS, consecutiveRefusals - 1));
+        pausedUntilByPool.put(pool, loop.now() + pauseMs);
     }
 
     /** Records that the cloud provided all requested machines of this pool; the next refusal starts with the shortest pause. */
-    void granted(String pool) {
-        refusals.remove(pool);
+    void recordGrant(String pool) {
+        refusalsByPool.remove(pool);
     }
 
     /** Returns until when each pool is paused, by the event loop's clock, as a new map that the caller may change. */
-    Map<String, Long> pausedUntil() {
-        return new HashMap<>(pausedUntil);
+    Map<String, Long> pausedUntilByPool() {
+        return new HashMap<>(pausedUntilByPool);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -23,7 +23,7 @@
      * @param lastDue until when a late finish still has some value
      */
     record Inherited(Priority priority, long due, long lastDue) {
-        Inherited and(Inherited other) {
+        Inherited combinedWith(Inherited other) {
             return new Inherited(
                     priority.compareTo(other.priority) > 0 ? priority : other.priority,
                     Math.min(due, other.due),
@@ -31,67 +31,67 @@
         }
     }
 
-    private final Map<String, Inherited> byId = new HashMap<>();
+    private final Map<String, Inherited> inheritedByJob = new HashMap<>();
 
     private PriorityInheritance() {}
 
     /**
      * Computes what jobs inherit.
      *
-     * @param active all jobs that are neither done nor cancelled
+     * @param activeJobs all jobs that are neither done nor cancelled
      */
-    static PriorityInheritance of(Collection<Job> active, RuntimeForecast forecast, long now, long timeOfDay) {
-        PriorityInheritance all = new PriorityInheritance();
-        List<Job> waiting = new ArrayList<>();
-        for (Job job : active) {
+    static PriorityInheritance of(Collection<Job> activeJobs, RuntimeForecast forecast, long now, long timeOfDay) {
+        PriorityInheritance inheritance = new PriorityInheritance();
+        List<Job> unreadyJobs = new ArrayList<>();
+        for (Job job : activeJobs) {
             if (!job.ready()) {
-                waiting.add(job);
+                unreadyJobs.add(job);
             }
         }
         // Awaited jobs were accepted before the jobs that await them. From newest to oldest, each job has inherited
         // everything before it passes it on.
-        waiting.sort(Comparator.comparingLong(Job::created).reversed());
-        for (Job job : waiting) {
+        unreadyJobs.sort(Comparator.comparingLong(Job::created).reversed());
+        for (Job job : unreadyJobs) {
             TaskGroup group = new TaskGroup(job.spec(), null, job.created(), 0, 0);
-            forecast.expect(group, job, now, timeOfDay);
-            all.apply(group, job.id());
-            Inherited handedOn = new Inherited(
-                    all.priority(job.spec()),
-                    before(group.due, group.longestRunS),
-                    before(group.lastDue, group.longestRunS));
-            for (String needed : job.awaited()) {
-                all.byId.merge(needed, handedOn, Inherited::and);
+            forecast.fillExpectations(group, job, now, timeOfDay);
+            inheritance.tighten(group, job.id());
+            Inherited passedOn = new Inherited(
+                    inheritance.effectivePriority(job.spec()),
+                    latestStart(group.due, group.longestRunS),
+                    latestStart(group.lastDue, group.longestRunS));
+            for (String awaitedId : job.awaited()) {
+                inheritance.inheritedByJob.merge(awaitedId, passedOn, Inherited::combinedWith);
             }
         }
-        return all;
+        return inheritance;
     }
 
-    private static long before(long due, double longestRunS) {
+    private static long latestStart(long due, double longestRunS) {
         return due == Long.MAX_VALUE ? due : due - Math.round(longestRunS * 1000);
     }
 
-    private Priority priority(JobSpec spec) {
-        Inherited inherited = byId.get(spec.id());
+    private Priority effectivePriority(JobSpec spec) {
+        Inherited inherited = inheritedByJob.get(spec.id());
         return inherited == null || inherited.priority.compareTo(spec.priority()) <= 0
                 ? spec.priority()
                 : inherited.priority;
     }
 
     /** Returns the job's specification with the higher of its own and its inherited priority. */
-    JobSpec spec(JobSpec spec) {
-        Priority priority = priority(spec);
+    JobSpec withEffectivePriority(JobSpec spec) {
+        Priority priority = effectivePriority(spec);
         return priority == spec.priority() ? spec : spec.withPriority(priority);
     }
 
     /** Tightens the group's due times to the inherited ones, if there are any. */
-    void apply(TaskGroup group, String id) {
-        Inherited inherited = byId.get(id);
+    void tighten(TaskGroup group, String jobId) {
+        Inherited inherited = inheritedByJob.get(jobId);
         if (inherited == null || inherited.due == Long.MAX_VALUE) {
             return;
         }
         group.due = Math.min(group.due, inherited.due);
         group.lastDue = Math.min(group.lastDue, inherited.lastDue);
-        group.startBy = before(group.due, group.longestRunS);
+        group.startBy = latestStart(group.due, group.longestRunS);
         group.withoutDeadline = false;
         group.mayWaitForBoots = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -26,35 +26,35 @@
     private final Fleet fleet;
     private final Operations operations;
     private final RuntimeForecast forecast;
-    private final PoolCapacity capacity;
+    private final PoolCapacity poolCapacity;
     private final ConfiguredTeams configuredTeams;
-    private final TaskGroupBuilder groupBuilder;
-    private final PlanExecutor executor;
-    private final WindowedMaximum demand = new WindowedMaximum();
-    private final long beganAt;
-    private long nextExcessStep;
+    private final TaskGroupBuilder taskGroupBuilder;
+    private final PlanExecutor planExecutor;
+    private final WindowedMaximum recentDemand = new WindowedMaximum();
+    private final long termStartedAt;
+    private long nextExcessStepAt;
 
     SchedulingCycle(
             LeaderContext context,
             Fleet fleet,
             Operations operations,
             RuntimeForecast forecast,
-            PoolCapacity capacity,
+            PoolCapacity poolCapacity,
             ObservationWindow observationWindow) {
         this.context = context;
         this.fleet = fleet;
         this.operations = operations;
         this.forecast = forecast;
-        this.capacity = capacity;
+        this.poolCapacity = poolCapacity;
         this.configuredTeams = new ConfiguredTeams(context);
-        this.groupBuilder = new TaskGroupBuilder(context, fleet, forecast, configuredTeams);
-        this.executor = new PlanExecutor(context, fleet, operations, observationWindow);
-        this.beganAt = context.loop().now();
+        this.taskGroupBuilder = new TaskGroupBuilder(context, fleet, forecast, configuredTeams);
+        this.planExecutor = new PlanExecutor(context, fleet, operations, observationWindow);
+        this.termStartedAt = context.loop().now();
     }
 
     /** Runs one cycle, unless this controller may not act, knows no machine types, or may have an outdated configuration. */
     void run() {
-        if (!context.lead().mayAct() || context.types().isEmpty()) {
+        if (!context.leadership().mayAct() || context.machineTypes().isEmpty()) {
             return;
         }
         long now = context.loop().now();
@@ -62,77 +62,81 @@
         if (configuredTeams.mayBeOutdated(now)) {
             return;
         }
-        SchedulingSnapshot snapshot = snapshot(now, teams);
-        executor.apply(decide(snapshot));
+        SchedulingSnapshot snapshot = takeSnapshot(now, teams);
+        planExecutor.apply(computePlan(snapshot));
         stopExcess(snapshot);
     }
 
-    private SchedulingSnapshot snapshot(long now, List<Team> teams) {
-        Map<String, TaskGroup> groups = groupBuilder.build(now);
-        CandidateNodeBuilder nodes = new CandidateNodeBuilder(fleet, forecast, configuredTeams, teams, groups, now);
-        nodes.addMachines();
-        nodes.addRents(operations, context.types());
-        return new SchedulingSnapshot(now, teams, groups, nodes.nodes());
+    private SchedulingSnapshot takeSnapshot(long now, List<Team> teams) {
+        Map<String, TaskGroup> groupsByJob = taskGroupBuilder.build(now);
+        CandidateNodeBuilder nodeBuilder =
+                new CandidateNodeBuilder(fleet, forecast, configuredTeams, teams, groupsByJob, now);
+        nodeBuilder.addMachines();
+        nodeBuilder.addPendingRents(operations, context.machineTypes());
+        return new SchedulingSnapshot(now, teams, groupsByJob, nodeBuilder.nodes());
     }
 
-    private SchedulingPlan decide(SchedulingSnapshot snapshot) {
+    private SchedulingPlan computePlan(SchedulingSnapshot snapshot) {
         long now = snapshot.now();
-        Collection<TaskGroup> groups = snapshot.groups().values();
-        long idleMs = forecast.idleMs(context.types().values());
+        Collection<TaskGroup> groups = snapshot.groupsByJob().values();
+        long idleMs = forecast.idleTimeoutMs(context.machineTypes().values());
         return Scheduler.plan(new Scheduler.Input(
                 now,
                 snapshot.nodes(),
                 List.copyOf(groups),
                 snapshot.teams(),
-                List.copyOf(context.types().values()),
-                closedPools(now),
-                spare(groups),
+                List.copyOf(context.machineTypes().values()),
+                closedPoolsUntil(now),
+                serviceHeadroom(groups),
                 idleMs,
-                standing(snapshot, idleMs)));
+                retainedCpus(snapshot, idleMs)));
     }
 
     /** Returns the capacity to keep free for services, or null if there are no services. */
-    private Scheduler.Spare spare(Collection<TaskGroup> groups) {
-        JobSpec largest = null;
-        int replicas = 0;
+    private Scheduler.Spare serviceHeadroom(Collection<TaskGroup> groups) {
+        JobSpec largestReplica = null;
+        int replicaCount = 0;
         for (TaskGroup group : groups) {
             if (group.spec.service()) {
-                replicas += group.spec.tasks();
-                if (largest == null || group.spec.cpus() > largest.cpus()) {
-                    largest = group.spec;
+                replicaCount += group.spec.tasks();
+                if (largestReplica == null || group.spec.cpus() > largestReplica.cpus()) {
+                    largestReplica = group.spec;
                 }
             }
         }
-        if (largest == null) {
+        if (largestReplica == null) {
             return null;
         }
-        int kept = (int) Math.ceil(replicas * context.policy().spareShare());
-        return new Scheduler.Spare(largest, Math.max(2, kept));
+        int reservedTasks = (int) Math.ceil(replicaCount * context.policy().spareShare());
+        return new Scheduler.Spare(largestReplica, Math.max(2, reservedTasks));
     }
 
     /** Returns the number of CPUs to keep running even if they are not requested at the moment. */
-    private double standing(SchedulingSnapshot snapshot, long idleMs) {
+    private double retainedCpus(SchedulingSnapshot snapshot, long idleMs) {
         // Tasks that an earlier leader may have started cannot be placed while machines are unaccounted for, so they
         // are missing from the demand. Machines returned on that basis were rented again a minute later.
-        double most = demand.record(
-                snapshot.now(), demand(snapshot.teams(), snapshot.groups().values()), idleMs);
+        double peakDemandCpus = recentDemand.record(
+                snapshot.now(),
+                demandCpus(snapshot.teams(), snapshot.groupsByJob().values()),
+                idleMs);
         // A new leader doesn't know the recent demand either. Without this rule, an existing fleet was returned within
         // seconds of the first start of the controllers, and rented again.
-        boolean fresh = snapshot.now() - beganAt < Math.round(context.policy().idleS() * 1000);
-        return fresh || fleet.unaccounted() > 0 ? Double.MAX_VALUE : most;
+        boolean isNewTerm =
+                snapshot.now() - termStartedAt < Math.round(context.policy().idleS() * 1000);
+        return isNewTerm || fleet.unaccounted() > 0 ? Double.MAX_VALUE : peakDemandCpus;
     }
 
     /** Returns the CPUs that the teams use and request: up to the guarantee for a team that has one, all of them otherwise. */
-    private static double demand(List<Team> teams, Collection<TaskGroup> groups) {
-        double[] asked = new double[teams.size()];
+    private static double demandCpus(List<Team> teams, Collection<TaskGroup> groups) {
+        double[] waitingCpus = new double[teams.size()];
         for (TaskGroup group : groups) {
-            asked[group.team] += group.waiting * group.spec.cpus();
+            waitingCpus[group.team] += group.waiting * group.spec.cpus();
         }
-        double sum = 0;
-        for (int i = 0; i < asked.length; i++) {
-            sum += teams.get(i).guaranteed(asked[i]);
+        double totalCpus = 0;
+        for (int i = 0; i < waitingCpus.length; i++) {
+            totalCpus += teams.get(i).guaranteed(waitingCpus[i]);
         }
-        return sum;
+        return totalCpus;
     }
 
     /**
@@ -140,36 +144,36 @@
      * no capacity, pools whose machines all boot late, and all pools of zones in which most machines are silent: such a zone
      * is probably cut off from the network, and new machines in it could not be reached either.
      */
-    private Map<String, Long> closedPools(long now) {
-        Map<String, Long> closed = capacity.pausedUntil();
-        boolean lapsed = false;
+    private Map<String, Long> closedPoolsUntil(long now) {
+        Map<String, Long> closedUntilByPool = poolCapacity.pausedUntilByPool();
+        boolean hasLapsedMachines = false;
         for (Machine machine : fleet.machines()) {
-            lapsed |= machine.state() == Machine.State.LAPSED;
+            hasLapsedMachines |= machine.state() == Machine.State.LAPSED;
             // If all machines of a pool boot late, new ones would be late too; other pools are tried first.
             if (fleet.lateWithAll(machine, now)) {
-                closed.put(Scheduler.pool(machine.kind().name(), machine.zone(), machine.spot()), now + 1);
+                closedUntilByPool.put(Scheduler.pool(machine.kind().name(), machine.zone(), machine.spot()), now + 1);
             }
         }
-        if (lapsed) {
-            closeCutZones(closed, now);
+        if (hasLapsedMachines) {
+            closeUnreachableZones(closedUntilByPool, now);
         }
-        return closed;
+        return closedUntilByPool;
     }
 
-    private void closeCutZones(Map<String, Long> closed, long now) {
-        Map<String, Integer> excessOfSilent = new HashMap<>();
+    private void closeUnreachableZones(Map<String, Long> closedUntilByPool, long now) {
+        Map<String, Integer> silentMinusUpByZone = new HashMap<>();
         for (Machine machine : fleet.machines()) {
             if (machine.state() == Machine.State.LAPSED) {
-                excessOfSilent.merge(machine.zone(), 1, Integer::sum);
+                silentMinusUpByZone.merge(machine.zone(), 1, Integer::sum);
             } else if (machine.state() == Machine.State.UP) {
-                excessOfSilent.merge(machine.zone(), -1, Integer::sum);
+                silentMinusUpByZone.merge(machine.zone(), -1, Integer::sum);
             }
         }
-        excessOfSilent.forEach((zone, excess) -> {
-            if (excess > 0) {
-                for (String type : context.types().keySet()) {
-                    closed.put(Scheduler.pool(type, zone, true), now + 1);
-                    closed.put(Scheduler.pool(type, zone, false), now + 1);
+        silentMinusUpByZone.forEach((zone, silentMinusUp) -> {
+            if (silentMinusUp > 0) {
+                for (String type : context.machineTypes().keySet()) {
+                    closedUntilByPool.put(Scheduler.pool(type, zone, true), now + 1);
+                    closedUntilByPool.put(Scheduler.pool(type, zone, false), now + 1);
                 }
             }
         });
@@ -177,13 +181,13 @@
 
     /** Stops the next portion of the work that exceeds a lowered quota, if the pause between two steps has passed. */
     private void stopExcess(SchedulingSnapshot snapshot) {
-        if (!configuredTeams.everChanged() || snapshot.now() < nextExcessStep) {
+        if (!configuredTeams.wasEverChanged() || snapshot.now() < nextExcessStepAt) {
             return;
         }
         List<CandidateNode.Running> excess = ExcessWork.step(snapshot.nodes(), snapshot.teams());
         if (!excess.isEmpty()) {
-            nextExcessStep = snapshot.now() + ExcessWork.STEP_MS;
-            executor.stopExcess(excess);
+            nextExcessStepAt = snapshot.now() + ExcessWork.STEP_MS;
+            planExecutor.stopExcess(excess);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -15,83 +15,89 @@
 
 /** Loads the documents that earlier leaders stored: finished tasks, the machine registry and cloud operations. */
 final class StoredDocumentLoader {
-    private static final String PROGRESS = Keys.ROOT + CompletionStore.PREFIX;
-    private static final String MACHINES = Keys.ROOT + MachineRegistry.PREFIX;
-    private static final String OPERATIONS = Keys.ROOT + Operation.PREFIX;
+    private static final String COMPLETION_PREFIX = Keys.ROOT + CompletionStore.PREFIX;
+    private static final String MACHINE_PREFIX = Keys.ROOT + MachineRegistry.PREFIX;
+    private static final String OPERATION_PREFIX = Keys.ROOT + Operation.PREFIX;
 
     private final LeaderContext context;
-    private final JobTable table;
+    private final JobTable jobTable;
     private final Fleet fleet;
-    private final MachineRegistry registry;
-    private final CompletionStore progress;
+    private final MachineRegistry machineRegistry;
+    private final CompletionStore completionStore;
     private final Operations operations;
 
     StoredDocumentLoader(
             LeaderContext context,
             Fleet fleet,
-            MachineRegistry registry,
-            CompletionStore progress,
+            MachineRegistry machineRegistry,
+            CompletionStore completionStore,
             Operations operations) {
         this.context = context;
-        this.table = context.table();
+        this.jobTable = context.jobTable();
         this.fleet = fleet;
-        this.registry = registry;
-        this.progress = progress;
+        this.machineRegistry = machineRegistry;
+        this.completionStore = completionStore;
         this.operations = operations;
     }
 
     /**
      * Loads all documents. The order of the steps matters, since each step uses what the earlier steps have loaded.
      *
-     * @param stored the documents by key
-     * @param seenAt when this process first saw the current version of each document, by key and the event loop's clock
+     * @param documents   the documents by key
+     * @param seenAtByKey when this process first saw the current version of each document, by key and the event loop's clock
      */
-    void load(Map<String, JsonNode> stored, Map<String, Long> seenAt) {
-        readFinishedTasks(stored);
-        for (Job job : table.active()) {
+    void load(Map<String, JsonNode> documents, Map<String, Long> seenAtByKey) {
+        readFinishedTasks(documents);
+        for (Job job : jobTable.active()) {
             fleet.jobAccepted(job);
         }
-        takeOverPages(stored, seenAt);
-        takeOverOperations(stored);
-        fleet.jobs().forEach(progress::takeOver);
-        registry.splitOversized();
-        progress.splitOversized();
+        loadPages(documents, seenAtByKey);
+        loadOperations(documents);
+        fleet.jobs().forEach(completionStore::takeOver);
+        machineRegistry.splitOversized();
+        completionStore.splitOversized();
     }
 
     /**
      * Reads the finished tasks into the job table. A process that has just started read them before their jobs, since documents
      * are read in key order. If they were not read again here, it would start all tasks of those jobs again.
      */
-    private void readFinishedTasks(Map<String, JsonNode> stored) {
-        stored.forEach((key, value) -> {
-            if (key.startsWith(PROGRESS)) {
-                CompletionStore.read(value, table);
+    private void readFinishedTasks(Map<String, JsonNode> documents) {
+        documents.forEach((key, document) -> {
+            if (key.startsWith(COMPLETION_PREFIX)) {
+                CompletionStore.read(document, jobTable);
             }
         });
     }
 
-    private void takeOverPages(Map<String, JsonNode> stored, Map<String, Long> seenAt) {
-        stored.forEach((key, value) -> {
-            if (key.startsWith(MACHINES)) {
-                registry.takeOver(key, value, seenAt.get(key), context.lead().previousToken());
-            } else if (key.startsWith(PROGRESS)) {
-                progress.takeOver(key, value, table);
+    private void loadPages(Map<String, JsonNode> documents, Map<String, Long> seenAtByKey) {
+        documents.forEach((key, document) -> {
+            if (key.startsWith(MACHINE_PREFIX)) {
+                machineRegistry.takeOver(
+                        key,
+                        document,
+                        seenAtByKey.get(key),
+                        context.leadership().previousToken());
+            } else if (key.startsWith(COMPLETION_PREFIX)) {
+                completionStore.takeOver(key, document, jobTable);
             }
         });
     }
 
-    private void takeOverOperations(Map<String, JsonNode> stored) {
-        stored.forEach((key, value) -> {
-            if (key.startsWith(OPERATIONS)) {
-                operations.takeOver(key.substring(OPERATIONS.length()), value).ifPresent(this::markLeaving);
+    private void loadOperations(Map<String, JsonNode> documents) {
+        documents.forEach((key, document) -> {
+            if (key.startsWith(OPERATION_PREFIX)) {
+                operations
+                        .takeOver(key.substring(OPERATION_PREFIX.length()), document)
+                        .ifPresent(this::markMachinesLeaving);
             }
         });
     }
 
-    private void markLeaving(Operation operation) {
+    private void markMachinesLeaving(Operation operation) {
         if (operation.open() && operation.request() instanceof ReturnRequest request) {
-            for (String id : request.machines()) {
-                Machine machine = fleet.machine(id);
+            for (String machineId : request.machines()) {
+                Machine machine = fleet.machine(machineId);
                 if (machine != null) {
                     fleet.markLeaving(machine);
                 }
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -12,45 +12,51 @@
     private final LeaderContext context;
     private final Fleet fleet;
     private final RuntimeForecast forecast;
-    private final ConfiguredTeams teams;
+    private final ConfiguredTeams configuredTeams;
 
-    TaskGroupBuilder(LeaderContext context, Fleet fleet, RuntimeForecast forecast, ConfiguredTeams teams) {
+    TaskGroupBuilder(LeaderContext context, Fleet fleet, RuntimeForecast forecast, ConfiguredTeams configuredTeams) {
         this.context = context;
         this.fleet = fleet;
         this.forecast = forecast;
-        this.teams = teams;
+        this.configuredTeams = configuredTeams;
     }
 
     /** Returns a group for each job that is ready and belongs to a configured team, by job id. */
     Map<String, TaskGroup> build(long now) {
         long timeOfDay = context.loop().timeOfDay();
-        PriorityInheritance inheritance = PriorityInheritance.of(context.table().active(), forecast, now, timeOfDay);
-        Map<String, TaskGroup> groups = new LinkedHashMap<>();
+        PriorityInheritance inheritance =
+                PriorityInheritance.of(context.jobTable().active(), forecast, now, timeOfDay);
+        Map<String, TaskGroup> groupsByJob = new LinkedHashMap<>();
         for (ActiveJob job : fleet.jobs()) {
-            int team = teams.index(job.spec().team(), -1);
+            int teamIndex = configuredTeams.indexOf(job.spec().team(), -1);
             // A job that awaits others is left out of limits, guarantees, the order of jobs and forecasts.
-            if (team >= 0 && job.job().ready()) {
-                groups.put(job.id(), group(job, team, inheritance, now, timeOfDay));
+            if (teamIndex >= 0 && job.job().ready()) {
+                groupsByJob.put(job.id(), buildGroup(job, teamIndex, inheritance, now, timeOfDay));
             }
         }
-        return groups;
+        return groupsByJob;
     }
 
-    private TaskGroup group(ActiveJob job, int team, PriorityInheritance inheritance, long now, long timeOfDay) {
+    private TaskGroup buildGroup(
+            ActiveJob job, int teamIndex, PriorityInheritance inheritance, long now, long timeOfDay) {
         int placeable = fleet.placeable(job);
-        boolean broken = job.health() == ActiveJob.Health.BROKEN;
-        int waiting = broken ? Math.min(placeable, probes(job)) : placeable;
+        boolean isBroken = job.health() == ActiveJob.Health.BROKEN;
+        int startable = isBroken ? Math.min(placeable, allowedProbes(job)) : placeable;
         TaskGroup group = new TaskGroup(
-                inheritance.spec(job.spec()), job, job.job().created(), team, job.notBefore() <= now ? waiting : 0);
-        group.probing = broken;
+                inheritance.withEffectivePriority(job.spec()),
+                job,
+                job.job().created(),
+                teamIndex,
+                job.notBefore() <= now ? startable : 0);
+        group.probing = isBroken;
         group.blocked = job.count(Task.State.PENDING) - placeable;
-        forecast.fill(group, job.job(), now, timeOfDay);
-        inheritance.apply(group, job.id());
+        forecast.fillAndLearn(group, job.job(), now, timeOfDay);
+        inheritance.tighten(group, job.id());
         return group;
     }
 
     /** Returns how many tasks of a broken job may start: one at a time. */
-    private static int probes(ActiveJob job) {
+    private static int allowedProbes(ActiveJob job) {
         return job.count(Task.State.ON_MACHINE) == 0 ? 1 : 0;
     }
 }
