--- a/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
@@ -31,8 +31,8 @@
         if (deadlineS != null && durationS > deadlineS) {
             context.incidents()
                     .record(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
-                            + durationS + " s instead of " + Math.round(deadlineS) + " s, with " + fleet.waiting()
-                            + " tasks of all jobs waiting for room now");
+                            + durationS + " s, deadline " + Math.round(deadlineS) + " s; " + fleet.waiting()
+                            + " tasks of all jobs are waiting for capacity");
         }
         context.jobTable().end(job, Job.Status.DONE, job.tasks(), revision, true);
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -67,7 +67,7 @@
             if (decision.is(Action.GIVE_BACK)) {
                 String reason = decision.reason().text();
                 LOG.info("machine returned, machine={} reason={}", machine.id(), reason);
-                context.incidents().record(machine.id() + ": " + reason + "; given back");
+                context.incidents().record(machine.id() + ": " + reason + "; returned to the cloud");
                 fleet.scaleIn(machine, decision);
                 unusableIds.add(machine.id());
             }
@@ -108,7 +108,7 @@
         if (machine == null && !fleet.wasReleased(cloudMachine.id()) && !cloudMachine.failed()) {
             // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
             // this leader term. The scheduler uses it, or returns it as idle.
-            LOG.info("unknown machine listed, taken in, machine={}", cloudMachine.id());
+            LOG.info("unknown machine listed, machine={}", cloudMachine.id());
             fleet.appeared(
                     cloudMachine.id(),
                     cloudMachine.addr(),
@@ -139,7 +139,7 @@
         }
         if (!goneIds.isEmpty()) {
             LOG.info("machines no longer listed, machines={}", goneIds);
-            context.incidents().record("taken by the cloud: " + String.join(", ", goneIds));
+            context.incidents().record("taken back by the cloud: " + String.join(", ", goneIds));
             onGone.accept(goneIds);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -79,7 +79,7 @@
         forecast = new RuntimeForecast(settings.objectives(), context.policy());
         fleet = createFleet();
         context.metrics().takeovers.increment();
-        context.incidents().record("this controller took the lead under token " + leadership.token());
+        context.incidents().record("this controller became the leader, fencing token " + leadership.token());
         int valueBytes = settings.stateLimits().valueBytes();
         machineRegistry = new MachineRegistry(Keys.ROOT, writer, fleet, valueBytes);
         completionStore =
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -70,8 +70,9 @@
     public void escalated(Operation operation) {
         context.metrics().escalated.increment();
         context.incidents()
-                .record(operation.name() + " (" + operation.kind() + ") has had no clear outcome for long: it counts as"
-                        + " unsettled room and is asked about now and then");
+                .record(operation.name() + " (" + operation.kind()
+                        + ") has had no clear outcome for a long time: it stays"
+                        + " listed as an unsettled operation, and the request is sent again at long intervals");
     }
 
     @Override
