--- a/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
@@ -34,7 +34,7 @@
     /** Returns the currently configured teams, without usage. A cycle reads the configuration only through this method. */
     @SuppressWarnings("ReferenceEquality") // each change creates a new immutable configuration
     List<Team> refresh() {
-        Configuration current = context.configuration().current();
+        Configuration current = context.liveConfiguration().current();
         if (current != configuration) {
             configuration = current;
             indexByName.clear();
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
@@ -24,9 +24,9 @@
 /**
  * The dependencies of a leader term: components that every controller runs and that outlive the term.
  *
- * @param leadership    the state of this controller in the leader election, and its fencing token
- * @param capabilities  the features that all controllers of the cluster support
- * @param configuration the live configuration of the teams
+ * @param leadership        the state of this controller in the leader election, and its fencing token
+ * @param capabilities      the features that all controllers of the cluster support
+ * @param liveConfiguration the live configuration of the teams
  */
 public record LeaderContext(
         Environment environment,
@@ -36,7 +36,7 @@
         Cloud cloudAccess,
         Jobs jobs,
         Capabilities capabilities,
-        ConfigurationView configuration,
+        ConfigurationView liveConfiguration,
         Observability observability) {
     /** The process environment: event loop with its clocks, HTTP connections, and random number generator. */
     public record Environment(EventLoop loop, Http http, RandomGenerator random) {}
