--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -17,42 +17,42 @@
 import org.landingridge.wire.RentRequest;
 
 /**
- * Describes machines to the scheduler in one cycle. Besides, it adds to the teams what their tasks take, and to the groups
- * in which zones their tasks are.
+ * Builds the scheduler's candidate nodes for one cycle from the machines of the fleet and the pending rent operations. Also
+ * adds the CPU and GPU usage of running tasks to their teams, and counts the tasks of each group by zone.
  */
 final class CandidateNodeBuilder {
     private final Fleet fleet;
     private final RuntimeForecast forecast;
-    private final ConfiguredTeams configured;
+    private final ConfiguredTeams configuredTeams;
     private final List<Team> teams;
-    private final Map<String, TaskGroup> groups;
+    private final Map<String, TaskGroup> groupsByJob;
     private final long now;
     private final List<CandidateNode> nodes = new ArrayList<>();
 
     CandidateNodeBuilder(
             Fleet fleet,
             RuntimeForecast forecast,
-            ConfiguredTeams configured,
+            ConfiguredTeams configuredTeams,
             List<Team> teams,
-            Map<String, TaskGroup> groups,
+            Map<String, TaskGroup> groupsByJob,
             long now) {
         this.fleet = fleet;
         this.forecast = forecast;
-        this.configured = configured;
+        this.configuredTeams = configuredTeams;
         this.teams = teams;
-        this.groups = groups;
+        this.groupsByJob = groupsByJob;
         this.now = now;
     }
 
-    /** The nodes in the order in which they were added. */
+    /** Returns the nodes in the order in which they were added. */
     List<CandidateNode> nodes() {
         return nodes;
     }
 
-    /** Adds the machines of the fleet that take tasks or are on their way. */
+    /** Adds the machines of the fleet that can take tasks now or are expected to be able to soon. */
     void addMachines() {
         if (fleet.anyUnreadable()) {
-            holdForAllTeams(Double.MAX_VALUE, Double.MAX_VALUE);
+            addUnverifiedToAllTeams(Double.MAX_VALUE, Double.MAX_VALUE);
         }
         for (Machine machine : fleet.machines()) {
             addMachine(machine);
@@ -60,40 +60,41 @@
     }
 
     private void addMachine(Machine machine) {
-        boolean usable = fleet.usable(machine, now);
+        boolean isUsable = fleet.usable(machine, now);
         if (fleet.unaccounted(machine)) {
-            // It may run tasks of any team that nobody has reported, as many as fit: they count within the limits.
-            holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
+            // The machine may run unreported tasks of any team, up to its full size, so its size counts against every
+            // team's limit.
+            addUnverifiedToAllTeams(machine.kind().cpus(), machine.kind().gpus());
         }
         CandidateNode node =
-                new CandidateNode(machine.kind(), machine.zone(), machine.spot(), machine, usable, machine.images());
+                new CandidateNode(machine.kind(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
         node.draining = fleet.draining(machine, now);
         node.awaitingHeartbeat = fleet.unheard(machine, now);
-        boolean idle = addAttempts(machine, node);
-        node.idleMs = idle ? fleet.idleMs(machine, now) : 0;
-        // What neither takes tasks nor is on its way counts for nothing.
-        if (usable || fleet.coming(machine, now)) {
+        boolean isIdle = addAttempts(machine, node);
+        node.idleMs = isIdle ? fleet.idleMs(machine, now) : 0;
+        // Machines that can take no tasks, neither now nor soon, are left out.
+        if (isUsable || fleet.coming(machine, now)) {
             nodes.add(node);
         }
     }
 
-    /** Adds what takes room on the machine; true where nothing does. */
+    /** Adds the live attempts on the machine to the node; returns true if there are none. */
     private boolean addAttempts(Machine machine, CandidateNode node) {
-        boolean idle = true;
-        boolean unknown = false;
+        boolean isIdle = true;
+        boolean hasUnknownJob = false;
         for (Attempt attempt : machine.attempts().values()) {
             if (!attempt.live()) {
                 continue;
             }
-            idle = false;
+            isIdle = false;
             addAttempt(attempt, node);
-            if (attempt.spec() == null && !unknown) {
-                // Nobody here remembers its job: what it takes is unknown, and so is its team.
-                unknown = true;
-                holdForAllTeams(machine.kind().cpus(), machine.kind().gpus());
+            if (attempt.spec() == null && !hasUnknownJob) {
+                // The job is not known, so neither are its team and its resource needs.
+                hasUnknownJob = true;
+                addUnverifiedToAllTeams(machine.kind().cpus(), machine.kind().gpus());
             }
         }
-        return idle;
+        return isIdle;
     }
 
     private void addAttempt(Attempt attempt, CandidateNode node) {
@@ -101,46 +102,46 @@
             node.fetching++;
         }
         JobSpec spec = attempt.spec();
-        int team = spec == null ? 0 : configured.index(spec.team(), 0);
-        TaskGroup group = groups.get(attempt.jobId());
-        node.add(running(attempt, group == null ? spec : group.spec, team));
+        int teamIndex = spec == null ? 0 : configuredTeams.indexOf(spec.team(), 0);
+        TaskGroup group = groupsByJob.get(attempt.jobId());
+        node.add(describeAttempt(attempt, group == null ? spec : group.spec, teamIndex));
         if (spec != null) {
-            charge(teams.get(team), spec, attempt.stopWanted());
+            addUsage(teams.get(teamIndex), spec, attempt.stopWanted());
         }
         if (group != null) {
             group.perZone.merge(node.zone, 1, Integer::sum);
         }
     }
 
-    private CandidateNode.Running running(Attempt attempt, JobSpec spec, int team) {
+    private CandidateNode.Running describeAttempt(Attempt attempt, JobSpec spec, int teamIndex) {
         CandidateNode.Running running =
-                new CandidateNode.Running(spec, team, attempt, attempt.since(), attempt.stopWanted());
+                new CandidateNode.Running(spec, teamIndex, attempt, attempt.since(), attempt.stopWanted());
         running.ranS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
-        running.leftS = attempt.spec() == null ? 0 : forecast.leftS(attempt.spec(), running.ranS);
+        running.leftS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.ranS);
         return running;
     }
 
-    private static void charge(Team team, JobSpec spec, boolean stopping) {
+    private static void addUsage(Team team, JobSpec spec, boolean isStopping) {
         team.usedCpus += spec.cpus();
         team.usedGpus += spec.gpus();
-        if (stopping) {
+        if (isStopping) {
             team.stopping(spec);
         }
     }
 
-    private void holdForAllTeams(double cpus, double gpus) {
+    private void addUnverifiedToAllTeams(double cpus, double gpus) {
         for (Team team : teams) {
             team.addUnverified(cpus, gpus);
         }
     }
 
-    /** Adds the machines that open rents may bring. */
-    void addRents(Operations operations, Map<String, MachineType> types) {
+    /** Adds a node for each machine that an open rent operation may still provide, unless the operation was escalated. */
+    void addPendingRents(Operations operations, Map<String, MachineType> typesByName) {
         for (Operation operation : operations.all()) {
             if (operation.open()
                     && operation.state() != Operation.State.ESCALATED
                     && operation.request() instanceof RentRequest rent) {
-                MachineType type = types.get(rent.type());
+                MachineType type = typesByName.get(rent.type());
                 for (int i = 0; type != null && i < rent.count(); i++) {
                     nodes.add(new CandidateNode(type, rent.zone(), rent.spot(), null, false, Set.of()));
                 }
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -5,7 +5,7 @@
 import org.landingridge.controller.history.Compactor;
 import org.landingridge.controller.jobs.JobTable;
 
-/** What the compaction of the job history has to respect in this leader term. */
+/** Tells the compactor of the job history when it may run and which jobs it must not move, in this leader term. */
 final class CompactionOwner implements Compactor.Owner {
     private final LeaderContext context;
     private final Fleet fleet;
@@ -17,7 +17,7 @@
 
     @Override
     public boolean mayAct() {
-        return context.lead().mayAct();
+        return context.leadership().mayAct();
     }
 
     @Override
@@ -27,7 +27,7 @@
 
     @Override
     public Set<String> needed() {
-        JobTable table = context.table();
+        JobTable table = context.jobTable();
         Set<String> ids = fleet.jobsOnMachines();
         table.active().forEach(job -> ids.addAll(job.spec().awaits()));
         table.terminated().unpersisted().forEach(job -> ids.addAll(job.spec().awaits()));
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -14,12 +14,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the fleet with the cloud's lists, and returns machines that are of no use. */
+/** Compares the fleet with the cloud's machine lists, and returns unusable machines to the cloud. */
 final class InstanceReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceReconciler.class);
-    private static final long LIST_PAUSE_MS = 2_000;
-    /** What a list may lag beyond twice the usual. */
-    private static final long LAG_MARGIN_MS = 2_000;
+    private static final long MIN_LIST_PAUSE_MS = 2_000;
+    /** Margin added to twice the configured list lag, in milliseconds. */
+    private static final long LIST_LAG_MARGIN_MS = 2_000;
 
     private final LeaderContext context;
     private final Fleet fleet;
@@ -28,15 +28,15 @@
     private final Consumer<List<String>> onGone;
     private final Runnable onListed;
     private final long listLagMs;
-    private boolean listing;
-    private long nextList;
+    private boolean isListRequestPending;
+    private long nextListAt;
     private boolean closed;
 
     /**
-     * Begins with the first call of {@link #list}.
+     * Creates a reconciler that sends nothing to the cloud until it is called.
      *
-     * @param onGone   called with machines that the cloud has taken, according to its lists
-     * @param onListed called after each list that was read
+     * @param onGone   called with the ids of machines that the cloud has taken back, according to its lists
+     * @param onListed called after each list has been processed
      */
     InstanceReconciler(
             LeaderContext context,
@@ -54,86 +54,93 @@
         this.listLagMs = Math.round(context.settings().cloudLimits().listLagS() * 1000);
     }
 
-    /** Ends with the leader term. */
+    /** Makes the reconciler ignore lists that arrive after the end of the leader term. */
     void close() {
         closed = true;
     }
 
-    /** Returns machines that never came up, fail their tasks, or are lost as far as is known. */
-    void returnUseless(long now) {
-        List<String> useless = new ArrayList<>();
+    /** Returns machines to the cloud that never came up, fail their tasks, or are considered lost. */
+    void returnUnusableMachines(long now) {
+        List<String> unusableIds = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             Decision decision = fleet.judge(machine, now);
             if (decision.is(Action.GIVE_BACK)) {
-                String why = decision.reason().text();
-                LOG.info("machine returned, machine={} reason={}", machine.id(), why);
-                context.incidents().record(machine.id() + ": " + why + "; given back");
+                String reason = decision.reason().text();
+                LOG.info("machine returned, machine={} reason={}", machine.id(), reason);
+                context.incidents().record(machine.id() + ": " + reason + "; returned to the cloud");
                 fleet.scaleIn(machine, decision);
-                useless.add(machine.id());
+                unusableIds.add(machine.id());
             }
         }
-        operations.returnMachines(useless);
+        operations.returnMachines(unusableIds);
     }
 
-    /** Asks for the cloud's list, where it is time to. */
-    void list() {
-        long askedAt = context.loop().now();
-        if (listing || askedAt < nextList) {
+    /** Requests the cloud's machine list if no request is pending and the pause since the last list has passed. */
+    void requestList() {
+        long requestedAt = context.loop().now();
+        if (isListRequestPending || requestedAt < nextListAt) {
             return;
         }
-        listing = true;
-        context.cloud().list(machines -> {
-            listing = false;
-            nextList = context.loop().now() + Math.max(LIST_PAUSE_MS, listLagMs / 2);
-            if (!closed && machines != null && context.lead().mayAct()) {
-                reconcile(machines, askedAt);
+        isListRequestPending = true;
+        context.cloudClient().list(cloudMachines -> {
+            isListRequestPending = false;
+            nextListAt = context.loop().now() + Math.max(MIN_LIST_PAUSE_MS, listLagMs / 2);
+            if (!closed && cloudMachines != null && context.leadership().mayAct()) {
+                reconcile(cloudMachines, requestedAt);
             }
         });
     }
 
-    private void reconcile(List<CloudMachine> machines, long askedAt) {
-        for (CloudMachine listed : machines) {
-            reconcile(listed);
-            // A machine that was returned may be listed for a while yet: it would be remembered for good.
-            if (fleet.machine(listed.id()) != null) {
-                listedMachines.listed(listed.id(), askedAt);
+    private void reconcile(List<CloudMachine> cloudMachines, long requestedAt) {
+        for (CloudMachine cloudMachine : cloudMachines) {
+            reconcileMachine(cloudMachine);
+            // The cloud may list a returned machine for a while; a record of it would never be removed.
+            if (fleet.machine(cloudMachine.id()) != null) {
+                listedMachines.recordListed(cloudMachine.id(), requestedAt);
             }
         }
-        removeAbsent(machines, askedAt);
+        removeUnlisted(cloudMachines, requestedAt);
         onListed.run();
     }
 
-    private void reconcile(CloudMachine listed) {
-        Machine machine = fleet.machine(listed.id());
-        if (machine == null && !fleet.wasReleased(listed.id()) && !listed.failed()) {
-            // No operation claims it: a rent that succeeded late, or it was there before us. It is used, or returned
-            // idle.
-            LOG.info("unknown machine listed, taken in, machine={}", listed.id());
-            fleet.appeared(listed.id(), listed.addr(), listed.type(), listed.zone(), listed.spot());
-        } else if (machine != null && listed.failed()) {
+    private void reconcileMachine(CloudMachine cloudMachine) {
+        Machine machine = fleet.machine(cloudMachine.id());
+        if (machine == null && !fleet.wasReleased(cloudMachine.id()) && !cloudMachine.failed()) {
+            // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
+            // this leader term. The scheduler uses it, or returns it as idle.
+            LOG.info("unknown machine listed, machine={}", cloudMachine.id());
+            fleet.appeared(
+                    cloudMachine.id(),
+                    cloudMachine.addr(),
+                    cloudMachine.type(),
+                    cloudMachine.zone(),
+                    cloudMachine.spot());
+        } else if (machine != null && cloudMachine.failed()) {
             fleet.failed(machine);
         }
     }
 
     /**
-     * A machine that was listed and is absent is gone, unless the list is older than the one that showed it: lists lag
-     * by up to twice the usual and run backwards. It is applied to machines whose lease has expired only.
+     * Removes machines that an earlier list showed and this list doesn't. Lists can lag by up to twice the configured time and
+     * a later list can show an older state, so the earlier list must be older by more than that. Only machines whose lease has
+     * expired are removed.
      */
-    private void removeAbsent(List<CloudMachine> machines, long askedAt) {
-        Set<String> present = new HashSet<>();
-        machines.forEach(listed -> present.add(listed.id()));
-        List<String> gone = new ArrayList<>();
+    private void removeUnlisted(List<CloudMachine> cloudMachines, long requestedAt) {
+        Set<String> listedIds = new HashSet<>();
+        cloudMachines.forEach(cloudMachine -> listedIds.add(cloudMachine.id()));
+        List<String> goneIds = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (machine.state() == Machine.State.LAPSED
-                    && !present.contains(machine.id())
-                    && listedMachines.listedLongBefore(machine.id(), askedAt, 2 * listLagMs + LAG_MARGIN_MS)) {
-                gone.add(machine.id());
+                    && !listedIds.contains(machine.id())
+                    && listedMachines.wasListedLongBefore(
+                            machine.id(), requestedAt, 2 * listLagMs + LIST_LAG_MARGIN_MS)) {
+                goneIds.add(machine.id());
             }
         }
-        if (!gone.isEmpty()) {
-            LOG.info("machines no longer listed, machines={}", gone);
-            context.incidents().record("taken by the cloud: " + String.join(", ", gone));
-            onGone.accept(gone);
+        if (!goneIds.isEmpty()) {
+            LOG.info("machines no longer listed, machines={}", goneIds);
+            context.incidents().record("taken back by the cloud: " + String.join(", ", goneIds));
+            onGone.accept(goneIds);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -8,74 +8,75 @@
 import org.landingridge.controller.scheduling.Scheduler;
 import org.landingridge.wire.RentRequest;
 
-/** Carries outcomes of cloud operations into the fleet, the registry and the next scheduling cycle. */
+/** Applies the outcomes of cloud operations to the fleet and the machine registry, and requests scheduling cycles. */
 final class OperationEvents implements Operations.Events {
     private final LeaderContext context;
     private final Fleet fleet;
-    private final MachineRegistry registry;
-    private final PoolCapacity capacity;
+    private final MachineRegistry machineRegistry;
+    private final PoolCapacity poolCapacity;
     private final ListedMachines listedMachines;
     private final SchedulingTrigger trigger;
 
     OperationEvents(
             LeaderContext context,
             Fleet fleet,
-            MachineRegistry registry,
-            PoolCapacity capacity,
+            MachineRegistry machineRegistry,
+            PoolCapacity poolCapacity,
             ListedMachines listedMachines,
             SchedulingTrigger trigger) {
         this.context = context;
         this.fleet = fleet;
-        this.registry = registry;
-        this.capacity = capacity;
+        this.machineRegistry = machineRegistry;
+        this.poolCapacity = poolCapacity;
         this.listedMachines = listedMachines;
         this.trigger = trigger;
     }
 
     @Override
-    public void rented(RentRequest request, List<String> machines) {
-        for (String id : machines) {
+    public void rented(RentRequest request, List<String> machineIds) {
+        for (String id : machineIds) {
             fleet.rented(id, request.type(), request.zone(), request.spot());
         }
-        if (machines.size() < request.count()) {
+        if (machineIds.size() < request.count()) {
             noCapacity(request);
         } else {
-            capacity.granted(pool(request));
+            poolCapacity.recordGrant(pool(request));
         }
-        trigger.changed();
+        trigger.requestCycle();
     }
 
     @Override
     public void noCapacity(RentRequest request) {
-        capacity.refused(pool(request));
-        trigger.changed();
+        poolCapacity.recordRefusal(pool(request));
+        trigger.requestCycle();
     }
 
     private static String pool(RentRequest request) {
         return Scheduler.pool(request.type(), request.zone(), request.spot());
     }
 
-    /** Also called for machines that are gone according to the cloud's lists. */
+    /** Removes machines that were returned, and machines that the cloud's lists no longer show. */
     @Override
-    public void returned(List<String> machines) {
-        for (String id : machines) {
+    public void returned(List<String> machineIds) {
+        for (String id : machineIds) {
             fleet.gone(id);
-            registry.remove(id);
+            machineRegistry.remove(id);
             listedMachines.forget(id);
         }
-        trigger.changed();
+        trigger.requestCycle();
     }
 
     @Override
     public void escalated(Operation operation) {
         context.metrics().escalated.increment();
         context.incidents()
-                .record(operation.name() + " (" + operation.kind() + ") has had no clear outcome for long: it counts as"
-                        + " unsettled room and is asked about now and then");
+                .record(operation.name() + " (" + operation.kind()
+                        + ") has had no clear outcome for a long time: it stays"
+                        + " listed as an unsettled operation, and the request is sent again at long intervals");
     }
 
     @Override
     public boolean mayAct() {
-        return context.lead().mayAct();
+        return context.leadership().mayAct();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -13,7 +13,7 @@
 import org.landingridge.controller.scheduling.SchedulingPlan;
 import org.landingridge.wire.RentRequest;
 
-/** Carries out what the scheduler decided. The scheduler's opaque handles are the fleet's jobs, machines and attempts. */
+/** Carries out the scheduler's plans. The plan's opaque handles are the fleet's jobs, machines and attempts. */
 final class PlanExecutor {
     private final LeaderContext context;
     private final Fleet fleet;
@@ -36,7 +36,7 @@
         scaleIn(plan.idle);
     }
 
-    /** Stops work beyond limits that were lowered. */
+    /** Stops attempts that exceed a lowered quota. */
     void stopExcess(List<CandidateNode.Running> excess) {
         excess.forEach(this::stop);
         fleet.flush();
@@ -53,26 +53,26 @@
 
     private void stop(CandidateNode.Running running) {
         Attempt attempt = (Attempt) running.attempt;
-        boolean maySave = attempt.spec().checkpointS() > 0 && !running.withoutSave;
-        fleet.stop(attempt, maySave ? attempt.spec().saveS() : 0);
+        boolean canSave = attempt.spec().checkpointS() > 0 && !running.withoutSave;
+        fleet.stop(attempt, canSave ? attempt.spec().saveS() : 0);
     }
 
     private void scaleOut(List<SchedulingPlan.Rent> rents) {
-        boolean observed = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
+        boolean isFleetObserved = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
         for (SchedulingPlan.Rent rent : rents) {
-            if (observed && !operations.rentPending(rent.type(), rent.zone(), rent.spot())) {
+            if (isFleetObserved && !operations.rentPending(rent.type(), rent.zone(), rent.spot())) {
                 operations.rent(new RentRequest(rent.type(), rent.zone(), rent.spot(), rent.count()));
             }
         }
     }
 
-    private void scaleIn(List<CandidateNode> idle) {
-        List<String> ids = new ArrayList<>();
-        for (CandidateNode node : idle) {
+    private void scaleIn(List<CandidateNode> idleNodes) {
+        List<String> machineIds = new ArrayList<>();
+        for (CandidateNode node : idleNodes) {
             Machine machine = (Machine) node.machine;
             fleet.markLeaving(machine);
-            ids.add(machine.id());
+            machineIds.add(machine.id());
         }
-        operations.returnMachines(ids);
+        operations.returnMachines(machineIds);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -12,18 +12,18 @@
 import org.landingridge.wire.Priority;
 
 /**
- * What jobs inherit from those that need them, directly or through others: the highest priority, and the time by which they have
- * to be over so that the last job of the pipeline can still be in time.
+ * What jobs inherit from the jobs that await them, directly or indirectly: the highest priority, and the time by which they must
+ * finish so that the last job of the pipeline can still meet its deadline.
  */
 final class PriorityInheritance {
     /**
-     * What one job inherits.
+     * What one job inherits. Times are by the event loop's clock.
      *
-     * @param due     by the clock of the pass; Long.MAX_VALUE: nothing is expected of what needs it
-     * @param lastDue until when being over still counts for something
+     * @param due     when the job should finish; Long.MAX_VALUE if no job that awaits it has a deadline
+     * @param lastDue until when a late finish still has some value
      */
     record Inherited(Priority priority, long due, long lastDue) {
-        Inherited and(Inherited other) {
+        Inherited combinedWith(Inherited other) {
             return new Inherited(
                     priority.compareTo(other.priority) > 0 ? priority : other.priority,
                     Math.min(due, other.due),
@@ -31,62 +31,67 @@
         }
     }
 
-    private final Map<String, Inherited> byId = new HashMap<>();
+    private final Map<String, Inherited> inheritedByJob = new HashMap<>();
 
     private PriorityInheritance() {}
 
-    /** @param active all jobs that are neither done nor cancelled */
-    static PriorityInheritance of(Collection<Job> active, RuntimeForecast forecast, long now, long timeOfDay) {
-        PriorityInheritance all = new PriorityInheritance();
-        List<Job> waiting = new ArrayList<>();
-        for (Job job : active) {
+    /**
+     * Computes what jobs inherit.
+     *
+     * @param activeJobs all jobs that are neither done nor cancelled
+     */
+    static PriorityInheritance of(Collection<Job> activeJobs, RuntimeForecast forecast, long now, long timeOfDay) {
+        PriorityInheritance inheritance = new PriorityInheritance();
+        List<Job> unreadyJobs = new ArrayList<>();
+        for (Job job : activeJobs) {
             if (!job.ready()) {
-                waiting.add(job);
+                unreadyJobs.add(job);
             }
         }
-        // What a job awaits was accepted before it: in this order each has inherited all before it hands on.
-        waiting.sort(Comparator.comparingLong(Job::created).reversed());
-        for (Job job : waiting) {
+        // Awaited jobs were accepted before the jobs that await them. From newest to oldest, each job has inherited
+        // everything before it passes it on.
+        unreadyJobs.sort(Comparator.comparingLong(Job::created).reversed());
+        for (Job job : unreadyJobs) {
             TaskGroup group = new TaskGroup(job.spec(), null, job.created(), 0, 0);
-            forecast.expect(group, job, now, timeOfDay);
-            all.apply(group, job.id());
-            Inherited handedOn = new Inherited(
-                    all.priority(job.spec()),
-                    before(group.due, group.longestRunS),
-                    before(group.lastDue, group.longestRunS));
-            for (String needed : job.awaited()) {
-                all.byId.merge(needed, handedOn, Inherited::and);
+            forecast.fillExpectations(group, job, now, timeOfDay);
+            inheritance.tighten(group, job.id());
+            Inherited passedOn = new Inherited(
+                    inheritance.effectivePriority(job.spec()),
+                    latestStart(group.due, group.longestRunS),
+                    latestStart(group.lastDue, group.longestRunS));
+            for (String awaitedId : job.awaited()) {
+                inheritance.inheritedByJob.merge(awaitedId, passedOn, Inherited::combinedWith);
             }
         }
-        return all;
+        return inheritance;
     }
 
-    private static long before(long due, double longestRunS) {
+    private static long latestStart(long due, double longestRunS) {
         return due == Long.MAX_VALUE ? due : due - Math.round(longestRunS * 1000);
     }
 
-    private Priority priority(JobSpec spec) {
-        Inherited inherited = byId.get(spec.id());
+    private Priority effectivePriority(JobSpec spec) {
+        Inherited inherited = inheritedByJob.get(spec.id());
         return inherited == null || inherited.priority.compareTo(spec.priority()) <= 0
                 ? spec.priority()
                 : inherited.priority;
     }
 
-    /** The job as the scheduler is to see it. */
-    JobSpec spec(JobSpec spec) {
-        Priority priority = priority(spec);
+    /** Returns the job's specification with the higher of its own and its inherited priority. */
+    JobSpec withEffectivePriority(JobSpec spec) {
+        Priority priority = effectivePriority(spec);
         return priority == spec.priority() ? spec : spec.withPriority(priority);
     }
 
-    /** Tightens what is expected of a group. */
-    void apply(TaskGroup group, String id) {
-        Inherited inherited = byId.get(id);
+    /** Tightens the group's due times to the inherited ones, if there are any. */
+    void tighten(TaskGroup group, String jobId) {
+        Inherited inherited = inheritedByJob.get(jobId);
         if (inherited == null || inherited.due == Long.MAX_VALUE) {
             return;
         }
         group.due = Math.min(group.due, inherited.due);
         group.lastDue = Math.min(group.lastDue, inherited.lastDue);
-        group.startBy = before(group.due, group.longestRunS);
+        group.startBy = latestStart(group.due, group.longestRunS);
         group.withoutDeadline = false;
         group.mayWaitForBoots = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -7,50 +7,56 @@
 import org.landingridge.controller.fleet.Task;
 import org.landingridge.controller.scheduling.TaskGroup;
 
-/** Describes waiting tasks to the scheduler, with the runtime forecast and what jobs inherit from their dependants. */
+/** Builds the scheduler's task groups from the waiting tasks of each job, with its forecast and its inherited priority. */
 final class TaskGroupBuilder {
     private final LeaderContext context;
     private final Fleet fleet;
     private final RuntimeForecast forecast;
-    private final ConfiguredTeams teams;
+    private final ConfiguredTeams configuredTeams;
 
-    TaskGroupBuilder(LeaderContext context, Fleet fleet, RuntimeForecast forecast, ConfiguredTeams teams) {
+    TaskGroupBuilder(LeaderContext context, Fleet fleet, RuntimeForecast forecast, ConfiguredTeams configuredTeams) {
         this.context = context;
         this.fleet = fleet;
         this.forecast = forecast;
-        this.teams = teams;
+        this.configuredTeams = configuredTeams;
     }
 
-    /** One group for each job of a configured team, by the job's id. */
+    /** Returns a group for each job that is ready and belongs to a configured team, by job id. */
     Map<String, TaskGroup> build(long now) {
         long timeOfDay = context.loop().timeOfDay();
-        PriorityInheritance inheritance = PriorityInheritance.of(context.table().active(), forecast, now, timeOfDay);
-        Map<String, TaskGroup> groups = new LinkedHashMap<>();
+        PriorityInheritance inheritance =
+                PriorityInheritance.of(context.jobTable().active(), forecast, now, timeOfDay);
+        Map<String, TaskGroup> groupsByJob = new LinkedHashMap<>();
         for (ActiveJob job : fleet.jobs()) {
-            int team = teams.index(job.spec().team(), -1);
-            // A job that waits for others takes no part in limits, guarantees, turns and forecasts.
-            if (team >= 0 && job.job().ready()) {
-                groups.put(job.id(), group(job, team, inheritance, now, timeOfDay));
+            int teamIndex = configuredTeams.indexOf(job.spec().team(), -1);
+            // A job that awaits others is left out of limits, guarantees, the order of jobs and forecasts.
+            if (teamIndex >= 0 && job.job().ready()) {
+                groupsByJob.put(job.id(), buildGroup(job, teamIndex, inheritance, now, timeOfDay));
             }
         }
-        return groups;
+        return groupsByJob;
     }
 
-    private TaskGroup group(ActiveJob job, int team, PriorityInheritance inheritance, long now, long timeOfDay) {
+    private TaskGroup buildGroup(
+            ActiveJob job, int teamIndex, PriorityInheritance inheritance, long now, long timeOfDay) {
         int placeable = fleet.placeable(job);
-        boolean broken = job.health() == ActiveJob.Health.BROKEN;
-        int waiting = broken ? Math.min(placeable, probes(job)) : placeable;
+        boolean isBroken = job.health() == ActiveJob.Health.BROKEN;
+        int startable = isBroken ? Math.min(placeable, allowedProbes(job)) : placeable;
         TaskGroup group = new TaskGroup(
-                inheritance.spec(job.spec()), job, job.job().created(), team, job.notBefore() <= now ? waiting : 0);
-        group.probing = broken;
+                inheritance.withEffectivePriority(job.spec()),
+                job,
+                job.job().created(),
+                teamIndex,
+                job.notBefore() <= now ? startable : 0);
+        group.probing = isBroken;
         group.blocked = job.count(Task.State.PENDING) - placeable;
-        forecast.fill(group, job.job(), now, timeOfDay);
-        inheritance.apply(group, job.id());
+        forecast.fillAndLearn(group, job.job(), now, timeOfDay);
+        inheritance.tighten(group, job.id());
         return group;
     }
 
-    /** A job that fails wherever it is tried runs one task at a time. */
-    private static int probes(ActiveJob job) {
+    /** Returns how many tasks of a broken job may start: one at a time. */
+    private static int allowedProbes(ActiveJob job) {
         return job.count(Task.State.ON_MACHINE) == 0 ? 1 : 0;
     }
 }
