--- a/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
@@ -6,23 +6,25 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * Measured boot times by type, zone and kind, from the rent's answer to the first heartbeat. Samples are forgotten after a
- * while, so that trouble with boots ends here too when it ends.
+ * Measured boot times by machine type, zone and spot or on-demand, from the answer to the rent request to the first heartbeat.
+ * Samples are dropped after one to two windows, so that a period of slow boots has no lasting effect.
  */
 final class BootTimes {
+    /** Number of samples from which measurements are used. */
     private static final int ENOUGH = 8;
+    /** Longer boot times are recorded as this one. */
     private static final long LONGEST_MS = 3_600_000;
-    /** Boots count for one to two of these. */
+    /** Each sample is kept for one to two windows. */
     private static final long WINDOW_MS = 240_000;
 
-    /** What the cloud rents alike; few, so nothing here grows. */
+    /** Machines with comparable boot times. The number of pools is small, so the samples need no limit. */
     private record Pool(String type, String zone, boolean spot) {}
 
     private static final class Samples {
         private IntCountsHistogram latest = new IntCountsHistogram(LONGEST_MS, 2);
         private IntCountsHistogram before = new IntCountsHistogram(LONGEST_MS, 2);
         private long since;
-        /** When the machine that was rented last, of those that have booted, was rented. */
+        /** Latest time of rent among the machines that have booted. */
         private long youngest = Long.MIN_VALUE / 2;
 
         void turn(long now) {
@@ -52,7 +54,7 @@
         samples.youngest = Math.max(samples.youngest, machine.appearedAt());
     }
 
-    /** A boot that takes longer than this, in milliseconds, is unusual: by the samples, else by the machine type's own figure. */
+    /** Returns the longest usual boot time, in milliseconds, from the samples or else from the machine type's boot time. */
     long usualMostMs(Machine machine, long now) {
         MachineType type = machine.kind();
         long announced = Math.round(type.bootS() * 1_500);
@@ -70,14 +72,14 @@
     }
 
     /**
-     * True if the machine has likely failed to boot by itself: it takes longer than is usual, and one like it that was rented
-     * no sooner is up. Where none is, all are late together, and another rent would wait as long.
+     * Returns true if this machine alone has probably failed to boot: it takes longer than usual, and a comparable machine
+     * rented at the same time or later is up. If there is none, all are late, and another rented machine would be too.
      */
     boolean lateAlone(Machine machine, long now) {
         return late(machine, now) && youngerIsUp(machine);
     }
 
-    /** True if all machines like this one are late together. */
+    /** Returns true if the machine is late and so are all comparable ones. */
     boolean allLate(Machine machine, long now) {
         return late(machine, now) && !youngerIsUp(machine);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -3,14 +3,14 @@
 import org.landingridge.net.Http;
 
 /**
- * When a machine was heard, whether its heartbeats are answered, and what its row in the registry says of that. Times are the
- * event loop's, in milliseconds.
+ * When messages of a machine last arrived, whether its heartbeats are answered, and whether its row in the registry may store a
+ * silence. Times are in milliseconds on the event loop's clock.
  */
 final class Contact {
     /**
-     * ANSWERED: they are. SUSPENDED: the machine is silent, and its row in the registry says or is to say for how long; none of
-     * its heartbeats is answered, so that a later leader can count its lease from then. RESUMING: it was heard again, and is
-     * answered once its row is stored without that.
+     * ANSWERED: heartbeats are answered. SUSPENDED: the machine is silent, and its row in the registry stores its silence or is
+     * about to; no heartbeat is answered, so that a later leader can count the lease from the stored time. RESUMING: the
+     * machine has sent a message again; its heartbeats are answered once its row is stored without a silence.
      */
     enum State {
         ANSWERED,
@@ -21,21 +21,21 @@
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private long heardAt = NEVER;
-    /** When a heartbeat came last that said something new: answers to calls renew no lease. */
+    /** Arrival of the last heartbeat that was not outdated; answers to calls do not count, since they renew no lease. */
     private long heartbeatAt = NEVER;
 
     private State state = State.ANSWERED;
-    /** A row that tells of its silence is stored, or may be. */
+    /** A row with a silence is stored, or may be. */
     private boolean silenceStored;
-    /** A heartbeat that waits for the row to be stored; null while there is none. */
+    /** A heartbeat whose answer waits until the row is stored, or null. */
     private Http.Exchange parked;
 
-    /** When it said something last, in a heartbeat or in answer to a call. */
+    /** Returns the arrival time of the last heartbeat or answer to a call. */
     long heardAt() {
         return heardAt;
     }
 
-    /** True once it has said something to this leader. */
+    /** Returns true if this leader has received a heartbeat or an answer to a call. */
     boolean everHeard() {
         return heardAt > NEVER;
     }
@@ -44,12 +44,12 @@
         return heartbeatAt;
     }
 
-    /** It has just said something. */
+    /** Records a heartbeat or an answer to a call. */
     void heard(long now) {
         heardAt = now;
     }
 
-    /** A heartbeat that said something new has just come. */
+    /** Records a heartbeat that was not outdated. */
     void heartbeat(long now) {
         heartbeatAt = now;
     }
@@ -62,40 +62,40 @@
         return silenceStored;
     }
 
-    /** The row that tells of its silence is stored ({@code true}) or known not to be. */
+    /** Records whether a row with a silence is or may be stored ({@code true}), or is known not to be. */
     void silenceStored(boolean stored) {
         silenceStored = stored;
     }
 
-    /** Its heartbeats are answered no more. */
+    /** Stops answering the machine's heartbeats. */
     void suspend() {
         to(State.SUSPENDED);
     }
 
     /**
-     * The machine is no longer silent.
+     * Records that the machine is no longer silent.
      *
-     * @return true if it was suspended, so that its row has to be written
+     * @return true if it was suspended, so its row has to be written
      */
     boolean reopen() {
         if (state != State.SUSPENDED) {
             return false;
         }
-        // Where no row can tell of its silence, as in an outage of the state service, nobody counts by it.
+        // If no silence can be stored, as in an outage of the state service, no later leader counts the lease from it.
         to(silenceStored ? State.RESUMING : State.ANSWERED);
         return true;
     }
 
-    /** Its heartbeats are answered again, and no row says otherwise. */
+    /** Answers the heartbeats again, since no row stores a silence. */
     void restore() {
         to(State.ANSWERED);
         silenceStored = false;
     }
 
     /**
-     * Keeps a heartbeat until the row is stored.
+     * Holds a heartbeat's answer back until the row is stored.
      *
-     * @return the one that was kept until now, or null
+     * @return the heartbeat that was held back before, or null
      */
     Http.Exchange park(Http.Exchange exchange) {
         Http.Exchange earlier = parked;
@@ -103,7 +103,7 @@
         return earlier;
     }
 
-    /** The heartbeat that was kept, or null; it is kept no longer. */
+    /** Releases and returns the heartbeat that was held back, or null. */
     Http.Exchange unpark() {
         return park(null);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -7,33 +7,33 @@
 import org.landingridge.wire.Heartbeat;
 
 /**
- * The machines and what is or may be on them, for one leader term of this controller. Starts are written nowhere: a new
- * leader term rebuilds them from heartbeats, and places no task that an earlier leader could have started before every machine
- * of the registry is fenced, lapsed or gone. Times are the event loop's, in milliseconds.
+ * The machines and the attempts that are or may be on them, for one leader term of this controller. Starts are not stored: a new
+ * leader term rebuilds them from heartbeats. A task that an earlier leader could have started is not placed until every machine
+ * of the registry that may hold it is fenced, expired or gone. Times are in milliseconds on the event loop's clock.
  */
 public final class Fleet {
-    /** What the fleet has the rest of the leader term know. */
+    /** Callbacks to the rest of the leader term. */
     public interface Events {
-        /** Something that scheduling depends on has changed. */
+        /** Called when something that scheduling depends on has changed. */
         void changed();
 
-        /** The task has ended with a result, which is to be stored. */
+        /** Called when the task has ended with a result, which is to be stored. */
         void finished(Task task);
 
-        /** An attempt that this leader saw from its start to its completion. */
+        /** Called when an attempt completes that this leader has observed since its start. */
         void completed(Attempt attempt);
 
-        /** The machine's row in the registry must be written again. */
+        /** Called when the machine's row in the registry must be written again. */
         void registry(Machine machine);
 
-        /** A machine has sent a heartbeat that nobody knew of. */
+        /** Called when a heartbeat of an unknown machine arrives. */
         void newcomer();
 
-        /** The machines of registry pages that cannot be read hold nothing any more. */
+        /** Called when the leases of the machines of unreadable registry pages have expired. */
         void unreadableOver();
     }
 
-    /** How long a machine that is being vacated takes no work if there is other room. */
+    /** Duration of a drain request. */
     private static final long DRAIN_MS = 30_000;
 
     private final FleetContext context;
@@ -50,7 +50,7 @@
     private final RegistryHooks registryHooks;
     private final FleetCycle cycle;
 
-    /** A fleet without machines and jobs; it does nothing before {@link #start}. */
+    /** Creates a fleet without machines and jobs; it does nothing before {@link #start}. */
     public Fleet(FleetParameters parameters, Events events) {
         context = FleetContext.of(parameters, events);
         jobs = new ActiveJobs(context);
@@ -80,12 +80,12 @@
                         machines, unverifiedMachines, tasks, healthMonitor, leaseExpiry, endpoint, probe, dispatcher));
     }
 
-    /** From now on machines are watched. */
+    /** Starts the periodic pass over the machines. */
     public void start() {
         cycle.start();
     }
 
-    /** Nothing is sent or concluded any more. */
+    /** Stops all calls to machines and the periodic pass. */
     public void close() {
         cycle.close();
         dispatcher.close();
@@ -94,102 +94,102 @@
 
     // ---- machines ----
 
-    /** All machines, in the order in which they were heard of. */
+    /** Returns all machines in the order of their addition. */
     public Iterable<Machine> machines() {
         return machines.all();
     }
 
-    /** Number of machines. */
+    /** Returns the number of machines. */
     public int size() {
         return machines.size();
     }
 
-    /** The machine of that name, or null. */
+    /** Returns the machine with that identifier, or null. */
     public Machine machine(String id) {
         return machines.get(id);
     }
 
-    /** Number of machines that may hold tasks nobody has reported to this leader. */
+    /** Returns the number of machines that may hold tasks that no heartbeat has shown to this leader. */
     public int unaccounted() {
         return unverifiedMachines.left();
     }
 
-    /** True if the machine may hold tasks that nobody has reported to this leader: no more than fit on it. */
+    /** Returns true if the machine may hold tasks, up to its capacity, that no heartbeat has shown to this leader. */
     public boolean unaccounted(Machine machine) {
         return machine.unverified();
     }
 
-    /** True while machines that nobody knows may hold tasks of any team, nobody knows how many. */
+    /** Returns true while machines of unreadable registry pages may hold an unknown number of tasks of any team. */
     public boolean anyUnreadable() {
         return unverifiedMachines.unreadable();
     }
 
-    /** True if tasks may be started on the machine now. */
+    /** Returns true if tasks may be started on the machine now. */
     public boolean usable(Machine machine, long now) {
         return readiness.usable(machine, now);
     }
 
-    /** True if the machine boots, or only has to be fenced and registered. */
+    /** Returns true if the machine is booting, or is up and only has to be fenced and registered. */
     public boolean coming(Machine machine, long now) {
         return readiness.coming(machine, now);
     }
 
-    /** True if it boots longer than is usual, and so do all like it. */
+    /** Returns true if the machine, and all machines of its kind, take unusually long to boot. */
     public boolean lateWithAll(Machine machine, long now) {
         return readiness.lateWithAll(machine, now);
     }
 
-    /** True if its first heartbeat to this leader is due and many others' are. */
+    /** Returns true if the machine's first heartbeat to this leader is due and many other machines' are too. */
     public boolean unheard(Machine machine, long now) {
         return readiness.unheard(machine, now);
     }
 
-    /** For how many milliseconds nothing has taken room on the machine. */
+    /** Returns the time for which no task has occupied resources on the machine, in milliseconds. */
     public long idleMs(Machine machine, long now) {
         return now - machine.idleSince();
     }
 
-    /** The machine takes no work for a while if there is other room, so that it can be returned to the cloud. */
+    /** Drains the machine for a while: it gets no tasks if other machines have capacity, so that it can be returned. */
     public void drain(Machine machine) {
         machine.drainUntil(context.now() + DRAIN_MS);
     }
 
-    /** True while the machine takes no work if there is other room. */
+    /** Returns true while the machine is drained. */
     public boolean draining(Machine machine, long now) {
         return machine.draining(now);
     }
 
-    /** What the evidence says of the machine. */
+    /** Returns the decision on the machine from the present evidence. */
     public Decision judge(Machine machine, long now) {
         return healthMonitor.judge(machine, now);
     }
 
-    /** When the machine's lease is certainly over. */
+    /** Returns the time after which the machine's lease has expired for certain. */
     public long leaseEnds(Machine machine) {
         return healthMonitor.leaseEnds(machine);
     }
 
-    /** True if a machine of that name was returned to the cloud lately. */
+    /** Returns true if the machine with that identifier was returned to the cloud within the last 15 minutes. */
     public boolean wasReleased(String id) {
         return machines.wasReturned(id);
     }
 
-    /** Adds a machine that was listed; null if its type is not known or it was returned to the cloud. */
+    /** Adds a machine that the cloud lists; returns null if its type is unknown or it has been returned. */
     public Machine appeared(String id, String address, String type, String zone, boolean spot) {
         return machines.addIfAbsent(id, address, type, zone, spot);
     }
 
-    /** Adds a machine that has just been rented: its boot is measured. */
+    /** Adds a machine that has just been rented, and measures its boot time. */
     public void rented(String id, String type, String zone, boolean spot) {
         machines.addRented(id, type, zone, spot);
     }
 
-    /** The cloud lists the machine as failed: it stopped on its own. */
+    /** Records that the cloud lists the machine as failed: it stopped on its own. */
     public void failed(Machine machine) {
         machine.listFailed();
     }
 
-    /** The machine is to be returned to the cloud, for that reason: it gets no more starts. */
+    /** Records the decision to return the machine to the cloud: no more tasks are started on it. */
     public void scaleIn(Machine machine, Decision why) {
         if (why.reason() == Decision.Reason.SETTLED_BY_RETURN) {
             healthMonitor.returned(machine, context.now());
@@ -197,14 +197,14 @@
         markLeaving(machine);
     }
 
-    /** The cloud is asked to take the machine back: it gets no more starts. */
+    /** Records that the return of the machine to the cloud has been requested: no more tasks are started on it. */
     public void markLeaving(Machine machine) {
         if (machine.state() != Machine.State.LEAVING && machine.state() != Machine.State.GONE) {
             machine.to(Machine.State.LEAVING);
         }
     }
 
-    /** The cloud says that the machine and everything on it is gone. */
+    /** Removes a machine that, according to the cloud, is gone with everything on it. */
     public void gone(String id) {
         Machine machine = machines.remove(id);
         if (machine != null) {
@@ -214,76 +214,76 @@
         }
     }
 
-    /** Answers a worker's heartbeat; the caller has checked that this process leads. */
+    /** Handles a worker's heartbeat; the caller has checked that this process is the leader. */
     public void report(Heartbeat heartbeat, Http.Exchange exchange) {
         endpoint.receive(heartbeat, exchange);
     }
 
     // ---- jobs and tasks ----
 
-    /** All jobs that are worked on, in the order of their acceptance. */
+    /** Returns all active jobs in the order of their acceptance. */
     public Iterable<ActiveJob> jobs() {
         return jobs.all();
     }
 
-    /** The job of that name, or null if it is not worked on. */
+    /** Returns the active job with that identifier, or null. */
     public ActiveJob job(String id) {
         return jobs.get(id);
     }
 
-    /** Names of the jobs of which an attempt is or may be on a machine. */
+    /** Returns the identifiers of the jobs with an attempt that is or may be on a machine. */
     public Set<String> jobsOnMachines() {
         return ActiveJobs.idsOn(machines);
     }
 
-    /** A job is accepted, or was when this leader term began. */
+    /** Adds a job that was accepted now or in an earlier leader term. */
     public void jobAccepted(Job job) {
         jobs.accept(job);
     }
 
-    /** A job is done or cancelled: nothing of it may stay on a machine. */
+    /** Ends a job that is done or cancelled: its attempts are removed from all machines. */
     public void jobEnded(Job job) {
         jobs.end(job, machines, dispatcher);
     }
 
-    /** Number of tasks that wait for a place. */
+    /** Returns the number of pending tasks. */
     public int waiting() {
         return tasks.waiting();
     }
 
-    /** Number of the job's tasks that wait for a place and are certainly on no machine. */
+    /** Returns the number of the job's pending tasks that are certainly on no machine. */
     public int placeable(ActiveJob job) {
         return tasks.placeable(job);
     }
 
-    /** The job's next waiting task that may be placed, or null. */
+    /** Returns the job's next pending task that may be placed, or null. */
     public Task nextPlaceable(ActiveJob job) {
         return tasks.next(job);
     }
 
-    /** Number of tasks that wait until the machines that may hold them are accounted for. */
+    /** Returns the number of pending tasks that an unverified machine may hold. */
     public int blocked() {
         return tasks.blocked();
     }
 
-    /** Places a task: its start goes straight to the machine with the next {@link #flush}. */
+    /** Places a task: the next {@link #flush} sends its start to the machine by a direct call. */
     public void place(Task task, Machine machine) {
         attempts.place(task, machine);
         dispatcher.touch(machine);
     }
 
-    /** Stops an attempt so that its room is freed; the task becomes pending once it is certainly off. */
+    /** Stops an attempt, with time for saving its state; the task becomes pending once the attempt has certainly ended. */
     public void stop(Attempt attempt, double graceS) {
         attempts.stop(attempt, graceS);
         dispatcher.touch(attempt.machine());
     }
 
-    /** Sends what has been decided, straight to the machines that need it; what can't be sent now waits for a tick. */
+    /** Sends the pending commands to their machines by direct calls; those that cannot be sent now wait for the next tick. */
     public void flush() {
         dispatcher.flush();
     }
 
-    /** The finished task is stored: the machine may forget it. */
+    /** Records that the task's result is stored: its machine may drop the attempt. */
     public void stored(Task task) {
         if (task.state() == Task.State.FINISHED) {
             task.done();
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetContext.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetContext.java
@@ -8,11 +8,12 @@
 import org.landingridge.net.Http;
 
 /**
- * What every part of the fleet uses.
+ * The shared dependencies and times of the parts of a fleet.
  *
  * @param token    the fencing token under which this leader term began
- * @param leaseMs  after so long without an answer a worker has killed its tasks for certain, drift and margin included
- * @param reportMs how often workers send heartbeats
+ * @param leaseMs  time without an answer after which a worker has certainly killed its tasks, including clock drift and a
+ *                 margin, in milliseconds
+ * @param reportMs heartbeat interval of the workers, in milliseconds
  */
 record FleetContext(
         EventLoop loop,
@@ -25,9 +26,9 @@
         Fleet.Events events,
         long leaseMs,
         long reportMs) {
-    /** Clocks differ by 0.05 % at most. */
+    /** Factor for clock drift between controller and worker; the rates of clocks differ by at most 0.05 %. */
     private static final double DRIFT = 1.002;
-    /** Our 200 was written after the heartbeat was sent: to count a little longer errs on the safe side. */
+    /** Margin on the safe side: the answer that starts the lease here was written after the worker had sent its heartbeat. */
     private static final long MARGIN_MS = 250;
 
     static FleetContext of(FleetParameters parameters, Fleet.Events events) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -3,11 +3,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Twice a second: judges every machine, asks the silent ones, ends leases, sends what is due and raises the token. */
+/**
+ * The periodic pass over all machines, twice a second: probes silent machines, expires leases, sends commands that are due and
+ * raises the fencing token if needed.
+ */
 final class FleetCycle {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private static final long TICK_MS = 500;
-    /** A tick that comes so much later than it is due was held up by the whole process. */
+    /** If a tick is later than this, the whole process was paused. */
     private static final long STOOD_STILL_MS = 1_000;
 
     private final FleetContext context;
@@ -16,7 +19,7 @@
     private long tickedAt;
     private boolean closed;
 
-    /** What a cycle drives. */
+    /** The parts of the fleet that the cycle drives. */
     record Parts(
             MachineTable machines,
             UnverifiedMachines unverifiedMachines,
@@ -33,7 +36,7 @@
         this.tokens = new TokenRaiser(context);
     }
 
-    /** Begins the cycles. */
+    /** Starts the cycle with a first tick. */
     void start() {
         long now = context.now();
         parts.healthMonitor.listenFrom(now);
@@ -42,7 +45,7 @@
         tick();
     }
 
-    /** No cycle begins any more. */
+    /** Stops the cycle: no further tick runs. */
     void close() {
         closed = true;
     }
@@ -67,7 +70,7 @@
         context.loop().after(TICK_MS, this::tick);
     }
 
-    /** A process that stood still while its clocks ran on has heard nobody: that says nothing of the machines. */
+    /** After a pause of the process, heartbeats are missing for that reason, which is no evidence that machines are silent. */
     private void checkStandstill(long now) {
         long late = now - tickedAt - TICK_MS;
         if (late > STOOD_STILL_MS) {
@@ -89,7 +92,7 @@
             default -> {}
         }
         tokens.observe(machine, now);
-        // One whose lease ran out unheard is not asked: it may well be gone for good, and says when it is back.
+        // A machine whose lease expired is not probed until a heartbeat arrives: it may be gone for good.
         Incarnation incarnation = machine.incarnation();
         if (incarnation.restarted() && (machine.state() != Machine.State.LAPSED || incarnation.outdated() > 0)) {
             tokens.observeRestarted(machine);
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetParameters.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetParameters.java
@@ -13,11 +13,11 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * What a {@link Fleet} is made of.
+ * The dependencies and settings of a {@link Fleet}.
  *
- * @param types          a machine type by its name, null where there is none
- * @param endedSpecs     what the tasks of a job take that may have ended, null where that is not known any more
- * @param maxConnections open connections that the controller may have
+ * @param types          returns the machine type with a name, or null
+ * @param endedSpecs     returns the specification of a job that may have ended, or null if it is no longer known
+ * @param maxConnections limit of the controller's open connections
  */
 public record FleetParameters(
         EventLoop loop,
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -15,26 +15,26 @@
 
 /** Gathers the evidence about machines, twice a second for all of them, and passes it to {@link Reconciliation}. */
 final class HealthMonitor {
-    /** A worker sends its heartbeat this much later at most than its interval says: a quarter of it, and the transfer. */
+    /** Share of the heartbeat interval by which a worker may send a heartbeat late. */
     private static final double REPORT_SLACK = 0.25;
-
+    /** Time allowed for the transfer of a heartbeat. */
     private static final long TRANSFER_MS = 1_500;
-    /** While so few have not been heard since an election, each is asked at once instead of waited for. */
+    /** Once at most this number of machines is unverified after an election, each is probed without waiting an interval. */
     private static final int FEW = 12;
-
+    /** The same limit as a share: one in this number of the machines that were unverified at the election. */
     private static final int FEW_SHARE = 8;
-    /** Reports have come in, mostly, once no machine was heard for the first time for so long. */
+    /** Most first heartbeats have arrived if no machine was verified for this long. */
     private static final long LULL_MS = 400;
-    /** Calls without an answer after which a silent machine counts as unanswered. */
+    /** Number of unanswered calls after which a silent machine counts as unresponsive. */
     private static final int ASKED = 2;
-    /** A return that would free tasks no more than this sooner than the lease is not worth the machine. */
+    /** A machine is not returned to the cloud for its tasks if its lease expires within this time. */
     private static final long LEAST_GAIN_MS = 5_000;
 
-    /** Machines of one zone at the last survey. */
+    /** Numbers of machines of one zone, as of the last survey. */
     private static final class Zone {
         private int all;
         private int silent;
-        /** Returned to the cloud lately since they were silent: they still count towards a cut. */
+        /** Returned to the cloud within the last lease because they were silent: they still count towards a partition. */
         private int returned;
     }
 
@@ -64,12 +64,12 @@
         this.silentShare = silentShare;
     }
 
-    /** From now on heartbeats are taken in: at the beginning, and again where the process stood still. */
+    /** Sets the time from which missing heartbeats count: the start of the leader term, or the end of a process pause. */
     void listenFrom(long now) {
         listeningSince = now;
     }
 
-    /** Reports zones in which so many machines are silent that they are left to their leases. */
+    /** Emits an event for each zone in which a partition has become likely, so its machines are left to their leases. */
     private void reportCuts() {
         Set<String> silentZones = new TreeSet<>();
         zones.forEach((name, z) -> {
@@ -84,9 +84,9 @@
     }
 
     /**
-     * Surveys the whole fleet: which machines of a zone are silent together.
+     * Counts the silent machines of each zone.
      *
-     * @param blocked tasks of earlier leaders wait for machines that are not accounted for
+     * @param blocked true if tasks of earlier leaders wait for unverified machines
      */
     void survey(Iterable<Machine> machines, boolean blocked, long now) {
         awaited = blocked;
@@ -109,7 +109,7 @@
         return zones.computeIfAbsent(name, z -> new Zone());
     }
 
-    /** The machine is returned to the cloud since it is silent. */
+    /** Records that the machine is being returned to the cloud because it is silent. */
     void returned(Machine machine, long now) {
         returns.addLast(new Return(now, machine.zone()));
         zone(machine.zone()).returned++;
@@ -129,7 +129,7 @@
                         machine.live());
     }
 
-    /** When, by the loop's clock, the machine's lease is certainly over. */
+    /** Returns the time on the loop's clock after which the machine's lease has expired for certain. */
     long leaseEnds(Machine machine) {
         return machine.lease().answeredAt() + context.leaseMs();
     }
@@ -180,14 +180,17 @@
         };
     }
 
-    /** One machine of a zone may always be lost by itself; where more than a share is silent, a cut is likelier. */
+    /**
+     * Returns true if so large a share of the zone's machines is silent that a partition is likelier than single losses. A
+     * single silent machine is not enough, unless the share is 0.
+     */
     private boolean crowd(String name) {
         Zone z = zone(name);
         return silentShare <= 0 || z.silent + z.returned > Math.max(1, silentShare * (z.all + z.returned));
     }
 
     private boolean worth(Machine machine, long now) {
-        // A return that cannot be written now would be carried out later, when the machine may be back.
+        // A return that cannot be stored now would be carried out later, when the machine may have recovered.
         return leaseEnds(machine) - now > LEAST_GAIN_MS
                 && context.leadership().state() == Leadership.State.LEADING
                 && (machine.hasLive() || (machine.unverified() && awaited));
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -3,14 +3,15 @@
 import org.landingridge.wire.Heartbeat;
 
 /**
- * Which process of the worker speaks for a machine, and the newest that it has said. Sessions, sequence numbers and tokens
- * only grow within an incarnation.
+ * The current incarnation, or process, of a machine's worker and its newest heartbeat. Within an incarnation, sessions, sequence
+ * numbers and tokens never decrease.
  */
 final class Incarnation {
     /**
-     * KNOWN: the worker that speaks is the one that was known. RESTARTED: it was restarted under its old name, by an answer
-     * older than what was known when it was asked for; what its earlier incarnation ran counts as running until it has shown
-     * a token from after that, so that nothing sent to the earlier one can reach it any more.
+     * KNOWN: heartbeats come from the known incarnation. RESTARTED: the worker was restarted under the same machine
+     * identifier, detected by an answer with an older session or sequence number than was known when the call was sent. The
+     * tasks of the earlier incarnation count as running until the worker shows a token that was raised after that; from then
+     * on it rejects all commands sent to the earlier incarnation.
      */
     enum State {
         KNOWN,
@@ -18,9 +19,9 @@
     }
 
     private State state = State.KNOWN;
-    /** Heartbeats that show no higher token than this were sent by an earlier incarnation; 0 if there was none. */
+    /** Heartbeats with this token or a lower one come from an earlier incarnation; 0 if there is no earlier one. */
     private long tokenFloor;
-    /** Heartbeats in a row that were older than what is known. */
+    /** Number of consecutive heartbeats that were older than the newest known one. */
     private int outdated;
 
     private long session = -1;
@@ -31,17 +32,17 @@
         return state == State.RESTARTED;
     }
 
-    /** The newest session, -1 if none is known. */
+    /** Returns the newest session, or -1 if none is known. */
     long session() {
         return session;
     }
 
-    /** The newest sequence number of the session, -1 if none is known. */
+    /** Returns the newest sequence number of the session, or -1 if none is known. */
     long seq() {
         return seq;
     }
 
-    /** The highest fencing token that the worker has shown, 0 if none. */
+    /** Returns the highest fencing token that the worker has shown, or 0. */
     long token() {
         return token;
     }
@@ -50,43 +51,43 @@
         return outdated;
     }
 
-    /** True if the token tells this incarnation's heartbeats from those of earlier ones. */
+    /** Returns true if a heartbeat with this token can be distinguished from those of earlier incarnations. */
     boolean showable(long leaderToken) {
         return leaderToken > tokenFloor;
     }
 
-    /** True if the heartbeat is newer than all that is known. */
+    /** Returns true if the heartbeat is newer than the newest known one. */
     boolean precedes(Heartbeat heartbeat) {
         return newer(heartbeat, session, seq);
     }
 
-    /** True if the heartbeat is newer than that sequence number of that session. */
+    /** Returns true if the heartbeat is newer than the given session and sequence number. */
     static boolean newer(Heartbeat heartbeat, long session, long seq) {
         return heartbeat.session() > session || (heartbeat.session() == session && heartbeat.seq() > seq);
     }
 
-    /** True if an earlier incarnation sent the heartbeat. */
+    /** Returns true if an earlier incarnation sent the heartbeat. */
     boolean follows(Heartbeat heartbeat) {
         return tokenFloor > 0 && heartbeat.token() <= tokenFloor;
     }
 
-    /** Counts a heartbeat that was older than what is known. */
+    /** Counts a heartbeat that was older than the newest known one. */
     void noteOutdated() {
         outdated++;
     }
 
-    /** Ends a row of outdated heartbeats. */
+    /** Resets the count of consecutive outdated heartbeats. */
     void clearOutdated() {
         outdated = 0;
     }
 
-    /** The worker was restarted; only a token above {@code leaderToken} tells its heartbeats from earlier ones. */
+    /** Records a restart of the worker; from now on, only heartbeats with a token above {@code leaderToken} count. */
     void restart(long leaderToken) {
         to(State.RESTARTED);
         tokenFloor = leaderToken;
     }
 
-    /** The restarted worker has shown a token that nothing sent to the earlier incarnation bears. */
+    /** Starts the new incarnation: the restarted worker has shown a token above the floor. */
     void begin() {
         to(State.KNOWN);
         session = -1;
@@ -94,24 +95,24 @@
         token = 0;
     }
 
-    /** Nothing that was or will be said in {@code session} under a token below {@code leaderToken} counts. */
+    /** Ignores heartbeats of {@code session} with a token below {@code leaderToken}, past and future ones. */
     void disregardUntil(long leaderToken, long session) {
         tokenFloor = Math.max(tokenFloor, leaderToken - 1);
         this.session = session;
     }
 
-    /** The lease has run out: what still arrives from the session was sent before. */
+    /** Ignores further heartbeats of the session: its lease has expired, so they were sent before that. */
     void endSession() {
         session++;
         seq = -1;
     }
 
-    /** The worker has begun a session. */
+    /** Records that the worker has begun a session. */
     void beginSession(long next) {
         session = next;
     }
 
-    /** Takes over the sequence number and the token of a heartbeat that counts. */
+    /** Takes over the sequence number and the token of an accepted heartbeat. */
     void accept(Heartbeat heartbeat) {
         seq = heartbeat.seq();
         token = heartbeat.token();
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends what a machine holds when its lease is certainly over: its worker has killed and forgotten every task. */
+/** Releases the tasks of a machine whose lease has expired: its worker has killed and dropped all of them. */
 final class LeaseExpiry {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
@@ -18,10 +18,11 @@
         this.unverifiedMachines = unverifiedMachines;
     }
 
-    /** The machine's lease is over, or nothing can be on it any more for another reason. */
+    /** Handles the expiry of the machine's lease, or another reason why it can hold no task any more. */
     void expire(Machine machine) {
-        // One that this leader never heard is no machine on its way either: counted as such, nothing was rented in its
-        // place.
+        // This includes machines that have sent no heartbeat to this leader: while such a machine counted as booting,
+        // no
+        // replacement was rented.
         if (machine.expected()) {
             lapse(machine);
         }
@@ -45,17 +46,18 @@
                         + (live > 0 ? "; " + live + " tasks are started elsewhere" : ""));
         machine.to(Machine.State.LAPSED);
         if (!machine.contact().everHeard()) {
-            // Which session ended nobody knows. What was reported in it may still arrive, after the first heartbeat of
-            // an incarnation that began since: only a higher token distinguishes them.
+            // The expired session is unknown. Its heartbeats may still arrive, even after the first heartbeat of a
+            // later
+            // incarnation; only a higher token distinguishes the two.
             machine.incarnation().restart(context.leadership().token());
             machine.incarnation().clearOutdated();
         }
-        // What is still reported under the old session was sent before the lease ran out.
+        // Heartbeats of the old session that still arrive were sent before the lease expired.
         machine.incarnation().endSession();
     }
 
     private void deregister(Machine machine) {
-        // From here on it holds nothing; its row must be written before it is given anything again.
+        // The machine holds nothing now; its row must be written again before it is given tasks.
         machine.deregister();
         machine.contact().restore();
         Http.Exchange parked = machine.contact().unpark();
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -7,11 +7,11 @@
 import org.landingridge.wire.Heartbeat;
 import org.landingridge.wire.MachineType;
 
-/** One machine that is or may be rented, as the leader sees it. Times are the event loop's, in milliseconds. */
+/** A machine that is or may be rented, as the leader knows it. Times are in milliseconds on the event loop's clock. */
 public final class Machine {
     /**
-     * BOOTING: never heard. UP: sends heartbeats. LAPSED: silent so long that its worker has certainly killed its tasks.
-     * LEAVING: the cloud is asked to take it back. GONE: the cloud has taken it back.
+     * BOOTING: has sent no heartbeat yet. UP: sends heartbeats. LAPSED: its lease has expired, so its worker has killed
+     * its tasks. LEAVING: its return to the cloud has been requested. GONE: it has been returned.
      */
     public enum State {
         BOOTING,
@@ -31,24 +31,24 @@
     private final WorkerLease lease;
     private final DirectCalls calls = new DirectCalls();
     private final FailureRecord failures = new FailureRecord();
-    /** By number; no cached iterators, since a pass over them may start another. */
+    /** By attempt number. Iterators are not cached, because an iteration over the map may start another one. */
     private final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>(8, 0.6f, false);
-    /** The least recently used first. */
+    /** Image names, least recently used first. */
     private final Set<String> images = new LinkedHashSet<>();
 
     private String address;
     private State state = State.BOOTING;
-    /** In the stored registry as one that may hold tasks; no start is sent before. */
+    /** The stored registry has its row with an address; no start command is sent before that. */
     private boolean registered;
-    /** Has shown this leader's token, so that no earlier leader's command can reach it any more. */
+    /** Its worker has shown this leader's fencing token, so it rejects commands of earlier leaders. */
     private boolean fenced;
-    /** In the registry when this leader was elected, and not yet accounted for. */
+    /** In the stored registry when this leader was elected, and neither fenced nor expired nor gone since. */
     private boolean unverified;
-    /** Rented by this leader and not yet heard of. */
+    /** Rented by this leader and no heartbeat received yet; its boot time is being measured. */
     private boolean awaitingBoot;
-    /** The cloud says that it stopped on its own. */
+    /** The cloud lists it as failed: it stopped on its own. */
     private boolean listedFailed;
-    /** Seconds until the cloud takes it away, null if it has not said so. */
+    /** Announced time until the cloud reclaims the machine, in seconds; null without a notice. */
     private Double noticeS;
 
     private long idleSince;
@@ -65,42 +65,42 @@
         this.idleSince = now;
     }
 
-    /** Its identifier. */
+    /** Returns the machine's identifier. */
     public String id() {
         return id;
     }
 
-    /** What it does, as far as this leader knows. */
+    /** Returns the state as far as this leader knows it. */
     public State state() {
         return state;
     }
 
-    /** True for a spot instance. */
+    /** Returns true for a spot instance. */
     public boolean spot() {
         return spot;
     }
 
-    /** Name of its zone. */
+    /** Returns the name of the zone. */
     public String zone() {
         return zone;
     }
 
-    /** Its machine type. */
+    /** Returns the machine type. */
     public MachineType kind() {
         return kind;
     }
 
-    /** The attempts that are or may be on it, by number. */
+    /** Returns the attempts that are or may be on the machine, by attempt number. */
     public Map<Long, Attempt> attempts() {
         return attempts;
     }
 
-    /** Names of the images that it has, the least recently used first. */
+    /** Returns the names of the images on the machine, least recently used first. */
     public Set<String> images() {
         return images;
     }
 
-    /** The attempt of that number, or null. */
+    /** Returns the attempt with that number, or null. */
     Attempt attempt(long number) {
         return attempts.get(number);
     }
@@ -117,7 +117,7 @@
         return kind.name();
     }
 
-    /** Where it takes direct calls, null if that is not known. */
+    /** Returns the address for direct calls, or null if it is unknown. */
     String address() {
         return address;
     }
@@ -146,7 +146,7 @@
         return failures;
     }
 
-    /** The only place where a machine changes its state. */
+    /** Changes the state; all state changes go through this method. */
     void to(State next) {
         if ((state == State.GONE || state == State.LEAVING) && next != State.GONE) {
             throw new IllegalStateException(id + ": " + state + " -> " + next);
@@ -158,7 +158,7 @@
         return state == State.UP;
     }
 
-    /** True if its heartbeats are due: it sends some, or did to an earlier leader. */
+    /** Returns true if heartbeats are expected: the machine is up, or it sent heartbeats to an earlier leader. */
     boolean expected() {
         return up() || (unverified && state == State.BOOTING);
     }
@@ -171,7 +171,7 @@
         registered = true;
     }
 
-    /** Nothing is on it any more: its row is to be written before it is given tasks again. */
+    /** Records that the machine holds nothing; its row must be written again before it is given tasks. */
     void deregister() {
         registered = false;
     }
@@ -184,7 +184,7 @@
         fenced = true;
     }
 
-    /** A worker that was restarted has not seen this leader's token. */
+    /** Records that the worker was restarted and has not seen this leader's token. */
     void unfence() {
         fenced = false;
     }
@@ -201,7 +201,7 @@
         return awaitingBoot;
     }
 
-    /** It is rented and measured until its first heartbeat. */
+    /** Starts the measurement of the boot time, which ends with the first heartbeat. */
     void awaitBoot() {
         awaitingBoot = true;
     }
@@ -230,7 +230,7 @@
         return idleSince;
     }
 
-    /** Something takes room on it, or it has just come up. */
+    /** Restarts the idle time: a task occupies resources on the machine, or the machine has just come up. */
     void busyAt(long now) {
         idleSince = now;
     }
@@ -243,12 +243,12 @@
         return now < drainUntil;
     }
 
-    /** True if it may be given tasks, and so must stand in the registry with its address. */
+    /** Returns true if the machine may be given tasks, so its row in the registry must contain its address. */
     boolean mayHold() {
         return address != null && state != State.BOOTING && state != State.LAPSED;
     }
 
-    /** Number of attempts that take room on it. */
+    /** Returns the number of attempts that occupy resources on the machine. */
     int live() {
         int live = 0;
         for (Attempt attempt : attempts.values()) {
@@ -266,20 +266,20 @@
         return false;
     }
 
-    /** It has just said something, in a heartbeat or in answer to a call. */
+    /** Records a heartbeat or an answer to a direct call. */
     void heard(long now) {
         contact.heard(now);
         calls.heard();
         listedFailed = false;
     }
 
-    /** Takes over what the worker says of the machine itself. */
+    /** Takes over the address and the reclaim notice from a heartbeat. */
     void describe(Heartbeat heartbeat) {
         address = heartbeat.addr();
         noticeS = heartbeat.noticeS();
     }
 
-    /** Notes an image as the most recently used one. */
+    /** Makes an image the most recently used one; null is ignored. */
     void used(String image) {
         if (image != null) {
             images.remove(image);
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -4,22 +4,22 @@
 import org.landingridge.wire.Commands;
 import org.landingridge.wire.Heartbeat;
 
-/** Shows silent machines the token by a call without commands, and learns whether they are there and what is on them. */
+/** Probes silent machines: a call without commands shows them the fencing token, and the answer lists their tasks. */
 final class MachineProbe {
-    /** Pause after a probe without an answer, before the machine is asked once more. */
+    /** Pause after an unanswered probe, before the machine is probed again. */
     private static final long PAUSE_MS = 400;
-    /** So often a machine that answers without showing the token is asked again at once. */
+    /** Limit of immediate retries for a machine that answers without showing the token. */
     private static final int MOST_RETRIES = 3;
-    /** Probes at a time take this part of the connections at most, and never fewer than so many. */
+    /** Concurrent probes use at most one in this number of the connections. */
     private static final int PROBE_SHARE = 16;
-
+    /** Lower bound of the limit of concurrent probes. */
     private static final int LEAST_PROBES = 12;
 
     private final FleetContext context;
     private final HeartbeatHandler heartbeats;
     /**
-     * At a failover every worker sends a heartbeat by itself within a period or two, and those answers save leases: only who
-     * stays silent is asked, and so many at a time.
+     * Limit of concurrent probes. After a failover every worker sends a heartbeat within one or two intervals, and answering
+     * those heartbeats keeps leases from expiring; so only machines that stay silent are probed, and only a few at a time.
      */
     private final int mostProbes;
 
@@ -32,12 +32,12 @@
         this.mostProbes = Math.max(LEAST_PROBES, maxConnections / PROBE_SHARE);
     }
 
-    /** Nobody is asked any more. */
+    /** Sends no more probes, and ignores answers that are still outstanding. */
     void close() {
         closed = true;
     }
 
-    /** Asks the machine, unless a call to it is out or too many are asked. */
+    /** Probes the machine, unless a call to it is in flight, a retry is not due yet, or the limit is reached. */
     void ask(Machine machine) {
         ask(machine, 0);
     }
@@ -70,7 +70,7 @@
             if (heartbeat != null) {
                 heartbeats.mergeAnswer(machine, heartbeat, session, seq);
                 machine.heard(context.now());
-                // One that was restarted is shown the next token, which is not there yet.
+                // A restarted worker must see the next token, which has not been raised yet: a retry would not help.
                 if (!machine.fenced() && !machine.incarnation().restarted()) {
                     ask(machine, retries + 1);
                 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
@@ -2,9 +2,9 @@
 
 import org.landingridge.controller.recovery.Decision;
 
-/** Which machines may be given tasks now, and which will be soon. */
+/** Decides which machines may be given tasks now, and which will be usable soon. */
 final class MachineReadiness {
-    /** One in so many machines without a heartbeat are many. */
+    /** Many heartbeats are missing if more than one in this number of machines is unverified. */
     private static final int MANY = 4;
 
     private final FleetContext context;
@@ -21,8 +21,8 @@
     }
 
     /**
-     * True if tasks may be started on the machine now. One that answers calls and whose heartbeats do not come keeps nothing
-     * for longer than its lease, which a call does not renew.
+     * Returns true if tasks may be started on the machine now. Heartbeats must be recent: a machine that only answers direct
+     * calls loses its tasks when its lease expires, because an answered call does not renew the lease.
      */
     boolean usable(Machine machine, long now) {
         return machine.up()
@@ -33,27 +33,27 @@
                 && now - machine.contact().heartbeatAt() < context.leaseMs() / 2;
     }
 
-    /** True if the machine boots, or only has to be fenced and registered. */
+    /** Returns true if the machine is booting, or is up and only has to be fenced and registered. */
     boolean coming(Machine machine, long now) {
         if (machine.noticeS() != null) {
             return false;
         }
         return switch (machine.state()) {
-            // One that does not come up while others do is replaced before it is given up.
+            // A machine that is late while others come up is replaced before it is given up.
             case BOOTING -> !boots.lateAlone(machine, now);
             case UP -> !(machine.fenced() && machine.registered());
             case LAPSED, LEAVING, GONE -> false;
         };
     }
 
-    /** True if it boots longer than is usual, and so do all like it. */
+    /** Returns true if the machine, and all machines of its kind, take unusually long to boot. */
     boolean lateWithAll(Machine machine, long now) {
         return machine.state() == Machine.State.BOOTING && machine.awaitingBoot() && boots.allLate(machine, now);
     }
 
     /**
-     * True if its first heartbeat to this leader is due and many others' are. Once most have come in, who is missing has
-     * likely lost what it ran.
+     * Returns true if the machine's first heartbeat to this leader is due and many other machines' are too. Once most
+     * machines have sent one, a machine that has not has probably lost its tasks.
      */
     boolean unheard(Machine machine, long now) {
         return machine.unverified()
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -17,43 +17,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The stored registry of machines: every machine, many to one stored value. A row with an address is of a machine that may hold
- * tasks; one without has sent no heartbeat yet, or its lease has run out, and a later leader need not wait for it. A row may also
- * say for how many milliseconds its machine had been silent when the page was written, and under which leader's token: that
- * leader answers it no more before it has written the row without.
+ * The stored registry of machines: pages in the state service, each with the rows of many machines. A machine whose row has an
+ * address may hold tasks. A machine whose row has none has sent no heartbeat yet, or its lease has expired; a later leader need
+ * not wait for it. A row may also store how long the machine had been silent when the page was written, and the token of the
+ * leader that wrote it: that leader answers no heartbeat of the machine until it has stored the row without a silence.
  *
- * <p>Beside them stands which images the machines have, as far as was known when the page was last written: a later
- * leader starts services where their image is. That is a hint, and no page is written for it alone.
+ * <p>A page also lists the images on its machines, as known when the page was last written, so that a later leader can start
+ * services where their image already is. The list is a hint: a change of images alone causes no write.
  */
 public final class MachineRegistry {
-    /** Prefix of the keys of its pages, below the root. */
+    /** Prefix of the page keys, below the root. */
     public static final String PREFIX = "fleet/";
 
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
-    /** The row of a page that names images; in the others each stands as one digit. */
+    /** Field of a page that lists image names; machines' rows refer to them by one digit each. */
     private static final String IMAGES = "images";
 
     private static final int MAX_IMAGES = 36;
     private static final int MAX_IMAGE_NAME = 24;
-    /** Of a value so much may be filled; the rest is for names of images that come later. */
+    /** Share of the value size limit that rows may fill; the rest is reserved for image names added later. */
     private static final double FILL = 0.85;
-    /** What a row takes beside its texts, its images' digits included. */
+    /** Size of a row without its texts but with its image digits, in bytes. */
     private static final int ROW = 24;
-    /** An address that is not known yet is taken to be so long. */
+    /** Assumed length of an address that is not known yet, in bytes. */
     private static final int ADDRESS = 22;
-    /** Ranks of a page that makes machines usable, and of one that does not. */
+    /** Write priority of a page whose write makes machines usable. */
     private static final int USABLE = 2;
-
+    /** Write priority of every other page. */
     private static final int LATER = 6;
+
     private final BatchWriter writer;
     private final RegistryHooks fleet;
     private final MachineTable machines;
     private final int valueBytes;
     private final PageTable<MachinePage> pages;
-    /** Keys of pages that cannot be read; nothing is written there before their machines' leases are over. */
+    /** Keys of unreadable pages; they are not written until the leases of their machines have expired. */
     private final Set<String> quarantined = new LinkedHashSet<>();
 
-    /** @param valueBytes the most bytes that the state service takes for a value */
+    /** @param valueBytes size limit of a value in the state service, in bytes */
     public MachineRegistry(String root, BatchWriter writer, Fleet fleet, int valueBytes) {
         this.writer = writer;
         this.fleet = fleet.registryHooks();
@@ -63,16 +64,17 @@
     }
 
     /**
-     * Takes over a page as it stands in the state service.
+     * Takes over a page from the state service.
      *
-     * @param at       when, by the loop's clock, this process first saw it so
-     * @param previous the token under which the last leader term began: only what it wrote of silent machines counts,
-     *                 since a later one may have answered them
+     * @param at       time on the loop's clock at which this process first read the page in this form
+     * @param previous token under which the previous leader term began; silences stored under another token are ignored,
+     *                 since a later leader may have answered those machines
      */
     public void takeOver(String key, JsonNode value, long at, long previous) {
         String wrong = wrong(value);
         if (wrong != null) {
-            // Taken for empty, what its machines hold would be started once more elsewhere.
+            // If the page were treated as empty, tasks that run on its machines would be started a second time
+            // elsewhere.
             LOG.error("{} cannot be read ({}): until a lease is over its machines may hold anything", key, wrong);
             quarantined.add(key);
             pages.reserve(key);
@@ -91,7 +93,9 @@
     private void takeOver(String id, MachineRow row, MachinePage page, JsonNode images, long at, long previous) {
         MachinePage other = pages.of(id);
         if (other != null) {
-            // A leader ended between the two steps of a split. What may hold tasks by either row may hold them.
+            // A leader stopped between the two writes of a page split, so the machine is in two pages. It may hold
+            // tasks
+            // if either row has an address.
             writer.mark(page);
             if (row.address() == null || machines.get(id).address() != null) {
                 return;
@@ -105,7 +109,7 @@
         }
     }
 
-    /** What is wrong with a page, in a few words, or null. */
+    /** Returns the reason why a page is unreadable, or null if it is readable. */
     private String wrong(JsonNode value) {
         if (!value.isObject()) {
             return "not an object";
@@ -121,7 +125,7 @@
         return null;
     }
 
-    /** The machines of the pages that cannot be read hold nothing any more: the pages go. */
+    /** Deletes the unreadable pages, once the leases of their machines have expired. */
     public void dropUnreadable() {
         for (String key : quarantined) {
             writer.mark(pages.open(key));
@@ -129,17 +133,17 @@
         quarantined.clear();
     }
 
-    /** Pages that were filled up to a larger limit are split. */
+    /** Splits pages that exceed the present size limit. */
     public void splitOversized() {
         pages.splitOversized();
     }
 
-    /** The machine's row is written with the next page. */
+    /** Adds or updates the machine's row and schedules a write of its page. */
     public void add(Machine machine) {
         writer.mark(pages.put(machine.id(), size(machine)));
     }
 
-    /** The machine is gone: its row goes. */
+    /** Removes the row of a machine that is gone. */
     public void remove(String id) {
         MachinePage page = pages.remove(id);
         if (page != null) {
@@ -147,7 +151,7 @@
         }
     }
 
-    /** Bytes that the machine's row may take. */
+    /** Returns the size assumed for the machine's row, in bytes. */
     private static int size(Machine machine) {
         String address = machine.address();
         return ROW
@@ -158,11 +162,11 @@
     }
 
     private final class MachinePage extends Page {
-        /** Machines that stand with their address in the form rendered last. */
+        /** Machines whose row has an address in the latest rendering. */
         private List<String> holding = List.of();
-        /** Machines whose row in the form rendered last says nothing of a silence any more. */
+        /** Machines whose row in the latest rendering no longer stores a silence. */
         private List<String> resuming = List.of();
-        /** Machines of whose silence that form was the first to say anything. */
+        /** Machines whose silence is stored for the first time by the latest rendering. */
         private List<Machine> silenced = List.of();
 
         MachinePage(String key) {
@@ -176,10 +180,11 @@
                 resuming = List.of();
                 return null;
             }
-            // Where nobody knows what became of the form before, the silences in it may be stored.
+            // If the result of the previous write is unknown, its silences may be stored, so they stay marked as
+            // stored.
             silenced = new ArrayList<>();
             ObjectNode page = render(true);
-            // What images there are is a hint: it gives way to the machines.
+            // The images are a hint; they are left out when the page would exceed the size limit.
             return Json.bytes(page).length <= valueBytes ? page : render(false);
         }
 
@@ -262,7 +267,7 @@
             silenced = List.of();
         }
 
-        /** True if tasks or answers wait for the machine's row to be stored. */
+        /** Returns true if starts or heartbeat answers wait for the machine's row to be stored. */
         private static boolean awaitsRow(Machine machine) {
             boolean startsWait = !machine.registered() && machine.mayHold();
             return startsWait || machine.contact().state() != Contact.State.ANSWERED;
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRow.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRow.java
@@ -5,20 +5,21 @@
 import java.util.function.Predicate;
 
 /**
- * One machine of a stored page, as a list of values; the only place that knows their positions.
+ * The stored row of one machine: a JSON array whose positions are defined here only.
  *
- * @param address      where it takes direct calls; null if nothing can be on it
- * @param type         name of its type
- * @param zone         name of its zone
+ * @param address      address for direct calls; null if the machine cannot hold tasks
+ * @param type         name of the machine type
+ * @param zone         name of the zone
  * @param spot         true for a spot instance
- * @param images       one digit for each of its images, by the page's list of names
- * @param silentMs     for how many milliseconds it had been silent when the row was written, {@link #NOT_SILENT} if the row
- *                     says nothing of that
- * @param silenceToken token of the leader that wrote so, and answers it no more before it has written the row without
+ * @param images       the machine's images: one digit each, an index in base 36 into the page's list of image names
+ * @param silentMs     duration of the machine's silence when the row was written, in milliseconds; {@link #NOT_SILENT} if
+ *                     the row stores no silence
+ * @param silenceToken token of the leader that stored the silence; that leader answers no heartbeat of the machine until it
+ *                     has stored the row without a silence
  */
 record MachineRow(
         String address, String type, String zone, boolean spot, String images, long silentMs, long silenceToken) {
-    /** No silence is stored. */
+    /** Value of {@code silentMs} in a row that stores no silence. */
     static final long NOT_SILENT = Long.MIN_VALUE;
 
     private static final int ADDRESS = 0;
@@ -28,10 +29,10 @@
     private static final int IMAGES = 4;
     private static final int SILENT_MS = 5;
     private static final int SILENCE_TOKEN = 6;
-    /** Rows of earlier versions end before the images. */
+    /** Rows written by earlier versions have no images. */
     private static final int LEAST_VALUES = 4;
 
-    /** True if the value can be read as a row. */
+    /** Returns true if the value can be read as a row. */
     static boolean readable(JsonNode row, Predicate<String> knownType) {
         return row.isArray()
                 && row.size() >= LEAST_VALUES
@@ -41,7 +42,7 @@
                 && row.get(SPOT).isNumber();
     }
 
-    /** Reads a row that is {@link #readable}. */
+    /** Reads a row for which {@link #readable} is true. */
     static MachineRow read(JsonNode row) {
         JsonNode address = row.path(ADDRESS);
         JsonNode silence = row.path(SILENT_MS);
@@ -55,7 +56,7 @@
                 row.path(SILENCE_TOKEN).asLong());
     }
 
-    /** Appends the values to an empty list. */
+    /** Appends the values to an empty array. */
     void write(ArrayNode row) {
         row.add(address).add(type).add(zone).add(spot ? 1 : 0).add(images);
         if (silentMs != NOT_SILENT) {
@@ -64,10 +65,11 @@
     }
 
     /**
-     * Since when no leader can have answered the machine, {@link Long#MAX_VALUE} if the row does not say.
+     * Returns the time since which no leader can have answered the machine, or {@link Long#MAX_VALUE} if it is unknown.
      *
-     * @param at       when, by the loop's clock, the row was first seen so
-     * @param previous token of the last leader: only its row counts, since a later one may have answered the machine
+     * @param at       time on the loop's clock at which this process first read the row in this form
+     * @param previous token of the previous leader; a silence stored under another token is ignored, since a later leader
+     *                 may have answered the machine
      */
     long silentSince(long at, long previous) {
         return silentMs != NOT_SILENT && silenceToken == previous ? at - silentMs : Long.MAX_VALUE;
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -6,16 +6,16 @@
 import java.util.function.Function;
 import org.landingridge.wire.MachineType;
 
-/** The machines that are or may be rented, in the order in which they were heard of, and those that are gone. */
+/** The machines that are or may be rented, in the order of their addition, and the recently returned ones. */
 final class MachineTable {
-    /** So long a machine that was returned to the cloud is known as such. */
+    /** Retention time of the identifiers of returned machines: lists of the cloud lag, and heartbeats may be minutes late. */
     private static final long RETURNED_MS = 900_000;
 
     private final FleetContext context;
     private final Function<String, MachineType> types;
     private final UnverifiedMachines unverifiedMachines;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    /** Machines that were returned, with the time; the oldest first. */
+    /** Return times by machine identifier, oldest first. */
     private final Map<String, Long> returned = new LinkedHashMap<>();
 
     MachineTable(FleetContext context, Function<String, MachineType> types, UnverifiedMachines unverifiedMachines) {
@@ -28,7 +28,7 @@
         return machines.values();
     }
 
-    /** The machines as they are now, for a pass in which some may come or go. */
+    /** Returns a copy of the current machines, for iterations during which machines may be added or removed. */
     Machine[] snapshot() {
         return machines.values().toArray(new Machine[0]);
     }
@@ -45,15 +45,15 @@
         return types.apply(type) != null;
     }
 
-    /** True if the machine was returned to the cloud lately. */
+    /** Returns true if the machine was returned to the cloud within the last 15 minutes. */
     boolean wasReturned(String id) {
         return returned.containsKey(id);
     }
 
     /**
-     * Adds a machine of the registry, as read at the election.
+     * Adds a machine from the stored registry, as read at the election.
      *
-     * @param silentSince no earlier leader has answered its heartbeats since then, by the loop's clock
+     * @param silentSince time on the loop's clock since which no earlier leader has answered its heartbeats
      */
     Machine addRegistered(String id, String address, String type, String zone, boolean spot, long silentSince) {
         Machine machine = new Machine(id, address, types.apply(type), zone, spot, context.now());
@@ -66,7 +66,7 @@
         return machine;
     }
 
-    /** The machine of that name, added if it is new; null if its type is not known or it was returned. */
+    /** Returns the machine, added if it is new; null if its type is unknown or it has been returned to the cloud. */
     Machine addIfAbsent(String id, String address, String type, String zone, boolean spot) {
         MachineType kind = types.apply(type);
         if (kind == null || returned.containsKey(id)) {
@@ -85,7 +85,7 @@
         return machine;
     }
 
-    /** Adds a machine that has just been rented: its boot is measured. */
+    /** Adds a machine that has just been rented, and measures its boot time. */
     void addRented(String id, String type, String zone, boolean spot) {
         boolean known = machines.containsKey(id);
         Machine machine = addIfAbsent(id, null, type, zone, spot);
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Removes a machine that the cloud has taken back; null if it was not known. */
+    /** Removes a machine that has been returned to the cloud; returns null if it was not known. */
     Machine remove(String id) {
         returned.put(id, context.now());
         Machine machine = machines.remove(id);
@@ -104,7 +104,7 @@
         return machine;
     }
 
-    /** Lists lag, and heartbeats may come minutes late: after that a name that was returned is not heard of any more. */
+    /** Drops the identifiers of returned machines whose retention time has expired. */
     void forgetReturned(long now) {
         Iterator<Long> times = returned.values().iterator();
         while (times.hasNext() && now - times.next() > RETURNED_MS) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/RegistryHooks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/RegistryHooks.java
@@ -1,7 +1,7 @@
 package org.landingridge.controller.fleet;
 
 /**
- * What the stored registry reads of the machines and has them know.
+ * The part of the fleet that the stored registry uses: the machines, and callbacks when rows are stored.
  *
  * @param machines the machines whose rows are stored
  */
@@ -10,28 +10,28 @@
         MachineTable machines,
         UnverifiedMachines unverifiedMachines,
         HeartbeatEndpoint endpoint) {
-    /** A page of the registry cannot be read: machines that nobody knows may hold anything, for as long as a lease lasts. */
+    /** Records an unreadable registry page: until a lease has expired, unknown machines may hold any task. */
     void unreadable() {
         unverifiedMachines.unreadable(context.leadership().quiescentSince() + context.leaseMs());
     }
 
-    /** Milliseconds since one of the machine's heartbeats was answered last. */
+    /** Returns the time since a heartbeat of the machine was last answered, in milliseconds. */
     long silentMs(Machine machine) {
         return context.now() - machine.lease().answeredAt();
     }
 
-    /** The fencing token under which this leader term began. */
+    /** Returns the fencing token under which this leader term began. */
     long token() {
         return context.token();
     }
 
-    /** The machine's row is stored as one of a machine that may hold tasks. */
+    /** Records that the machine's row is stored with its address. */
     void registered(Machine machine) {
         machine.register();
         context.events().changed();
     }
 
-    /** The machine's row is stored without a silence: its heartbeats are answered again. */
+    /** Answers the machine's heartbeats again, since its row is stored without a silence. */
     void resume(Machine machine) {
         endpoint.resume(machine);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -1,58 +1,58 @@
 package org.landingridge.controller.fleet;
 
 /**
- * Has the fencing token raised where only a higher one keeps starts that are still on their way from being carried out, or
- * distinguishes a restarted worker from its earlier incarnation. Fed once per tick with every machine.
+ * Raises the fencing token when only a higher one stops start commands that are still in flight, or distinguishes a restarted
+ * worker from its earlier incarnation. Each tick shows it every machine.
  */
 final class TokenRaiser {
-    /** A higher token costs a change and a heartbeat of every machine. */
+    /** Time between two raises: each costs a write and a heartbeat of every machine. */
     private static final long PAUSE_MS = 10_000;
-
+    /** Time between two raises for restarted workers. */
     private static final long PAUSE_RESTARTED_MS = 1_000;
-    /** So long, or until there are so many, ended attempts stay on a machine that a copy of their start could run again. */
+    /** Time after which the token is raised for ended attempts that are kept because a copy of their start could run again. */
     private static final long PAUSE_KEPT_MS = 60_000;
-
+    /** Number of kept attempts on one machine above which the token is raised sooner. */
     private static final int MOST_KEPT = 100;
-    /** A withdrawn start is waited for at least so long. */
+    /** Minimum time that a withdrawn start is given to arrive. */
     private static final long LATE_START_MS = 3_000;
 
     private final FleetContext context;
     private long raisedAt;
-    /** A start that is not wanted any more may still arrive somewhere. */
+    /** A withdrawn start may still arrive at some machine. */
     private boolean startsWithdrawn;
-    /** A restarted worker cannot be told from its earlier incarnation under the present token. */
+    /** Some restarted worker cannot be distinguished from its earlier incarnation under the present token. */
     private boolean restartsHidden;
-    /** Most attempts on one machine that have ended and stay for the sake of the token. */
+    /** Largest number of ended attempts on one machine that are kept until the token is raised. */
     private int kept;
 
     TokenRaiser(FleetContext context) {
         this.context = context;
     }
 
-    /** The present token is as good as raised now. */
+    /** Starts the pause before the next raise, as if the present token had just been raised. */
     void start(long now) {
         raisedAt = now;
     }
 
-    /** A tick begins. */
+    /** Clears the observations at the beginning of a tick. */
     void reset() {
         startsWithdrawn = false;
         restartsHidden = false;
         kept = 0;
     }
 
-    /** Looks for starts on the machine that only a higher token ends. */
+    /** Looks for starts and kept attempts on the machine that need a higher token. */
     void observe(Machine machine, long now) {
         startsWithdrawn |= machine.up() && startWithdrawn(machine, now);
         kept = Math.max(kept, kept(machine));
     }
 
-    /** The machine's worker was restarted and waits for a token that shows it. */
+    /** Observes a machine with a restarted worker, which may need a higher token. */
     void observeRestarted(Machine machine) {
         restartsHidden |= !machine.incarnation().showable(context.leadership().token());
     }
 
-    /** The tick has seen every machine. */
+    /** Raises the token if the observations of the tick require it. */
     void raiseIfDue(long now) {
         long since = now - raisedAt;
         boolean due = ((startsWithdrawn || kept > MOST_KEPT) && since > PAUSE_MS)
@@ -65,8 +65,8 @@
     }
 
     /**
-     * True if something that should be off the machine may still arrive there: a start that was sent straight, got no
-     * answer, and is not wanted any more. It may come minutes late, for instance long after its job's cancellation;
+     * Returns true if a withdrawn start may still arrive at the machine: it was sent by a direct call that got no answer, and
+     * its attempt is to be stopped or has ended. It may arrive minutes late, for instance long after the job's cancellation;
      * only a higher token stops it.
      */
     private boolean startWithdrawn(Machine machine, long now) {
@@ -82,7 +82,7 @@
         return false;
     }
 
-    /** Attempts that have ended and stay on the machine until it has seen a higher token than ours is now. */
+    /** Returns the number of ended attempts kept on the machine until it has seen a token above the present one. */
     private int kept(Machine machine) {
         int sum = 0;
         for (Attempt attempt : machine.attempts().values()) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -7,19 +7,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of the registry that are not accounted for yet. They may hold tasks that an earlier leader started and nobody
- * has reported to this one; a machine is accounted for once it is fenced, lapsed or gone.
+ * The machines of the stored registry that are not verified yet. They may hold tasks that an earlier leader started and that no
+ * heartbeat has shown to this leader. A machine is verified once it is fenced, its lease has expired, or it is gone.
  */
 final class UnverifiedMachines {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private final FleetContext context;
     private int left;
     private int asked;
-    /** When one was accounted for last. */
+    /** Time of the last verification or addition. */
     private long lastAt;
-    /** Of those left, by what a job may ask for: type, zone and whether it is a spot machine. */
+    /** Numbers of unverified machines by the properties that a job can restrict. */
     private final Map<Kind, Integer> kinds = new HashMap<>();
-    /** Until when machines of which the registry cannot be read may hold anything; negative while there are none. */
+    /** Time until which the machines of unreadable registry pages may hold any task; negative if there are none. */
     private long unreadableUntil = -1;
 
     private record Kind(String type, String zone, boolean spot) {
@@ -46,7 +46,7 @@
         kinds.merge(new Kind(machine), 1, Integer::sum);
     }
 
-    /** A page of the registry cannot be read: its machines may hold anything until then, when their leases are over. */
+    /** Records an unreadable registry page: its machines may hold any task until their leases expire at {@code until}. */
     void unreadable(long until) {
         if (unreadableUntil < 0) {
             left++;
@@ -59,7 +59,7 @@
         return unreadableUntil >= 0;
     }
 
-    /** True once, when the leases of unreadable machines are over. */
+    /** Returns true once, when the leases of the machines of unreadable pages have expired. */
     boolean unreadableExpired(long now) {
         if (!unreadable() || now <= unreadableUntil) {
             return false;
@@ -73,14 +73,14 @@
         return lastAt;
     }
 
-    /** How many there were to be accounted for. */
+    /** Returns the number of machines that had to be verified; all unreadable pages together count as one. */
     int asked() {
         return asked;
     }
 
     /**
-     * True if a machine that is not accounted for could hold tasks like this: no leader has ever started one where its
-     * job does not allow it.
+     * Returns true if an unverified machine could hold tasks of such a job: leaders start tasks only on machines that the job
+     * allows.
      */
     boolean mayHold(JobSpec spec) {
         if (unreadable()) {
@@ -94,7 +94,7 @@
         return false;
     }
 
-    /** How many machines are not accounted for. */
+    /** Returns the number of unverified machines; all unreadable pages together count as one. */
     int left() {
         return left;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/WorkerLease.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/WorkerLease.java
@@ -1,13 +1,13 @@
 package org.landingridge.controller.fleet;
 
 /**
- * From when a machine's lease counts: a worker kills its tasks when no heartbeat that it sent within the lease was answered.
- * All times are the event loop's, in milliseconds.
+ * The start of a machine's lease: a worker kills its tasks if none of the heartbeats it sent within the lease was answered.
+ * Times are in milliseconds on the event loop's clock.
  */
 final class WorkerLease {
-    /** When one of its heartbeats was last answered, or may have been. */
+    /** Latest time at which a heartbeat was or may have been answered. */
     private long answeredAt;
-    /** The latest moment at which an earlier leader can have answered one, for a machine of the registry. */
+    /** Latest time at which an earlier leader may have answered a heartbeat, for a machine from the stored registry. */
     private long earlierAnsweredAt;
 
     WorkerLease(long now) {
@@ -18,23 +18,23 @@
         return answeredAt;
     }
 
-    /** An earlier leader may have answered until then. */
+    /** Records that an earlier leader may have answered heartbeats until {@code latest}. */
     void inherit(long latest) {
         answeredAt = latest;
         earlierAnsweredAt = latest;
     }
 
-    /** What this leader answered has not reached the worker. */
+    /** Disregards the answers of this leader, since none of them has reached the worker. */
     void revertToEarlierLeader() {
         answeredAt = earlierAnsweredAt;
     }
 
-    /** One of its heartbeats is answered now. */
+    /** Records the answer to a heartbeat. */
     void renew(long now) {
         answeredAt = now;
     }
 
-    /** The lease may have begun now. */
+    /** Assumes that the lease has started now, unless a later time is known. */
     void extend(long now) {
         answeredAt = Math.max(answeredAt, now);
     }
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.landingridge.wire.Heartbeat;
 
-/** Which heartbeats are newer than what is known, and which come from an earlier process of the worker. */
+/** Checks which heartbeats count as newer than the known ones, and which come from an earlier incarnation of the worker. */
 class IncarnationTest {
     private final Incarnation incarnation = new Incarnation();
 
--- a/controller/src/test/java/org/landingridge/controller/fleet/MachineRowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/MachineRowTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.landingridge.wire.Json;
 
-/** The stored row of a machine is read as it was written. */
+/** Checks that stored rows of machines are read as they were written, and that malformed rows are rejected. */
 class MachineRowTest {
     private static JsonNode json(String text) {
         return Json.parse(text.getBytes(StandardCharsets.UTF_8));
