--- a/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
@@ -11,9 +11,9 @@
  */
 final class BootTimes {
     /** Number of samples from which measurements are used. */
-    private static final int ENOUGH = 8;
+    private static final int MIN_SAMPLES = 8;
     /** Longer boot times are recorded as this one. */
-    private static final long LONGEST_MS = 3_600_000;
+    private static final long MAX_RECORDED_MS = 3_600_000;
     /** Each sample is kept for one to two windows. */
     private static final long WINDOW_MS = 240_000;
 
@@ -21,54 +21,54 @@
     private record Pool(String type, String zone, boolean spot) {}
 
     private static final class Samples {
-        private IntCountsHistogram latest = new IntCountsHistogram(LONGEST_MS, 2);
-        private IntCountsHistogram before = new IntCountsHistogram(LONGEST_MS, 2);
-        private long since;
+        private IntCountsHistogram current = new IntCountsHistogram(MAX_RECORDED_MS, 2);
+        private IntCountsHistogram previous = new IntCountsHistogram(MAX_RECORDED_MS, 2);
+        private long windowStart;
         /** Latest time of rent among the machines that have booted. */
-        private long youngest = Long.MIN_VALUE / 2;
+        private long latestRentedAt = Long.MIN_VALUE / 2;
 
-        void turn(long now) {
-            if (now - since > WINDOW_MS) {
-                IntCountsHistogram old = before;
-                before = latest;
-                latest = old;
-                latest.reset();
-                if (now - since > 2 * WINDOW_MS) {
-                    before.reset();
+        void rotate(long now) {
+            if (now - windowStart > WINDOW_MS) {
+                IntCountsHistogram recycled = previous;
+                previous = current;
+                current = recycled;
+                current.reset();
+                if (now - windowStart > 2 * WINDOW_MS) {
+                    previous.reset();
                 }
-                since = now;
+                windowStart = now;
             }
         }
     }
 
-    private final Map<Pool, Samples> seen = new HashMap<>();
+    private final Map<Pool, Samples> samplesByPool = new HashMap<>();
 
-    private static Pool pool(Machine machine) {
+    private static Pool poolOf(Machine machine) {
         return new Pool(machine.type(), machine.zone(), machine.spot());
     }
 
     void booted(Machine machine, long now) {
-        Samples samples = seen.computeIfAbsent(pool(machine), p -> new Samples());
-        samples.turn(now);
-        samples.latest.recordValue(Math.max(0, Math.min(LONGEST_MS, now - machine.appearedAt())));
-        samples.youngest = Math.max(samples.youngest, machine.appearedAt());
+        Samples samples = samplesByPool.computeIfAbsent(poolOf(machine), p -> new Samples());
+        samples.rotate(now);
+        samples.current.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, now - machine.addedAt())));
+        samples.latestRentedAt = Math.max(samples.latestRentedAt, machine.addedAt());
     }
 
     /** Returns the longest usual boot time, in milliseconds, from the samples or else from the machine type's boot time. */
-    long usualMostMs(Machine machine, long now) {
+    long usualMaxMs(Machine machine, long now) {
         MachineType type = machine.kind();
-        long announced = Math.round(type.bootS() * 1_500);
-        Samples samples = seen.get(pool(machine));
+        long declaredMaxMs = Math.round(type.bootS() * 1_500);
+        Samples samples = samplesByPool.get(poolOf(machine));
         if (samples == null) {
-            return announced;
+            return declaredMaxMs;
         }
-        samples.turn(now);
-        if (samples.latest.getTotalCount() + samples.before.getTotalCount() < ENOUGH) {
-            return announced;
+        samples.rotate(now);
+        if (samples.current.getTotalCount() + samples.previous.getTotalCount() < MIN_SAMPLES) {
+            return declaredMaxMs;
         }
-        IntCountsHistogram both = samples.latest.copy();
-        both.add(samples.before);
-        return Math.max(announced, both.getValueAtPercentile(90));
+        IntCountsHistogram merged = samples.current.copy();
+        merged.add(samples.previous);
+        return Math.max(declaredMaxMs, merged.getValueAtPercentile(90));
     }
 
     /**
@@ -76,20 +76,20 @@
      * rented at the same time or later is up. If there is none, all are late, and another rented machine would be too.
      */
     boolean lateAlone(Machine machine, long now) {
-        return late(machine, now) && youngerIsUp(machine);
+        return isLate(machine, now) && newerMachineIsUp(machine);
     }
 
     /** Returns true if the machine is late and so are all comparable ones. */
     boolean allLate(Machine machine, long now) {
-        return late(machine, now) && !youngerIsUp(machine);
+        return isLate(machine, now) && !newerMachineIsUp(machine);
     }
 
-    private boolean late(Machine machine, long now) {
-        return now - machine.appearedAt() > usualMostMs(machine, now);
+    private boolean isLate(Machine machine, long now) {
+        return now - machine.addedAt() > usualMaxMs(machine, now);
     }
 
-    private boolean youngerIsUp(Machine machine) {
-        Samples samples = seen.get(pool(machine));
-        return samples != null && samples.youngest >= machine.appearedAt();
+    private boolean newerMachineIsUp(Machine machine) {
+        Samples samples = samplesByPool.get(poolOf(machine));
+        return samples != null && samples.latestRentedAt >= machine.addedAt();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -22,7 +22,7 @@
 
     private long heardAt = NEVER;
     /** Arrival of the last heartbeat that was not outdated; answers to calls do not count, since they renew no lease. */
-    private long heartbeatAt = NEVER;
+    private long lastHeartbeatAt = NEVER;
 
     private State state = State.ANSWERED;
     /** A row with a silence is stored, or may be. */
@@ -40,8 +40,8 @@
         return heardAt > NEVER;
     }
 
-    long heartbeatAt() {
-        return heartbeatAt;
+    long lastHeartbeatAt() {
+        return lastHeartbeatAt;
     }
 
     /** Records a heartbeat or an answer to a call. */
@@ -51,7 +51,7 @@
 
     /** Records a heartbeat that was not outdated. */
     void heartbeat(long now) {
-        heartbeatAt = now;
+        lastHeartbeatAt = now;
     }
 
     State state() {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -59,20 +59,21 @@
         tasks = new PlaceableTasks(jobs, unverifiedMachines);
         attempts =
                 new AttemptTracker(context, jobs, parameters.endedSpecs(), new FailureAttribution(context, machines));
-        BootTimes boots = new BootTimes();
-        HeartbeatHandler heartbeats = new HeartbeatHandler(context, attempts, unverifiedMachines, boots);
+        BootTimes bootTimes = new BootTimes();
+        HeartbeatHandler heartbeatHandler = new HeartbeatHandler(context, attempts, unverifiedMachines, bootTimes);
         CommandComposer composer = new CommandComposer(context, jobs);
-        dispatcher = new CommandDispatcher(context, heartbeats, composer, parameters.maxConnections());
-        probe = new MachineProbe(context, heartbeats, parameters.maxConnections());
+        dispatcher = new CommandDispatcher(context, heartbeatHandler, composer, parameters.maxConnections());
+        probe = new MachineProbe(context, heartbeatHandler, parameters.maxConnections());
         healthMonitor = new HealthMonitor(
                 context,
                 unverifiedMachines,
-                boots,
+                bootTimes,
                 Math.round(parameters.policy().bootMarginS() * 1000),
                 parameters.policy().settleShare());
-        readiness = new MachineReadiness(context, unverifiedMachines, boots, healthMonitor);
+        readiness = new MachineReadiness(context, unverifiedMachines, bootTimes, healthMonitor);
         LeaseExpiry leaseExpiry = new LeaseExpiry(context, attempts, unverifiedMachines);
-        endpoint = new HeartbeatEndpoint(context, machines, heartbeats, composer, probe, leaseExpiry, healthMonitor);
+        endpoint =
+                new HeartbeatEndpoint(context, machines, heartbeatHandler, composer, probe, leaseExpiry, healthMonitor);
         registryHooks = new RegistryHooks(context, machines, unverifiedMachines, endpoint);
         cycle = new FleetCycle(
                 context,
@@ -126,22 +127,22 @@
 
     /** Returns true if tasks may be started on the machine now. */
     public boolean usable(Machine machine, long now) {
-        return readiness.usable(machine, now);
+        return readiness.isUsable(machine, now);
     }
 
     /** Returns true if the machine is booting, or is up and only has to be fenced and registered. */
     public boolean coming(Machine machine, long now) {
-        return readiness.coming(machine, now);
+        return readiness.isComingUp(machine, now);
     }
 
     /** Returns true if the machine, and all machines of its kind, take unusually long to boot. */
     public boolean lateWithAll(Machine machine, long now) {
-        return readiness.lateWithAll(machine, now);
+        return readiness.isLateWithPool(machine, now);
     }
 
     /** Returns true if the machine's first heartbeat to this leader is due and many other machines' are too. */
     public boolean unheard(Machine machine, long now) {
-        return readiness.unheard(machine, now);
+        return readiness.awaitsFirstHeartbeat(machine, now);
     }
 
     /** Returns the time for which no task has occupied resources on the machine, in milliseconds. */
@@ -161,7 +162,7 @@
 
     /** Returns the decision on the machine from the present evidence. */
     public Decision judge(Machine machine, long now) {
-        return healthMonitor.judge(machine, now);
+        return healthMonitor.decide(machine, now);
     }
 
     /** Returns the time after which the machine's lease has expired for certain. */
@@ -186,13 +187,13 @@
 
     /** Records that the cloud lists the machine as failed: it stopped on its own. */
     public void failed(Machine machine) {
-        machine.listFailed();
+        machine.markListedFailed();
     }
 
     /** Records the decision to return the machine to the cloud: no more tasks are started on it. */
-    public void scaleIn(Machine machine, Decision why) {
-        if (why.reason() == Decision.Reason.SETTLED_BY_RETURN) {
-            healthMonitor.returned(machine, context.now());
+    public void scaleIn(Machine machine, Decision decision) {
+        if (decision.reason() == Decision.Reason.SETTLED_BY_RETURN) {
+            healthMonitor.recordReturn(machine, context.now());
         }
         markLeaving(machine);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetContext.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetContext.java
@@ -10,10 +10,10 @@
 /**
  * The shared dependencies and times of the parts of a fleet.
  *
- * @param token    the fencing token under which this leader term began
- * @param leaseMs  time without an answer after which a worker has certainly killed its tasks, including clock drift and a
- *                 margin, in milliseconds
- * @param reportMs heartbeat interval of the workers, in milliseconds
+ * @param token               the fencing token under which this leader term began
+ * @param leaseMs             time without an answer after which a worker has certainly killed its tasks, including clock drift
+ *                            and a margin, in milliseconds
+ * @param heartbeatIntervalMs heartbeat interval of the workers, in milliseconds
  */
 record FleetContext(
         EventLoop loop,
@@ -25,11 +25,11 @@
         EventLog eventLog,
         Fleet.Events events,
         long leaseMs,
-        long reportMs) {
+        long heartbeatIntervalMs) {
     /** Factor for clock drift between controller and worker; the rates of clocks differ by at most 0.05 %. */
-    private static final double DRIFT = 1.002;
+    private static final double CLOCK_DRIFT_FACTOR = 1.002;
     /** Margin on the safe side: the answer that starts the lease here was written after the worker had sent its heartbeat. */
-    private static final long MARGIN_MS = 250;
+    private static final long LEASE_MARGIN_MS = 250;
 
     static FleetContext of(FleetParameters parameters, Fleet.Events events) {
         return new FleetContext(
@@ -41,7 +41,7 @@
                 parameters.incidents(),
                 parameters.eventLog(),
                 events,
-                (long) (parameters.workers().leaseS() * 1000 * DRIFT) + MARGIN_MS,
+                (long) (parameters.workers().leaseS() * 1000 * CLOCK_DRIFT_FACTOR) + LEASE_MARGIN_MS,
                 Math.round(parameters.workers().reportS() * 1000));
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -11,12 +11,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private static final long TICK_MS = 500;
     /** If a tick is later than this, the whole process was paused. */
-    private static final long STOOD_STILL_MS = 1_000;
+    private static final long PROCESS_PAUSE_MS = 1_000;
 
     private final FleetContext context;
     private final Parts parts;
-    private final TokenRaiser tokens;
-    private long tickedAt;
+    private final TokenRaiser tokenRaiser;
+    private long lastTickAt;
     private boolean closed;
 
     /** The parts of the fleet that the cycle drives. */
@@ -33,15 +33,15 @@
     FleetCycle(FleetContext context, Parts parts) {
         this.context = context;
         this.parts = parts;
-        this.tokens = new TokenRaiser(context);
+        this.tokenRaiser = new TokenRaiser(context);
     }
 
     /** Starts the cycle with a first tick. */
     void start() {
         long now = context.now();
         parts.healthMonitor.listenFrom(now);
-        tickedAt = now;
-        tokens.start(now);
+        lastTickAt = now;
+        tokenRaiser.start(now);
         tick();
     }
 
@@ -55,33 +55,33 @@
             return;
         }
         long now = context.now();
-        checkStandstill(now);
-        tickedAt = now;
-        if (parts.unverifiedMachines.unreadableExpired(now)) {
+        checkProcessPause(now);
+        lastTickAt = now;
+        if (parts.unverifiedMachines.expireUnreadablePages(now)) {
             context.events().unreadableOver();
         }
         parts.healthMonitor.survey(parts.machines.all(), parts.tasks.anyBlocked(), now);
-        tokens.reset();
+        tokenRaiser.reset();
         for (Machine machine : parts.machines.snapshot()) {
-            visit(machine, now);
+            checkMachine(machine, now);
         }
-        parts.machines.forgetReturned(now);
-        tokens.raiseIfDue(now);
+        parts.machines.expireReturned(now);
+        tokenRaiser.raiseIfDue(now);
         context.loop().after(TICK_MS, this::tick);
     }
 
     /** After a pause of the process, heartbeats are missing for that reason, which is no evidence that machines are silent. */
-    private void checkStandstill(long now) {
-        long late = now - tickedAt - TICK_MS;
-        if (late > STOOD_STILL_MS) {
-            LOG.info("stood still for {} ms", late);
-            context.incidents().record("this controller stood still for " + late + " ms");
+    private void checkProcessPause(long now) {
+        long lateMs = now - lastTickAt - TICK_MS;
+        if (lateMs > PROCESS_PAUSE_MS) {
+            LOG.info("stood still for {} ms", lateMs);
+            context.incidents().record("this controller stood still for " + lateMs + " ms");
             parts.healthMonitor.listenFrom(now);
         }
     }
 
-    private void visit(Machine machine, long now) {
-        switch (parts.healthMonitor.judge(machine, now).action()) {
+    private void checkMachine(Machine machine, long now) {
+        switch (parts.healthMonitor.decide(machine, now).action()) {
             case PLACE -> parts.leaseExpiry.expire(machine);
             case ASK -> {
                 parts.probe.ask(machine);
@@ -91,11 +91,11 @@
             }
             default -> {}
         }
-        tokens.observe(machine, now);
+        tokenRaiser.observe(machine, now);
         // A machine whose lease expired is not probed until a heartbeat arrives: it may be gone for good.
         Incarnation incarnation = machine.incarnation();
         if (incarnation.restarted() && (machine.state() != Machine.State.LAPSED || incarnation.outdated() > 0)) {
-            tokens.observeRestarted(machine);
+            tokenRaiser.observeRestarted(machine);
             parts.probe.ask(machine);
         }
         parts.dispatcher.call(machine);
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -16,52 +16,52 @@
 /** Gathers the evidence about machines, twice a second for all of them, and passes it to {@link Reconciliation}. */
 final class HealthMonitor {
     /** Share of the heartbeat interval by which a worker may send a heartbeat late. */
-    private static final double REPORT_SLACK = 0.25;
+    private static final double HEARTBEAT_SLACK_SHARE = 0.25;
     /** Time allowed for the transfer of a heartbeat. */
-    private static final long TRANSFER_MS = 1_500;
+    private static final long HEARTBEAT_TRANSFER_MS = 1_500;
     /** Once at most this number of machines is unverified after an election, each is probed without waiting an interval. */
-    private static final int FEW = 12;
+    private static final int FEW_MACHINES = 12;
     /** The same limit as a share: one in this number of the machines that were unverified at the election. */
-    private static final int FEW_SHARE = 8;
+    private static final int FEW_MACHINES_DIVISOR = 8;
     /** Most first heartbeats have arrived if no machine was verified for this long. */
-    private static final long LULL_MS = 400;
+    private static final long FIRST_HEARTBEATS_LULL_MS = 400;
     /** Number of unanswered calls after which a silent machine counts as unresponsive. */
-    private static final int ASKED = 2;
+    private static final int UNANSWERED_CALLS_LIMIT = 2;
     /** A machine is not returned to the cloud for its tasks if its lease expires within this time. */
-    private static final long LEAST_GAIN_MS = 5_000;
+    private static final long MIN_RETURN_GAIN_MS = 5_000;
 
     /** Numbers of machines of one zone, as of the last survey. */
-    private static final class Zone {
-        private int all;
+    private static final class ZoneCounts {
+        private int expected;
         private int silent;
         /** Returned to the cloud within the last lease because they were silent: they still count towards a partition. */
         private int returned;
     }
 
-    private record Return(long at, String zone) {}
+    private record RecentReturn(long at, String zone) {}
 
     private final FleetContext context;
     private final UnverifiedMachines unverifiedMachines;
-    private final BootTimes boots;
+    private final BootTimes bootTimes;
     private final long bootMarginMs;
-    private final double silentShare;
-    private final Map<String, Zone> zones = new HashMap<>();
-    private final Deque<Return> returns = new ArrayDeque<>();
+    private final double silentShareLimit;
+    private final Map<String, ZoneCounts> countsByZone = new HashMap<>();
+    private final Deque<RecentReturn> recentReturns = new ArrayDeque<>();
     private long listeningSince;
-    private boolean awaited;
-    private Set<String> cutOff = Set.of();
+    private boolean earlierTasksBlocked;
+    private Set<String> partitionedZones = Set.of();
 
     HealthMonitor(
             FleetContext context,
             UnverifiedMachines unverifiedMachines,
-            BootTimes boots,
+            BootTimes bootTimes,
             long bootMarginMs,
-            double silentShare) {
+            double silentShareLimit) {
         this.context = context;
         this.unverifiedMachines = unverifiedMachines;
-        this.boots = boots;
+        this.bootTimes = bootTimes;
         this.bootMarginMs = bootMarginMs;
-        this.silentShare = silentShare;
+        this.silentShareLimit = silentShareLimit;
     }
 
     /** Sets the time from which missing heartbeats count: the start of the leader term, or the end of a process pause. */
@@ -70,17 +70,17 @@
     }
 
     /** Emits an event for each zone in which a partition has become likely, so its machines are left to their leases. */
-    private void reportCuts() {
-        Set<String> silentZones = new TreeSet<>();
-        zones.forEach((name, z) -> {
-            if (z.silent > 1 && crowd(name)) {
-                silentZones.add(name);
-                if (!cutOff.contains(name)) {
-                    context.eventLog().emit("cut_off", "zone", name, "silent", z.silent, "of", z.all);
+    private void reportPartitions() {
+        Set<String> nowPartitioned = new TreeSet<>();
+        countsByZone.forEach((zone, counts) -> {
+            if (counts.silent > 1 && partitionLikely(zone)) {
+                nowPartitioned.add(zone);
+                if (!partitionedZones.contains(zone)) {
+                    context.eventLog().emit("cut_off", "zone", zone, "silent", counts.silent, "of", counts.expected);
                 }
             }
         });
-        cutOff = silentZones;
+        partitionedZones = nowPartitioned;
     }
 
     /**
@@ -89,31 +89,31 @@
      * @param blocked true if tasks of earlier leaders wait for unverified machines
      */
     void survey(Iterable<Machine> machines, boolean blocked, long now) {
-        awaited = blocked;
-        zones.clear();
-        while (!returns.isEmpty() && now - returns.peekFirst().at > context.leaseMs()) {
-            returns.removeFirst();
+        earlierTasksBlocked = blocked;
+        countsByZone.clear();
+        while (!recentReturns.isEmpty() && now - recentReturns.peekFirst().at > context.leaseMs()) {
+            recentReturns.removeFirst();
         }
-        returns.forEach(r -> zone(r.zone).returned++);
+        recentReturns.forEach(r -> countsOf(r.zone).returned++);
         for (Machine machine : machines) {
-            if (machine.expected()) {
-                Zone z = zone(machine.zone());
-                z.all++;
-                z.silent += silent(machine, now) ? 1 : 0;
+            if (machine.heartbeatsExpected()) {
+                ZoneCounts counts = countsOf(machine.zone());
+                counts.expected++;
+                counts.silent += heartbeatOverdue(machine, now) ? 1 : 0;
             }
         }
-        reportCuts();
+        reportPartitions();
     }
 
-    private Zone zone(String name) {
-        return zones.computeIfAbsent(name, z -> new Zone());
+    private ZoneCounts countsOf(String zone) {
+        return countsByZone.computeIfAbsent(zone, counts -> new ZoneCounts());
     }
 
     /** Records that the machine is being returned to the cloud because it is silent. */
-    void returned(Machine machine, long now) {
-        returns.addLast(new Return(now, machine.zone()));
-        zone(machine.zone()).returned++;
-        zone(machine.zone()).silent--;
+    void recordReturn(Machine machine, long now) {
+        recentReturns.addLast(new RecentReturn(now, machine.zone()));
+        countsOf(machine.zone()).returned++;
+        countsOf(machine.zone()).silent--;
         context.metrics().settled.increment();
         long silentMs = now - machine.lease().answeredAt();
         context.eventLog()
@@ -134,47 +134,51 @@
         return machine.lease().answeredAt() + context.leaseMs();
     }
 
-    Decision judge(Machine machine, long now) {
-        boolean mayHold = machine.state() == Machine.State.UP
+    Decision decide(Machine machine, long now) {
+        boolean mayHoldTasks = machine.state() == Machine.State.UP
                 || machine.unverified()
                 || !machine.attempts().isEmpty();
-        RegistryRow row = !mayHold
+        RegistryRow row = !mayHoldTasks
                 ? RegistryRow.NO_ADDRESS
                 : machine.registered() || machine.unverified()
                         ? RegistryRow.ADDRESS_STORED
                         : RegistryRow.ADDRESS_UNSTORED;
-        TokenSeen word = !machine.contact().everHeard()
+        TokenSeen tokenSeen = !machine.contact().everHeard()
                 ? TokenSeen.NONE
                 : machine.fenced() ? TokenSeen.CURRENT : TokenSeen.OLDER;
         return Reconciliation.machine(new MachineEvidence(
                 row,
-                word,
+                tokenSeen,
                 machine.listedFailed(),
                 machine.state() == Machine.State.LEAVING,
                 now > leaseEnds(machine),
-                silent(machine, now),
-                machine.calls().unanswered() >= ASKED,
-                overdue(machine, now),
+                heartbeatOverdue(machine, now),
+                machine.calls().unanswered() >= UNANSWERED_CALLS_LIMIT,
+                bootOverdue(machine, now),
                 machine.failures().faulty() && !machine.hasLive() && machine.state() == Machine.State.UP,
-                crowd(machine.zone()),
-                worth(machine, now)));
+                partitionLikely(machine.zone()),
+                returnSaves(machine, now)));
     }
 
-    private boolean silent(Machine machine, long now) {
-        long reportMs = context.reportMs();
+    private boolean heartbeatOverdue(Machine machine, long now) {
+        long heartbeatIntervalMs = context.heartbeatIntervalMs();
         if (machine.contact().everHeard()) {
             return now - Math.max(machine.contact().heardAt(), listeningSince)
-                    > reportMs * (1 + REPORT_SLACK) + TRANSFER_MS;
+                    > heartbeatIntervalMs * (1 + HEARTBEAT_SLACK_SHARE) + HEARTBEAT_TRANSFER_MS;
         }
-        boolean few = unverifiedMachines.left() <= Math.max(FEW, unverifiedMachines.asked() / FEW_SHARE)
-                || now - unverifiedMachines.lastAt() > LULL_MS;
+        boolean fewLeft = unverifiedMachines.left()
+                        <= Math.max(FEW_MACHINES, unverifiedMachines.initialCount() / FEW_MACHINES_DIVISOR)
+                || now - unverifiedMachines.lastChangeAt() > FIRST_HEARTBEATS_LULL_MS;
         return !machine.unverified()
-                || now - listeningSince > (few ? TRANSFER_MS : reportMs * (1 + REPORT_SLACK) + TRANSFER_MS);
+                || now - listeningSince
+                        > (fewLeft
+                                ? HEARTBEAT_TRANSFER_MS
+                                : heartbeatIntervalMs * (1 + HEARTBEAT_SLACK_SHARE) + HEARTBEAT_TRANSFER_MS);
     }
 
-    private boolean overdue(Machine machine, long now) {
+    private boolean bootOverdue(Machine machine, long now) {
         return switch (machine.state()) {
-            case BOOTING -> now - machine.appearedAt() > boots.usualMostMs(machine, now) + bootMarginMs;
+            case BOOTING -> now - machine.addedAt() > bootTimes.usualMaxMs(machine, now) + bootMarginMs;
             case LAPSED -> now - machine.lease().answeredAt() > context.leaseMs() + bootMarginMs;
             default -> false;
         };
@@ -184,15 +188,17 @@
      * Returns true if so large a share of the zone's machines is silent that a partition is likelier than single losses. A
      * single silent machine is not enough, unless the share is 0.
      */
-    private boolean crowd(String name) {
-        Zone z = zone(name);
-        return silentShare <= 0 || z.silent + z.returned > Math.max(1, silentShare * (z.all + z.returned));
+    private boolean partitionLikely(String zone) {
+        ZoneCounts counts = countsOf(zone);
+        return silentShareLimit <= 0
+                || counts.silent + counts.returned
+                        > Math.max(1, silentShareLimit * (counts.expected + counts.returned));
     }
 
-    private boolean worth(Machine machine, long now) {
+    private boolean returnSaves(Machine machine, long now) {
         // A return that cannot be stored now would be carried out later, when the machine may have recovered.
-        return leaseEnds(machine) - now > LEAST_GAIN_MS
+        return leaseEnds(machine) - now > MIN_RETURN_GAIN_MS
                 && context.leadership().state() == Leadership.State.LEADING
-                && (machine.hasLive() || (machine.unverified() && awaited));
+                && (machine.hasLive() || (machine.unverified() && earlierTasksBlocked));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns true if a heartbeat with this token can be distinguished from those of earlier incarnations. */
-    boolean showable(long leaderToken) {
+    boolean isDistinguishedBy(long leaderToken) {
         return leaderToken > tokenFloor;
     }
 
@@ -108,8 +108,8 @@
     }
 
     /** Records that the worker has begun a session. */
-    void beginSession(long next) {
-        session = next;
+    void beginSession(long newSession) {
+        session = newSession;
     }
 
     /** Takes over the sequence number and the token of an accepted heartbeat. */
@@ -118,10 +118,10 @@
         token = heartbeat.token();
     }
 
-    private void to(State next) {
-        if (next == state) {
-            throw new IllegalStateException(state + " -> " + next);
+    private void to(State newSession) {
+        if (newSession == state) {
+            throw new IllegalStateException(state + " -> " + newSession);
         }
-        state = next;
+        state = newSession;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -23,8 +23,8 @@
         // This includes machines that have sent no heartbeat to this leader: while such a machine counted as booting,
         // no
         // replacement was rented.
-        if (machine.expected()) {
-            lapse(machine);
+        if (machine.heartbeatsExpected()) {
+            markLapsed(machine);
         }
         unverifiedMachines.accounted(machine);
         if (machine.registered()) {
@@ -36,7 +36,7 @@
         context.events().changed();
     }
 
-    private void lapse(Machine machine) {
+    private void markLapsed(Machine machine) {
         int live = machine.live();
         LOG.info("{} is silent: its lease has run out", machine.id());
         context.metrics().lapses.increment();
@@ -58,7 +58,7 @@
 
     private void deregister(Machine machine) {
         // The machine holds nothing now; its row must be written again before it is given tasks.
-        machine.deregister();
+        machine.markUnregistered();
         machine.contact().restore();
         Http.Exchange parked = machine.contact().unpark();
         if (parked != null) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -25,7 +25,7 @@
     private final MachineType kind;
     private final String zone;
     private final boolean spot;
-    private final long appearedAt;
+    private final long addedAt;
     private final Contact contact = new Contact();
     private final Incarnation incarnation = new Incarnation();
     private final WorkerLease lease;
@@ -60,7 +60,7 @@
         this.kind = kind;
         this.zone = zone;
         this.spot = spot;
-        this.appearedAt = now;
+        this.addedAt = now;
         this.lease = new WorkerLease(now);
         this.idleSince = now;
     }
@@ -122,8 +122,8 @@
         return address;
     }
 
-    void address(String known) {
-        address = known;
+    void address(String newAddress) {
+        address = newAddress;
     }
 
     Contact contact() {
@@ -159,7 +159,7 @@
     }
 
     /** Returns true if heartbeats are expected: the machine is up, or it sent heartbeats to an earlier leader. */
-    boolean expected() {
+    boolean heartbeatsExpected() {
         return up() || (unverified && state == State.BOOTING);
     }
 
@@ -167,12 +167,12 @@
         return registered;
     }
 
-    void register() {
+    void markRegistered() {
         registered = true;
     }
 
     /** Records that the machine holds nothing; its row must be written again before it is given tasks. */
-    void deregister() {
+    void markUnregistered() {
         registered = false;
     }
 
@@ -193,8 +193,8 @@
         return unverified;
     }
 
-    void unverified(boolean holdsPossibly) {
-        unverified = holdsPossibly;
+    void unverified(boolean mayHoldTasks) {
+        unverified = mayHoldTasks;
     }
 
     boolean awaitingBoot() {
@@ -214,7 +214,7 @@
         return listedFailed;
     }
 
-    void listFailed() {
+    void markListedFailed() {
         listedFailed = true;
     }
 
@@ -222,8 +222,8 @@
         return noticeS;
     }
 
-    long appearedAt() {
-        return appearedAt;
+    long addedAt() {
+        return addedAt;
     }
 
     long idleSince() {
@@ -244,7 +244,7 @@
     }
 
     /** Returns true if the machine may be given tasks, so its row in the registry must contain its address. */
-    boolean mayHold() {
+    boolean mayHoldTasks() {
         return address != null && state != State.BOOTING && state != State.LAPSED;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -7,29 +7,29 @@
 /** Probes silent machines: a call without commands shows them the fencing token, and the answer lists their tasks. */
 final class MachineProbe {
     /** Pause after an unanswered probe, before the machine is probed again. */
-    private static final long PAUSE_MS = 400;
+    private static final long RETRY_PAUSE_MS = 400;
     /** Limit of immediate retries for a machine that answers without showing the token. */
-    private static final int MOST_RETRIES = 3;
+    private static final int MAX_RETRIES = 3;
     /** Concurrent probes use at most one in this number of the connections. */
-    private static final int PROBE_SHARE = 16;
+    private static final int CONNECTIONS_PER_PROBE = 16;
     /** Lower bound of the limit of concurrent probes. */
-    private static final int LEAST_PROBES = 12;
+    private static final int MIN_CONCURRENT_PROBES = 12;
 
     private final FleetContext context;
-    private final HeartbeatHandler heartbeats;
+    private final HeartbeatHandler heartbeatHandler;
     /**
      * Limit of concurrent probes. After a failover every worker sends a heartbeat within one or two intervals, and answering
      * those heartbeats keeps leases from expiring; so only machines that stay silent are probed, and only a few at a time.
      */
-    private final int mostProbes;
+    private final int maxConcurrentProbes;
 
-    private int probes;
+    private int probesInFlight;
     private boolean closed;
 
-    MachineProbe(FleetContext context, HeartbeatHandler heartbeats, int maxConnections) {
+    MachineProbe(FleetContext context, HeartbeatHandler heartbeatHandler, int maxConnections) {
         this.context = context;
-        this.heartbeats = heartbeats;
-        this.mostProbes = Math.max(LEAST_PROBES, maxConnections / PROBE_SHARE);
+        this.heartbeatHandler = heartbeatHandler;
+        this.maxConcurrentProbes = Math.max(MIN_CONCURRENT_PROBES, maxConnections / CONNECTIONS_PER_PROBE);
     }
 
     /** Sends no more probes, and ignores answers that are still outstanding. */
@@ -47,28 +47,28 @@
                 || machine.address() == null
                 || !machine.calls().probeDue(context.now())
                 || !context.leadership().mayAct()
-                || retries > MOST_RETRIES
-                || probes >= mostProbes) {
+                || retries > MAX_RETRIES
+                || probesInFlight >= maxConcurrentProbes) {
             return;
         }
         machine.calls().begin();
-        probes++;
+        probesInFlight++;
         long session = machine.incarnation().session();
         long seq = machine.incarnation().seq();
         byte[] body = new Commands().direct(context.leadership().token(), Math.max(1, session));
         context.http().call(machine.address(), "POST", "/commands", body, CommandDispatcher.CALL_MS, reply -> {
             machine.calls().end();
-            probes--;
+            probesInFlight--;
             if (closed) {
                 return;
             }
             if (reply.outcome() != Http.Outcome.ANSWERED) {
-                machine.calls().probeUnanswered(context.now() + PAUSE_MS);
+                machine.calls().probeUnanswered(context.now() + RETRY_PAUSE_MS);
                 return;
             }
-            Heartbeat heartbeat = heartbeats.read(machine, reply);
+            Heartbeat heartbeat = heartbeatHandler.read(machine, reply);
             if (heartbeat != null) {
-                heartbeats.mergeAnswer(machine, heartbeat, session, seq);
+                heartbeatHandler.mergeAnswer(machine, heartbeat, session, seq);
                 machine.heard(context.now());
                 // A restarted worker must see the next token, which has not been raised yet: a retry would not help.
                 if (!machine.fenced() && !machine.incarnation().restarted()) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -31,68 +31,69 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
     /** Field of a page that lists image names; machines' rows refer to them by one digit each. */
-    private static final String IMAGES = "images";
+    private static final String IMAGES_FIELD = "images";
 
     private static final int MAX_IMAGES = 36;
-    private static final int MAX_IMAGE_NAME = 24;
+    private static final int MAX_IMAGE_NAME_LENGTH = 24;
     /** Share of the value size limit that rows may fill; the rest is reserved for image names added later. */
-    private static final double FILL = 0.85;
+    private static final double FILL_SHARE = 0.85;
     /** Size of a row without its texts but with its image digits, in bytes. */
-    private static final int ROW = 24;
+    private static final int ROW_OVERHEAD_BYTES = 24;
     /** Assumed length of an address that is not known yet, in bytes. */
-    private static final int ADDRESS = 22;
+    private static final int ASSUMED_ADDRESS_BYTES = 22;
     /** Write priority of a page whose write makes machines usable. */
-    private static final int USABLE = 2;
+    private static final int URGENT_RANK = 2;
     /** Write priority of every other page. */
-    private static final int LATER = 6;
+    private static final int NORMAL_RANK = 6;
 
     private final BatchWriter writer;
-    private final RegistryHooks fleet;
+    private final RegistryHooks hooks;
     private final MachineTable machines;
     private final int valueBytes;
     private final PageTable<MachinePage> pages;
     /** Keys of unreadable pages; they are not written until the leases of their machines have expired. */
-    private final Set<String> quarantined = new LinkedHashSet<>();
+    private final Set<String> unreadableKeys = new LinkedHashSet<>();
 
     /** @param valueBytes size limit of a value in the state service, in bytes */
     public MachineRegistry(String root, BatchWriter writer, Fleet fleet, int valueBytes) {
         this.writer = writer;
-        this.fleet = fleet.registryHooks();
-        this.machines = this.fleet.machines();
+        this.hooks = fleet.registryHooks();
+        this.machines = this.hooks.machines();
         this.valueBytes = valueBytes;
-        this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL), MachinePage::new, writer);
+        this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL_SHARE), MachinePage::new, writer);
     }
 
     /**
      * Takes over a page from the state service.
      *
-     * @param at       time on the loop's clock at which this process first read the page in this form
-     * @param previous token under which the previous leader term began; silences stored under another token are ignored,
-     *                 since a later leader may have answered those machines
+     * @param seenAt        time on the loop's clock at which this process first read the page in this form
+     * @param previousToken token under which the previous leader term began; silences stored under another token are ignored,
+     *                      since a later leader may have answered those machines
      */
-    public void takeOver(String key, JsonNode value, long at, long previous) {
-        String wrong = wrong(value);
-        if (wrong != null) {
+    public void takeOver(String key, JsonNode value, long seenAt, long previousToken) {
+        String defect = findDefect(value);
+        if (defect != null) {
             // If the page were treated as empty, tasks that run on its machines would be started a second time
             // elsewhere.
-            LOG.error("{} cannot be read ({}): until a lease is over its machines may hold anything", key, wrong);
-            quarantined.add(key);
+            LOG.error("{} cannot be read ({}): until a lease is over its machines may hold anything", key, defect);
+            unreadableKeys.add(key);
             pages.reserve(key);
-            fleet.unreadable();
+            hooks.recordUnreadablePage();
             return;
         }
         MachinePage page = pages.open(key);
-        JsonNode images = value.path(IMAGES);
+        JsonNode imageNames = value.path(IMAGES_FIELD);
         value.properties().forEach(field -> {
-            if (!field.getKey().equals(IMAGES)) {
-                takeOver(field.getKey(), MachineRow.read(field.getValue()), page, images, at, previous);
+            if (!field.getKey().equals(IMAGES_FIELD)) {
+                takeOver(field.getKey(), MachineRow.read(field.getValue()), page, imageNames, seenAt, previousToken);
             }
         });
     }
 
-    private void takeOver(String id, MachineRow row, MachinePage page, JsonNode images, long at, long previous) {
-        MachinePage other = pages.of(id);
-        if (other != null) {
+    private void takeOver(
+            String id, MachineRow row, MachinePage page, JsonNode imageNames, long seenAt, long previousToken) {
+        MachinePage otherPage = pages.of(id);
+        if (otherPage != null) {
             // A leader stopped between the two writes of a page split, so the machine is in two pages. It may hold
             // tasks
             // if either row has an address.
@@ -102,22 +103,22 @@
             }
         }
         Machine machine = machines.addRegistered(
-                id, row.address(), row.type(), row.zone(), row.spot(), row.silentSince(at, previous));
-        pages.put(id, size(machine), other == null ? page : other);
+                id, row.address(), row.type(), row.zone(), row.spot(), row.silentSince(seenAt, previousToken));
+        pages.put(id, rowBytes(machine), otherPage == null ? page : otherPage);
         for (char digit : row.images().toCharArray()) {
-            machine.used(Json.text(images, Character.digit(digit, MAX_IMAGES)));
+            machine.used(Json.text(imageNames, Character.digit(digit, MAX_IMAGES)));
         }
     }
 
     /** Returns the reason why a page is unreadable, or null if it is readable. */
-    private String wrong(JsonNode value) {
+    private String findDefect(JsonNode value) {
         if (!value.isObject()) {
             return "not an object";
         }
         for (Map.Entry<String, JsonNode> field : value.properties()) {
-            boolean readable = field.getKey().equals(IMAGES)
+            boolean readable = field.getKey().equals(IMAGES_FIELD)
                     ? field.getValue().isArray()
-                    : MachineRow.readable(field.getValue(), machines::knowsType);
+                    : MachineRow.isReadable(field.getValue(), machines::knowsType);
             if (!readable) {
                 return "row " + field.getKey();
             }
@@ -127,10 +128,10 @@
 
     /** Deletes the unreadable pages, once the leases of their machines have expired. */
     public void dropUnreadable() {
-        for (String key : quarantined) {
+        for (String key : unreadableKeys) {
             writer.mark(pages.open(key));
         }
-        quarantined.clear();
+        unreadableKeys.clear();
     }
 
     /** Splits pages that exceed the present size limit. */
@@ -140,7 +141,7 @@
 
     /** Adds or updates the machine's row and schedules a write of its page. */
     public void add(Machine machine) {
-        writer.mark(pages.put(machine.id(), size(machine)));
+        writer.mark(pages.put(machine.id(), rowBytes(machine)));
     }
 
     /** Removes the row of a machine that is gone. */
@@ -152,22 +153,22 @@
     }
 
     /** Returns the size assumed for the machine's row, in bytes. */
-    private static int size(Machine machine) {
+    private static int rowBytes(Machine machine) {
         String address = machine.address();
-        return ROW
+        return ROW_OVERHEAD_BYTES
                 + machine.id().length()
                 + machine.type().length()
                 + machine.zone().length()
-                + (address == null ? ADDRESS : address.length());
+                + (address == null ? ASSUMED_ADDRESS_BYTES : address.length());
     }
 
     private final class MachinePage extends Page {
         /** Machines whose row has an address in the latest rendering. */
-        private List<String> holding = List.of();
+        private List<String> idsWithAddress = List.of();
         /** Machines whose row in the latest rendering no longer stores a silence. */
-        private List<String> resuming = List.of();
+        private List<String> resumingIds = List.of();
         /** Machines whose silence is stored for the first time by the latest rendering. */
-        private List<Machine> silenced = List.of();
+        private List<Machine> newlySilent = List.of();
 
         MachinePage(String key) {
             super(key);
@@ -176,66 +177,67 @@
         @Override
         public JsonNode render() {
             if (names().isEmpty()) {
-                holding = List.of();
-                resuming = List.of();
+                idsWithAddress = List.of();
+                resumingIds = List.of();
                 return null;
             }
             // If the result of the previous write is unknown, its silences may be stored, so they stay marked as
             // stored.
-            silenced = new ArrayList<>();
+            newlySilent = new ArrayList<>();
             ObjectNode page = render(true);
             // The images are a hint; they are left out when the page would exceed the size limit.
             return Json.bytes(page).length <= valueBytes ? page : render(false);
         }
 
-        private ObjectNode render(boolean hints) {
-            holding = new ArrayList<>();
-            resuming = new ArrayList<>();
+        private ObjectNode render(boolean withImages) {
+            idsWithAddress = new ArrayList<>();
+            resumingIds = new ArrayList<>();
             ObjectNode page = Json.object();
-            Map<String, Integer> images = new LinkedHashMap<>();
+            Map<String, Integer> indexByImage = new LinkedHashMap<>();
             for (String id : names()) {
                 Machine machine = machines.get(id);
                 if (machine != null) {
-                    row(machine, hints ? digits(machine, images) : "").write(page.putArray(id));
+                    row(machine, withImages ? imageDigits(machine, indexByImage) : "")
+                            .write(page.putArray(id));
                 }
             }
-            ArrayNode names = page.putArray(IMAGES);
-            images.keySet().forEach(names::add);
+            ArrayNode imageNames = page.putArray(IMAGES_FIELD);
+            indexByImage.keySet().forEach(imageNames::add);
             return page;
         }
 
-        private MachineRow row(Machine machine, String images) {
-            boolean holds = machine.mayHold() || machine.unverified();
+        private MachineRow row(Machine machine, String imageDigits) {
+            boolean mayHoldTasks = machine.mayHoldTasks() || machine.unverified();
             long silentMs = MachineRow.NOT_SILENT;
-            if (machine.contact().state() == Contact.State.SUSPENDED && holds) {
-                silentMs = fleet.silentMs(machine);
+            if (machine.contact().state() == Contact.State.SUSPENDED && mayHoldTasks) {
+                silentMs = hooks.silentMs(machine);
                 if (!machine.contact().silenceStored()) {
                     machine.contact().silenceStored(true);
-                    silenced.add(machine);
+                    newlySilent.add(machine);
                 }
             } else if (machine.contact().state() == Contact.State.RESUMING) {
-                resuming.add(machine.id());
+                resumingIds.add(machine.id());
             }
-            if (holds) {
-                holding.add(machine.id());
+            if (mayHoldTasks) {
+                idsWithAddress.add(machine.id());
             }
             return new MachineRow(
-                    holds ? machine.address() : null,
+                    mayHoldTasks ? machine.address() : null,
                     machine.type(),
                     machine.zone(),
                     machine.spot(),
-                    images,
+                    imageDigits,
                     silentMs,
-                    fleet.token());
+                    hooks.token());
         }
 
-        private static String digits(Machine machine, Map<String, Integer> images) {
+        private static String imageDigits(Machine machine, Map<String, Integer> indexByImage) {
             StringBuilder digits = new StringBuilder();
             for (String image : machine.images()) {
-                Integer index = images.get(image);
-                if (index == null && images.size() < MAX_IMAGES && image.length() <= MAX_IMAGE_NAME) {
-                    index = images.size();
-                    images.put(image, index);
+                Integer index = indexByImage.get(image);
+                if (index == null && indexByImage.size() < MAX_IMAGES && image.length() <= MAX_IMAGE_NAME_LENGTH) {
+                    index = indexByImage.size();
+                    indexByImage.put(image, index);
                 }
                 if (index != null) {
                     digits.append(Character.forDigit(index, MAX_IMAGES));
@@ -247,29 +249,29 @@
         @Override
         public void stored(long revision) {
             super.stored(revision);
-            for (String id : holding) {
+            for (String id : idsWithAddress) {
                 Machine machine = machines.get(id);
-                if (machine != null && !machine.registered() && machine.mayHold()) {
-                    fleet.registered(machine);
+                if (machine != null && !machine.registered() && machine.mayHoldTasks()) {
+                    hooks.markRegistered(machine);
                 }
             }
-            for (String id : resuming) {
+            for (String id : resumingIds) {
                 Machine machine = machines.get(id);
                 if (machine != null && machine.contact().state() == Contact.State.RESUMING) {
-                    fleet.resume(machine);
+                    hooks.resume(machine);
                 }
             }
         }
 
         @Override
         public void refused() {
-            silenced.forEach(machine -> machine.contact().silenceStored(false));
-            silenced = List.of();
+            newlySilent.forEach(machine -> machine.contact().silenceStored(false));
+            newlySilent = List.of();
         }
 
         /** Returns true if starts or heartbeat answers wait for the machine's row to be stored. */
         private static boolean awaitsRow(Machine machine) {
-            boolean startsWait = !machine.registered() && machine.mayHold();
+            boolean startsWait = !machine.registered() && machine.mayHoldTasks();
             return startsWait || machine.contact().state() != Contact.State.ANSWERED;
         }
 
@@ -278,10 +280,10 @@
             for (String id : names()) {
                 Machine machine = machines.get(id);
                 if (machine != null && awaitsRow(machine)) {
-                    return USABLE;
+                    return URGENT_RANK;
                 }
             }
-            return LATER;
+            return NORMAL_RANK;
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRow.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRow.java
@@ -30,19 +30,19 @@
     private static final int SILENT_MS = 5;
     private static final int SILENCE_TOKEN = 6;
     /** Rows written by earlier versions have no images. */
-    private static final int LEAST_VALUES = 4;
+    private static final int MIN_VALUES = 4;
 
     /** Returns true if the value can be read as a row. */
-    static boolean readable(JsonNode row, Predicate<String> knownType) {
+    static boolean isReadable(JsonNode row, Predicate<String> knownType) {
         return row.isArray()
-                && row.size() >= LEAST_VALUES
+                && row.size() >= MIN_VALUES
                 && (row.get(ADDRESS).isNull() || row.get(ADDRESS).isTextual())
                 && knownType.test(row.get(TYPE).asText())
                 && row.get(ZONE).isTextual()
                 && row.get(SPOT).isNumber();
     }
 
-    /** Reads a row for which {@link #readable} is true. */
+    /** Reads a row for which {@link #isReadable} is true. */
     static MachineRow read(JsonNode row) {
         JsonNode address = row.path(ADDRESS);
         JsonNode silence = row.path(SILENT_MS);
@@ -67,11 +67,11 @@
     /**
      * Returns the time since which no leader can have answered the machine, or {@link Long#MAX_VALUE} if it is unknown.
      *
-     * @param at       time on the loop's clock at which this process first read the row in this form
-     * @param previous token of the previous leader; a silence stored under another token is ignored, since a later leader
-     *                 may have answered the machine
+     * @param seenAt        time on the loop's clock at which this process first read the row in this form
+     * @param previousToken token of the previous leader; a silence stored under another token is ignored, since a later leader
+     *                      may have answered the machine
      */
-    long silentSince(long at, long previous) {
-        return silentMs != NOT_SILENT && silenceToken == previous ? at - silentMs : Long.MAX_VALUE;
+    long silentSince(long seenAt, long previousToken) {
+        return silentMs != NOT_SILENT && silenceToken == previousToken ? seenAt - silentMs : Long.MAX_VALUE;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -9,18 +9,19 @@
 /** The machines that are or may be rented, in the order of their addition, and the recently returned ones. */
 final class MachineTable {
     /** Retention time of the identifiers of returned machines: lists of the cloud lag, and heartbeats may be minutes late. */
-    private static final long RETURNED_MS = 900_000;
+    private static final long RETURNED_RETENTION_MS = 900_000;
 
     private final FleetContext context;
-    private final Function<String, MachineType> types;
+    private final Function<String, MachineType> typeByName;
     private final UnverifiedMachines unverifiedMachines;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     /** Return times by machine identifier, oldest first. */
-    private final Map<String, Long> returned = new LinkedHashMap<>();
+    private final Map<String, Long> returnedAtById = new LinkedHashMap<>();
 
-    MachineTable(FleetContext context, Function<String, MachineType> types, UnverifiedMachines unverifiedMachines) {
+    MachineTable(
+            FleetContext context, Function<String, MachineType> typeByName, UnverifiedMachines unverifiedMachines) {
         this.context = context;
-        this.types = types;
+        this.typeByName = typeByName;
         this.unverifiedMachines = unverifiedMachines;
     }
 
@@ -42,12 +43,12 @@
     }
 
     boolean knowsType(String type) {
-        return types.apply(type) != null;
+        return typeByName.apply(type) != null;
     }
 
     /** Returns true if the machine was returned to the cloud within the last 15 minutes. */
     boolean wasReturned(String id) {
-        return returned.containsKey(id);
+        return returnedAtById.containsKey(id);
     }
 
     /**
@@ -56,9 +57,9 @@
      * @param silentSince time on the loop's clock since which no earlier leader has answered its heartbeats
      */
     Machine addRegistered(String id, String address, String type, String zone, boolean spot, long silentSince) {
-        Machine machine = new Machine(id, address, types.apply(type), zone, spot, context.now());
+        Machine machine = new Machine(id, address, typeByName.apply(type), zone, spot, context.now());
         if (address != null) {
-            machine.register();
+            machine.markRegistered();
             machine.lease().inherit(Math.min(silentSince, context.leadership().quiescentSince()));
             unverifiedMachines.add(machine);
         }
@@ -68,8 +69,8 @@
 
     /** Returns the machine, added if it is new; null if its type is unknown or it has been returned to the cloud. */
     Machine addIfAbsent(String id, String address, String type, String zone, boolean spot) {
-        MachineType kind = types.apply(type);
-        if (kind == null || returned.containsKey(id)) {
+        MachineType machineType = typeByName.apply(type);
+        if (machineType == null || returnedAtById.containsKey(id)) {
             return null;
         }
         Machine known = machines.get(id);
@@ -79,7 +80,7 @@
             }
             return known;
         }
-        Machine machine = new Machine(id, address, kind, zone, spot, context.now());
+        Machine machine = new Machine(id, address, machineType, zone, spot, context.now());
         machines.put(id, machine);
         context.events().registry(machine);
         return machine;
@@ -96,7 +97,7 @@
 
     /** Removes a machine that has been returned to the cloud; returns null if it was not known. */
     Machine remove(String id) {
-        returned.put(id, context.now());
+        returnedAtById.put(id, context.now());
         Machine machine = machines.remove(id);
         if (machine != null) {
             machine.to(Machine.State.GONE);
@@ -105,10 +106,10 @@
     }
 
     /** Drops the identifiers of returned machines whose retention time has expired. */
-    void forgetReturned(long now) {
-        Iterator<Long> times = returned.values().iterator();
-        while (times.hasNext() && now - times.next() > RETURNED_MS) {
-            times.remove();
+    void expireReturned(long now) {
+        Iterator<Long> returnTimes = returnedAtById.values().iterator();
+        while (returnTimes.hasNext() && now - returnTimes.next() > RETURNED_RETENTION_MS) {
+            returnTimes.remove();
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/RegistryHooks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/RegistryHooks.java
@@ -11,7 +11,7 @@
         UnverifiedMachines unverifiedMachines,
         HeartbeatEndpoint endpoint) {
     /** Records an unreadable registry page: until a lease has expired, unknown machines may hold any task. */
-    void unreadable() {
+    void recordUnreadablePage() {
         unverifiedMachines.unreadable(context.leadership().quiescentSince() + context.leaseMs());
     }
 
@@ -26,8 +26,8 @@
     }
 
     /** Records that the machine's row is stored with its address. */
-    void registered(Machine machine) {
-        machine.register();
+    void markRegistered(Machine machine) {
+        machine.markRegistered();
         context.events().changed();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -6,22 +6,22 @@
  */
 final class TokenRaiser {
     /** Time between two raises: each costs a write and a heartbeat of every machine. */
-    private static final long PAUSE_MS = 10_000;
+    private static final long MIN_INTERVAL_MS = 10_000;
     /** Time between two raises for restarted workers. */
-    private static final long PAUSE_RESTARTED_MS = 1_000;
+    private static final long MIN_INTERVAL_RESTARTED_MS = 1_000;
     /** Time after which the token is raised for ended attempts that are kept because a copy of their start could run again. */
-    private static final long PAUSE_KEPT_MS = 60_000;
+    private static final long MAX_KEPT_MS = 60_000;
     /** Number of kept attempts on one machine above which the token is raised sooner. */
-    private static final int MOST_KEPT = 100;
+    private static final int MAX_KEPT_ATTEMPTS = 100;
     /** Minimum time that a withdrawn start is given to arrive. */
-    private static final long LATE_START_MS = 3_000;
+    private static final long WITHDRAWN_START_WAIT_MS = 3_000;
 
     private final FleetContext context;
     private long raisedAt;
     /** A withdrawn start may still arrive at some machine. */
-    private boolean startsWithdrawn;
+    private boolean withdrawnStartsInFlight;
     /** Some restarted worker cannot be distinguished from its earlier incarnation under the present token. */
-    private boolean restartsHidden;
+    private boolean restartsIndistinguishable;
     /** Largest number of ended attempts on one machine that are kept until the token is raised. */
     private int kept;
 
@@ -36,28 +36,29 @@
 
     /** Clears the observations at the beginning of a tick. */
     void reset() {
-        startsWithdrawn = false;
-        restartsHidden = false;
+        withdrawnStartsInFlight = false;
+        restartsIndistinguishable = false;
         kept = 0;
     }
 
     /** Looks for starts and kept attempts on the machine that need a higher token. */
     void observe(Machine machine, long now) {
-        startsWithdrawn |= machine.up() && startWithdrawn(machine, now);
+        withdrawnStartsInFlight |= machine.up() && withdrawnStartMayArrive(machine, now);
         kept = Math.max(kept, kept(machine));
     }
 
     /** Observes a machine with a restarted worker, which may need a higher token. */
     void observeRestarted(Machine machine) {
-        restartsHidden |= !machine.incarnation().showable(context.leadership().token());
+        restartsIndistinguishable |=
+                !machine.incarnation().isDistinguishedBy(context.leadership().token());
     }
 
     /** Raises the token if the observations of the tick require it. */
     void raiseIfDue(long now) {
-        long since = now - raisedAt;
-        boolean due = ((startsWithdrawn || kept > MOST_KEPT) && since > PAUSE_MS)
-                || (kept > 0 && since > PAUSE_KEPT_MS)
-                || (restartsHidden && since > PAUSE_RESTARTED_MS);
+        long sinceRaiseMs = now - raisedAt;
+        boolean due = ((withdrawnStartsInFlight || kept > MAX_KEPT_ATTEMPTS) && sinceRaiseMs > MIN_INTERVAL_MS)
+                || (kept > 0 && sinceRaiseMs > MAX_KEPT_MS)
+                || (restartsIndistinguishable && sinceRaiseMs > MIN_INTERVAL_RESTARTED_MS);
         if (due) {
             raisedAt = now;
             context.leadership().raiseToken();
@@ -69,13 +70,13 @@
      * its attempt is to be stopped or has ended. It may arrive minutes late, for instance long after the job's cancellation;
      * only a higher token stops it.
      */
-    private boolean startWithdrawn(Machine machine, long now) {
+    private boolean withdrawnStartMayArrive(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
             boolean unwanted = attempt.stopWanted() || attempt.state() == Attempt.State.EXITED;
             if (unwanted
                     && attempt.startMayArrive()
                     && attempt.unansweredUnder() == context.leadership().token()
-                    && now - attempt.since() > LATE_START_MS) {
+                    && now - attempt.since() > WITHDRAWN_START_WAIT_MS) {
                 return true;
             }
         }
@@ -84,10 +85,10 @@
 
     /** Returns the number of ended attempts kept on the machine until it has seen a token above the present one. */
     private int kept(Machine machine) {
-        int sum = 0;
+        int count = 0;
         for (Attempt attempt : machine.attempts().values()) {
-            sum += attempt.keptUnder(context.leadership().token()) ? 1 : 0;
+            count += attempt.keptUnder(context.leadership().token()) ? 1 : 0;
         }
-        return sum;
+        return count;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -14,16 +14,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private final FleetContext context;
     private int left;
-    private int asked;
+    private int initialCount;
     /** Time of the last verification or addition. */
-    private long lastAt;
+    private long lastChangeAt;
     /** Numbers of unverified machines by the properties that a job can restrict. */
-    private final Map<Kind, Integer> kinds = new HashMap<>();
+    private final Map<MachineKind, Integer> countsByKind = new HashMap<>();
     /** Time until which the machines of unreadable registry pages may hold any task; negative if there are none. */
     private long unreadableUntil = -1;
 
-    private record Kind(String type, String zone, boolean spot) {
-        Kind(Machine machine) {
+    private record MachineKind(String type, String zone, boolean spot) {
+        MachineKind(Machine machine) {
             this(machine.type(), machine.zone(), machine.spot());
         }
 
@@ -40,17 +40,17 @@
 
     void add(Machine machine) {
         machine.unverified(true);
-        lastAt = context.loop().now();
+        lastChangeAt = context.loop().now();
         left++;
-        asked++;
-        kinds.merge(new Kind(machine), 1, Integer::sum);
+        initialCount++;
+        countsByKind.merge(new MachineKind(machine), 1, Integer::sum);
     }
 
     /** Records an unreadable registry page: its machines may hold any task until their leases expire at {@code until}. */
     void unreadable(long until) {
         if (unreadableUntil < 0) {
             left++;
-            asked++;
+            initialCount++;
         }
         unreadableUntil = Math.max(unreadableUntil, until);
     }
@@ -60,22 +60,22 @@
     }
 
     /** Returns true once, when the leases of the machines of unreadable pages have expired. */
-    boolean unreadableExpired(long now) {
+    boolean expireUnreadablePages(long now) {
         if (!unreadable() || now <= unreadableUntil) {
             return false;
         }
         unreadableUntil = -1;
-        oneLess();
+        decrement();
         return true;
     }
 
-    long lastAt() {
-        return lastAt;
+    long lastChangeAt() {
+        return lastChangeAt;
     }
 
     /** Returns the number of machines that had to be verified; all unreadable pages together count as one. */
-    int asked() {
-        return asked;
+    int initialCount() {
+        return initialCount;
     }
 
     /**
@@ -86,8 +86,8 @@
         if (unreadable()) {
             return true;
         }
-        for (Kind kind : kinds.keySet()) {
-            if (kind.allowedBy(spec)) {
+        for (MachineKind machineKind : countsByKind.keySet()) {
+            if (machineKind.allowedBy(spec)) {
                 return true;
             }
         }
@@ -102,16 +102,17 @@
     void accounted(Machine machine) {
         if (machine.unverified()) {
             machine.unverified(false);
-            kinds.computeIfPresent(new Kind(machine), (kind, count) -> count == 1 ? null : count - 1);
-            oneLess();
+            countsByKind.computeIfPresent(
+                    new MachineKind(machine), (machineKind, count) -> count == 1 ? null : count - 1);
+            decrement();
         }
     }
 
-    private void oneLess() {
+    private void decrement() {
         left--;
-        lastAt = context.loop().now();
+        lastChangeAt = context.loop().now();
         if (left == 0) {
-            LOG.info("reconciliation complete: machines={}", asked);
+            LOG.info("reconciliation complete: machines={}", initialCount);
         }
         context.events().changed();
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/WorkerLease.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/WorkerLease.java
@@ -8,7 +8,7 @@
     /** Latest time at which a heartbeat was or may have been answered. */
     private long answeredAt;
     /** Latest time at which an earlier leader may have answered a heartbeat, for a machine from the stored registry. */
-    private long earlierAnsweredAt;
+    private long earlierLeaderAnsweredAt;
 
     WorkerLease(long now) {
         answeredAt = now;
@@ -21,12 +21,12 @@
     /** Records that an earlier leader may have answered heartbeats until {@code latest}. */
     void inherit(long latest) {
         answeredAt = latest;
-        earlierAnsweredAt = latest;
+        earlierLeaderAnsweredAt = latest;
     }
 
     /** Disregards the answers of this leader, since none of them has reached the worker. */
     void revertToEarlierLeader() {
-        answeredAt = earlierAnsweredAt;
+        answeredAt = earlierLeaderAnsweredAt;
     }
 
     /** Records the answer to a heartbeat. */
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -25,7 +25,7 @@
 
     @Test
     @DisplayName("a heartbeat is newer by its session, and within one by its sequence number")
-    void newer() {
+    void heartbeatIsNewerBySessionThenBySequenceNumber() {
         assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "nothing is known");
         accept(heartbeat(2, 10, 5));
         assertTrue(incarnation.precedes(heartbeat(2, 11, 5)));
@@ -36,7 +36,7 @@
 
     @Test
     @DisplayName("once the lease is over nothing of the session counts")
-    void endSession() {
+    void heartbeatsOfEndedSessionAreIgnored() {
         accept(heartbeat(2, 10, 5));
         incarnation.endSession();
         assertFalse(incarnation.precedes(heartbeat(2, 99, 5)));
@@ -45,12 +45,12 @@
 
     @Test
     @DisplayName("after a restart only a higher token tells the worker from its earlier incarnation")
-    void restart() {
+    void afterRestartOnlyHigherTokenIdentifiesNewIncarnation() {
         accept(heartbeat(2, 10, 5));
         incarnation.restart(5);
         assertTrue(incarnation.follows(heartbeat(9, 99, 5)));
-        assertFalse(incarnation.showable(5));
-        assertTrue(incarnation.showable(6));
+        assertFalse(incarnation.isDistinguishedBy(5));
+        assertTrue(incarnation.isDistinguishedBy(6));
         assertFalse(incarnation.follows(heartbeat(1, 1, 6)));
         incarnation.begin();
         assertFalse(incarnation.restarted());
@@ -62,7 +62,7 @@
 
     @Test
     @DisplayName("a restart begins once and ends once")
-    void transitions() {
+    void restartBeginsAndEndsOnce() {
         assertThrows(IllegalStateException.class, incarnation::begin);
         incarnation.restart(1);
         assertThrows(IllegalStateException.class, () -> incarnation.restart(2));
--- a/controller/src/test/java/org/landingridge/controller/fleet/MachineRowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/MachineRowTest.java
@@ -19,8 +19,8 @@
         return Json.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static boolean readable(String text) {
-        return MachineRow.readable(json(text), "g8"::equals);
+    private static boolean isReadable(String text) {
+        return MachineRow.isReadable(json(text), "g8"::equals);
     }
 
     @ParameterizedTest
@@ -31,7 +31,7 @@
                 "[\"h:9\",\"g8\",\"a\",0,\"0\",1200,41]"
             })
     @DisplayName("a row is written as it was read, byte for byte")
-    void roundTrip(String text) {
+    void rowIsWrittenAsItWasRead(String text) {
         ArrayNode row = Json.array();
         MachineRow.read(json(text)).write(row);
         assertEquals(text, Json.text(row));
@@ -39,7 +39,7 @@
 
     @Test
     @DisplayName("a row of an earlier version has neither images nor a silence")
-    void shortRow() {
+    void rowOfEarlierVersionHasNoImagesAndNoSilence() {
         assertEquals(
                 new MachineRow("h:9", "g8", "a", true, "", MachineRow.NOT_SILENT, 0),
                 MachineRow.read(json("[\"h:9\",\"g8\",\"a\",1]")));
@@ -47,12 +47,12 @@
 
     @Test
     @DisplayName("a silence counts only as the last leader wrote it")
-    void silence() {
+    void silenceCountsOnlyUnderPreviousLeadersToken() {
         MachineRow row = MachineRow.read(json("[\"h:9\",\"g8\",\"a\",0,\"\",1200,41]"));
         assertEquals(8_800, row.silentSince(10_000, 41));
         assertEquals(Long.MAX_VALUE, row.silentSince(10_000, 42));
-        MachineRow heard = MachineRow.read(json("[\"h:9\",\"g8\",\"a\",0,\"\"]"));
-        assertEquals(Long.MAX_VALUE, heard.silentSince(10_000, 0));
+        MachineRow rowWithoutSilence = MachineRow.read(json("[\"h:9\",\"g8\",\"a\",0,\"\"]"));
+        assertEquals(Long.MAX_VALUE, rowWithoutSilence.silentSince(10_000, 0));
     }
 
     @ParameterizedTest
@@ -66,13 +66,13 @@
                 "[\"h:9\",\"g8\",\"a\",\"0\"]"
             })
     @DisplayName("a row of another form is not read")
-    void unreadable(String text) {
-        assertFalse(readable(text));
+    void malformedRowIsNotReadable(String text) {
+        assertFalse(isReadable(text));
     }
 
     @Test
     @DisplayName("a row of this form is read")
-    void readableRow() {
-        assertTrue(readable("[null,\"g8\",\"a\",0,\"\"]"));
+    void wellFormedRowIsReadable() {
+        assertTrue(isReadable("[null,\"g8\",\"a\",0,\"\"]"));
     }
 }
