--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -10,7 +10,7 @@
 final class FleetCycle {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private static final long TICK_MS = 500;
-    /** If a tick is later than this, the whole process was paused. */
+    /** Delay of a tick above which the whole process counts as paused. */
     private static final long PROCESS_PAUSE_MS = 1_000;
 
     private final FleetContext context;
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -21,7 +21,7 @@
     private static final long HEARTBEAT_TRANSFER_MS = 1_500;
     /** Once at most this number of machines is unverified after an election, each is probed without waiting an interval. */
     private static final int FEW_MACHINES = 12;
-    /** The same limit as a share: one in this number of the machines that were unverified at the election. */
+    /** The same limit for large fleets: one in this number of the machines that were unverified at the election. */
     private static final int FEW_MACHINES_DIVISOR = 8;
     /** Most first heartbeats have arrived if no machine was verified for this long. */
     private static final long FIRST_HEARTBEATS_LULL_MS = 400;
@@ -47,8 +47,11 @@
     private final double silentShareLimit;
     private final Map<String, ZoneCounts> countsByZone = new HashMap<>();
     private final Deque<RecentReturn> recentReturns = new ArrayDeque<>();
+    /** Time from which missing heartbeats count. */
     private long listeningSince;
+    /** Tasks of earlier leaders wait for unverified machines. */
     private boolean earlierTasksBlocked;
+
     private Set<String> partitionedZones = Set.of();
 
     HealthMonitor(
@@ -134,6 +137,7 @@
         return machine.lease().answeredAt() + context.leaseMs();
     }
 
+    /** Returns the decision on the machine from the present evidence. */
     Decision decide(Machine machine, long now) {
         boolean mayHoldTasks = machine.state() == Machine.State.UP
                 || machine.unverified()
@@ -176,6 +180,7 @@
                                 : heartbeatIntervalMs * (1 + HEARTBEAT_SLACK_SHARE) + HEARTBEAT_TRANSFER_MS);
     }
 
+    /** Returns true if the boot, or the return after the lease expired, takes longer than usual, margin included. */
     private boolean bootOverdue(Machine machine, long now) {
         return switch (machine.state()) {
             case BOOTING -> now - machine.addedAt() > bootTimes.usualMaxMs(machine, now) + bootMarginMs;
@@ -186,7 +191,7 @@
 
     /**
      * Returns true if so large a share of the zone's machines is silent that a partition is likelier than single losses. A
-     * single silent machine is not enough, unless the share is 0.
+     * single silent machine is not enough. With a limit of 0, a partition is always assumed.
      */
     private boolean partitionLikely(String zone) {
         ZoneCounts counts = countsOf(zone);
@@ -195,6 +200,7 @@
                         > Math.max(1, silentShareLimit * (counts.expected + counts.returned));
     }
 
+    /** Returns true if a return to the cloud would free tasks noticeably sooner than the expiry of the lease. */
     private boolean returnSaves(Machine machine, long now) {
         // A return that cannot be stored now would be carried out later, when the machine may have recovered.
         return leaseEnds(machine) - now > MIN_RETURN_GAIN_MS
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -20,8 +20,7 @@
 
     /** Handles the expiry of the machine's lease, or another reason why it can hold no task any more. */
     void expire(Machine machine) {
-        // This includes machines that have sent no heartbeat to this leader: while such a machine counted as booting,
-        // no
+        // Machines that have sent no heartbeat to this leader lapse too: as long as they counted as booting, no
         // replacement was rented.
         if (machine.heartbeatsExpected()) {
             markLapsed(machine);
@@ -46,8 +45,7 @@
                         + (live > 0 ? "; " + live + " tasks are started elsewhere" : ""));
         machine.to(Machine.State.LAPSED);
         if (!machine.contact().everHeard()) {
-            // The expired session is unknown. Its heartbeats may still arrive, even after the first heartbeat of a
-            // later
+            // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
             // incarnation; only a higher token distinguishes the two.
             machine.incarnation().restart(context.leadership().token());
             machine.incarnation().clearOutdated();
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -73,8 +73,7 @@
     public void takeOver(String key, JsonNode value, long seenAt, long previousToken) {
         String defect = findDefect(value);
         if (defect != null) {
-            // If the page were treated as empty, tasks that run on its machines would be started a second time
-            // elsewhere.
+            // If the page were treated as empty, the tasks on its machines would be started a second time elsewhere.
             LOG.error("{} cannot be read ({}): until a lease is over its machines may hold anything", key, defect);
             unreadableKeys.add(key);
             pages.reserve(key);
@@ -94,9 +93,8 @@
             String id, MachineRow row, MachinePage page, JsonNode imageNames, long seenAt, long previousToken) {
         MachinePage otherPage = pages.of(id);
         if (otherPage != null) {
-            // A leader stopped between the two writes of a page split, so the machine is in two pages. It may hold
-            // tasks
-            // if either row has an address.
+            // The machine is in two pages, because a leader stopped between the two writes of a page split. It may
+            // hold tasks if either row has an address.
             writer.mark(page);
             if (row.address() == null || machines.get(id).address() != null) {
                 return;
@@ -181,8 +179,7 @@
                 resumingIds = List.of();
                 return null;
             }
-            // If the result of the previous write is unknown, its silences may be stored, so they stay marked as
-            // stored.
+            // If the result of the previous write is unknown, its silences may be stored and stay marked as such.
             newlySilent = new ArrayList<>();
             ObjectNode page = render(true);
             // The images are a hint; they are left out when the page would exceed the size limit.
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -99,6 +99,7 @@
         return left;
     }
 
+    /** Records that a machine is fenced, expired or gone; verified machines are ignored. */
     void accounted(Machine machine) {
         if (machine.unverified()) {
             machine.unverified(false);
