--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -118,10 +118,10 @@
         token = heartbeat.token();
     }
 
-    private void to(State newSession) {
-        if (newSession == state) {
-            throw new IllegalStateException(state + " -> " + newSession);
+    private void to(State next) {
+        if (next == state) {
+            throw new IllegalStateException(state + " -> " + next);
         }
-        state = newSession;
+        state = next;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -27,7 +27,7 @@
         }
         unverifiedMachines.accounted(machine);
         if (machine.registered()) {
-            deregister(machine);
+            markUnregistered(machine);
         }
         if (!machine.attempts().isEmpty()) {
             attempts.releaseAll(machine, "its lease ran out");
@@ -36,13 +36,13 @@
     }
 
     private void markLapsed(Machine machine) {
-        int live = machine.live();
+        int liveAttempts = machine.live();
         LOG.info("{} is silent: its lease has run out", machine.id());
         context.metrics().lapses.increment();
-        context.eventLog().emit("lapsed", "machine", machine.id(), "zone", machine.zone(), "held", live);
+        context.eventLog().emit("lapsed", "machine", machine.id(), "zone", machine.zone(), "held", liveAttempts);
         context.incidents()
                 .record(machine.id() + " fell silent and its lease ran out"
-                        + (live > 0 ? "; " + live + " tasks are started elsewhere" : ""));
+                        + (liveAttempts > 0 ? "; " + liveAttempts + " tasks are started elsewhere" : ""));
         machine.to(Machine.State.LAPSED);
         if (!machine.contact().everHeard()) {
             // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
@@ -54,7 +54,7 @@
         machine.incarnation().endSession();
     }
 
-    private void deregister(Machine machine) {
+    private void markUnregistered(Machine machine) {
         // The machine holds nothing now; its row must be written again before it is given tasks.
         machine.markUnregistered();
         machine.contact().restore();
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -250,11 +250,11 @@
 
     /** Returns the number of attempts that occupy resources on the machine. */
     int live() {
-        int live = 0;
+        int count = 0;
         for (Attempt attempt : attempts.values()) {
-            live += attempt.live() ? 1 : 0;
+            count += attempt.live() ? 1 : 0;
         }
-        return live;
+        return count;
     }
 
     boolean hasLive() {
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -88,9 +88,9 @@
 
     /** Adds a machine that has just been rented, and measures its boot time. */
     void addRented(String id, String type, String zone, boolean spot) {
-        boolean known = machines.containsKey(id);
+        boolean alreadyKnown = machines.containsKey(id);
         Machine machine = addIfAbsent(id, null, type, zone, spot);
-        if (machine != null && !known) {
+        if (machine != null && !alreadyKnown) {
             machine.awaitBoot();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -23,7 +23,7 @@
     /** Some restarted worker cannot be distinguished from its earlier incarnation under the present token. */
     private boolean restartsIndistinguishable;
     /** Largest number of ended attempts on one machine that are kept until the token is raised. */
-    private int kept;
+    private int mostKeptAttempts;
 
     TokenRaiser(FleetContext context) {
         this.context = context;
@@ -38,13 +38,13 @@
     void reset() {
         withdrawnStartsInFlight = false;
         restartsIndistinguishable = false;
-        kept = 0;
+        mostKeptAttempts = 0;
     }
 
     /** Looks for starts and kept attempts on the machine that need a higher token. */
     void observe(Machine machine, long now) {
         withdrawnStartsInFlight |= machine.up() && withdrawnStartMayArrive(machine, now);
-        kept = Math.max(kept, kept(machine));
+        mostKeptAttempts = Math.max(mostKeptAttempts, keptAttempts(machine));
     }
 
     /** Observes a machine with a restarted worker, which may need a higher token. */
@@ -56,9 +56,10 @@
     /** Raises the token if the observations of the tick require it. */
     void raiseIfDue(long now) {
         long sinceRaiseMs = now - raisedAt;
-        boolean due = ((withdrawnStartsInFlight || kept > MAX_KEPT_ATTEMPTS) && sinceRaiseMs > MIN_INTERVAL_MS)
-                || (kept > 0 && sinceRaiseMs > MAX_KEPT_MS)
-                || (restartsIndistinguishable && sinceRaiseMs > MIN_INTERVAL_RESTARTED_MS);
+        boolean due =
+                ((withdrawnStartsInFlight || mostKeptAttempts > MAX_KEPT_ATTEMPTS) && sinceRaiseMs > MIN_INTERVAL_MS)
+                        || (mostKeptAttempts > 0 && sinceRaiseMs > MAX_KEPT_MS)
+                        || (restartsIndistinguishable && sinceRaiseMs > MIN_INTERVAL_RESTARTED_MS);
         if (due) {
             raisedAt = now;
             context.leadership().raiseToken();
@@ -84,7 +85,7 @@
     }
 
     /** Returns the number of ended attempts kept on the machine until it has seen a token above the present one. */
-    private int kept(Machine machine) {
+    private int keptAttempts(Machine machine) {
         int count = 0;
         for (Attempt attempt : machine.attempts().values()) {
             count += attempt.keptUnder(context.leadership().token()) ? 1 : 0;
