--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -110,7 +110,7 @@
 
     private void to(State next) {
         if (state == State.ANSWERED && next == State.RESUMING) {
-            throw new IllegalStateException(state + " -> " + next);
+            throw new IllegalStateException("contact: transition " + state + " -> " + next + " is not allowed");
         }
         state = next;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -74,8 +74,8 @@
     private void checkProcessPause(long now) {
         long lateMs = now - lastTickAt - TICK_MS;
         if (lateMs > PROCESS_PAUSE_MS) {
-            LOG.info("stood still for {} ms", lateMs);
-            context.incidents().record("this controller stood still for " + lateMs + " ms");
+            LOG.info("process paused, pauseMs={}", lateMs);
+            context.incidents().record("this controller was paused for " + lateMs + " ms");
             parts.healthMonitor.listenFrom(now);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -120,7 +120,7 @@
 
     private void to(State next) {
         if (next == state) {
-            throw new IllegalStateException(state + " -> " + next);
+            throw new IllegalStateException("incarnation: transition " + state + " -> " + next + " is not allowed");
         }
         state = next;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -30,19 +30,19 @@
             markUnregistered(machine);
         }
         if (!machine.attempts().isEmpty()) {
-            attempts.releaseAll(machine, "its lease ran out");
+            attempts.releaseAll(machine, "its lease expired");
         }
         context.events().changed();
     }
 
     private void markLapsed(Machine machine) {
         int liveAttempts = machine.live();
-        LOG.info("{} is silent: its lease has run out", machine.id());
+        LOG.info("lease expired, machine={}", machine.id());
         context.metrics().lapses.increment();
         context.eventLog().emit("lapsed", "machine", machine.id(), "zone", machine.zone(), "held", liveAttempts);
         context.incidents()
-                .record(machine.id() + " fell silent and its lease ran out"
-                        + (liveAttempts > 0 ? "; " + liveAttempts + " tasks are started elsewhere" : ""));
+                .record(machine.id() + " is silent and its lease has expired"
+                        + (liveAttempts > 0 ? "; " + liveAttempts + " tasks are restarted elsewhere" : ""));
         machine.to(Machine.State.LAPSED);
         if (!machine.contact().everHeard()) {
             // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -149,7 +149,8 @@
     /** Changes the state; all state changes go through this method. */
     void to(State next) {
         if ((state == State.GONE || state == State.LEAVING) && next != State.GONE) {
-            throw new IllegalStateException(id + ": " + state + " -> " + next);
+            throw new IllegalStateException(
+                    "machine " + id + ": transition " + state + " -> " + next + " is not allowed");
         }
         state = next;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -74,7 +74,10 @@
         String defect = findDefect(value);
         if (defect != null) {
             // If the page were treated as empty, the tasks on its machines would be started a second time elsewhere.
-            LOG.error("{} cannot be read ({}): until a lease is over its machines may hold anything", key, defect);
+            LOG.error(
+                    "registry page unreadable, its machines may hold any task until lease expiry, key={} defect={}",
+                    key,
+                    defect);
             unreadableKeys.add(key);
             pages.reserve(key);
             hooks.recordUnreadablePage();
@@ -111,14 +114,14 @@
     /** Returns the reason why a page is unreadable, or null if it is readable. */
     private String findDefect(JsonNode value) {
         if (!value.isObject()) {
-            return "not an object";
+            return "page is not an object";
         }
         for (Map.Entry<String, JsonNode> field : value.properties()) {
             boolean readable = field.getKey().equals(IMAGES_FIELD)
                     ? field.getValue().isArray()
                     : MachineRow.isReadable(field.getValue(), machines::knowsType);
             if (!readable) {
-                return "row " + field.getKey();
+                return "malformed row " + field.getKey();
             }
         }
         return null;
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -113,7 +113,7 @@
         left--;
         lastChangeAt = context.loop().now();
         if (left == 0) {
-            LOG.info("reconciliation complete: machines={}", initialCount);
+            LOG.info("reconciliation complete, machines={}", initialCount);
         }
         context.events().changed();
     }
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -24,9 +24,9 @@
     }
 
     @Test
-    @DisplayName("a heartbeat is newer by its session, and within one by its sequence number")
+    @DisplayName("a heartbeat is newer by its session, and within a session by its sequence number")
     void heartbeatIsNewerBySessionThenBySequenceNumber() {
-        assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "nothing is known");
+        assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "no heartbeat is known yet");
         accept(heartbeat(2, 10, 5));
         assertTrue(incarnation.precedes(heartbeat(2, 11, 5)));
         assertTrue(incarnation.precedes(heartbeat(3, 1, 5)));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    @DisplayName("once the lease is over nothing of the session counts")
+    @DisplayName("once the lease has expired, no further heartbeat of the session counts")
     void heartbeatsOfEndedSessionAreIgnored() {
         accept(heartbeat(2, 10, 5));
         incarnation.endSession();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    @DisplayName("after a restart only a higher token tells the worker from its earlier incarnation")
+    @DisplayName("after a restart, only a higher token distinguishes the worker from its earlier incarnation")
     void afterRestartOnlyHigherTokenIdentifiesNewIncarnation() {
         accept(heartbeat(2, 10, 5));
         incarnation.restart(5);
@@ -57,7 +57,7 @@
         assertEquals(-1, incarnation.session());
         assertEquals(0, incarnation.token());
         assertTrue(incarnation.precedes(heartbeat(1, 1, 6)));
-        assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier one never count");
+        assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
     }
 
     @Test
--- a/controller/src/test/java/org/landingridge/controller/fleet/MachineRowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/MachineRowTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    @DisplayName("a row of an earlier version has neither images nor a silence")
+    @DisplayName("a row of an earlier version has no images and stores no silence")
     void rowOfEarlierVersionHasNoImagesAndNoSilence() {
         assertEquals(
                 new MachineRow("h:9", "g8", "a", true, "", MachineRow.NOT_SILENT, 0),
@@ -46,7 +46,7 @@
     }
 
     @Test
-    @DisplayName("a silence counts only as the last leader wrote it")
+    @DisplayName("a silence counts only under the token of the previous leader")
     void silenceCountsOnlyUnderPreviousLeadersToken() {
         MachineRow row = MachineRow.read(json("[\"h:9\",\"g8\",\"a\",0,\"\",1200,41]"));
         assertEquals(8_800, row.silentSince(10_000, 41));
@@ -65,13 +65,13 @@
                 "[\"h:9\",\"g8\",null,0]",
                 "[\"h:9\",\"g8\",\"a\",\"0\"]"
             })
-    @DisplayName("a row of another form is not read")
+    @DisplayName("a malformed row is not readable")
     void malformedRowIsNotReadable(String text) {
         assertFalse(isReadable(text));
     }
 
     @Test
-    @DisplayName("a row of this form is read")
+    @DisplayName("a well-formed row is readable")
     void wellFormedRowIsReadable() {
         assertTrue(isReadable("[null,\"g8\",\"a\",0,\"\"]"));
     }
