--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -122,7 +122,7 @@
 
     /** Returns true while machines of unreadable registry pages may hold an unknown number of tasks of any team. */
     public boolean anyUnreadable() {
-        return unverifiedMachines.unreadable();
+        return unverifiedMachines.hasUnreadablePages();
     }
 
     /** Returns true if tasks may be started on the machine now. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/RegistryHooks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/RegistryHooks.java
@@ -12,7 +12,7 @@
         HeartbeatEndpoint endpoint) {
     /** Records an unreadable registry page: until a lease has expired, unknown machines may hold any task. */
     void recordUnreadablePage() {
-        unverifiedMachines.unreadable(context.leadership().quiescentSince() + context.leaseMs());
+        unverifiedMachines.recordUnreadablePages(context.leadership().quiescentSince() + context.leaseMs());
     }
 
     /** Returns the time since a heartbeat of the machine was last answered, in milliseconds. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -47,7 +47,7 @@
     }
 
     /** Records an unreadable registry page: its machines may hold any task until their leases expire at {@code until}. */
-    void unreadable(long until) {
+    void recordUnreadablePages(long until) {
         if (unreadableUntil < 0) {
             left++;
             initialCount++;
@@ -55,13 +55,13 @@
         unreadableUntil = Math.max(unreadableUntil, until);
     }
 
-    boolean unreadable() {
+    boolean hasUnreadablePages() {
         return unreadableUntil >= 0;
     }
 
     /** Returns true once, when the leases of the machines of unreadable pages have expired. */
     boolean expireUnreadablePages(long now) {
-        if (!unreadable() || now <= unreadableUntil) {
+        if (!hasUnreadablePages() || now <= unreadableUntil) {
             return false;
         }
         unreadableUntil = -1;
@@ -83,7 +83,7 @@
      * allows.
      */
     boolean mayHold(JobSpec spec) {
-        if (unreadable()) {
+        if (hasUnreadablePages()) {
             return true;
         }
         for (MachineKind machineKind : countsByKind.keySet()) {
