--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetContext.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetContext.java
@@ -8,11 +8,12 @@
 import org.landingridge.net.Http;
 
 /**
- * What every part of the fleet uses.
+ * The shared dependencies and times of the parts of a fleet.
  *
- * @param token    the fencing token under which this leader term began
- * @param leaseMs  after so long without an answer a worker has killed its tasks for certain, drift and margin included
- * @param reportMs how often workers send heartbeats
+ * @param token               the fencing token under which this leader term began
+ * @param leaseMs             time without an answer after which a worker has certainly killed its tasks, including clock drift
+ *                            and a margin, in milliseconds
+ * @param heartbeatIntervalMs heartbeat interval of the workers, in milliseconds
  */
 record FleetContext(
         EventLoop loop,
@@ -24,11 +25,11 @@
         EventLog eventLog,
         Fleet.Events events,
         long leaseMs,
-        long reportMs) {
-    /** Clocks differ by 0.05 % at most. */
-    private static final double DRIFT = 1.002;
-    /** Our 200 was written after the heartbeat was sent: to count a little longer errs on the safe side. */
-    private static final long MARGIN_MS = 250;
+        long heartbeatIntervalMs) {
+    /** Factor for clock drift between controller and worker; the rates of clocks differ by at most 0.05 %. */
+    private static final double CLOCK_DRIFT_FACTOR = 1.002;
+    /** Margin on the safe side: the answer that starts the lease here was written after the worker had sent its heartbeat. */
+    private static final long LEASE_MARGIN_MS = 250;
 
     static FleetContext of(FleetParameters parameters, Fleet.Events events) {
         return new FleetContext(
@@ -40,7 +41,7 @@
                 parameters.incidents(),
                 parameters.eventLog(),
                 events,
-                (long) (parameters.workers().leaseS() * 1000 * DRIFT) + MARGIN_MS,
+                (long) (parameters.workers().leaseS() * 1000 * CLOCK_DRIFT_FACTOR) + LEASE_MARGIN_MS,
                 Math.round(parameters.workers().reportS() * 1000));
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -3,20 +3,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Twice a second: judges every machine, asks the silent ones, ends leases, sends what is due and raises the token. */
+/**
+ * The periodic pass over all machines, twice a second: probes silent machines, expires leases, sends commands that are due and
+ * raises the fencing token if needed.
+ */
 final class FleetCycle {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private static final long TICK_MS = 500;
-    /** A tick that comes so much later than it is due was held up by the whole process. */
-    private static final long STOOD_STILL_MS = 1_000;
+    /** Delay of a tick above which the whole process counts as paused. */
+    private static final long PROCESS_PAUSE_MS = 1_000;
 
     private final FleetContext context;
     private final Parts parts;
-    private final TokenRaiser tokens;
-    private long tickedAt;
+    private final TokenRaiser tokenRaiser;
+    private long lastTickAt;
     private boolean closed;
 
-    /** What a cycle drives. */
+    /** The parts of the fleet that the cycle drives. */
     record Parts(
             MachineTable machines,
             UnverifiedMachines unverifiedMachines,
@@ -30,19 +33,19 @@
     FleetCycle(FleetContext context, Parts parts) {
         this.context = context;
         this.parts = parts;
-        this.tokens = new TokenRaiser(context);
+        this.tokenRaiser = new TokenRaiser(context);
     }
 
-    /** Begins the cycles. */
+    /** Starts the cycle with a first tick. */
     void start() {
         long now = context.now();
         parts.healthMonitor.listenFrom(now);
-        tickedAt = now;
-        tokens.start(now);
+        lastTickAt = now;
+        tokenRaiser.start(now);
         tick();
     }
 
-    /** No cycle begins any more. */
+    /** Stops the cycle: no further tick runs. */
     void close() {
         closed = true;
     }
@@ -52,33 +55,33 @@
             return;
         }
         long now = context.now();
-        checkStandstill(now);
-        tickedAt = now;
-        if (parts.unverifiedMachines.unreadableExpired(now)) {
+        checkProcessPause(now);
+        lastTickAt = now;
+        if (parts.unverifiedMachines.expireUnreadablePages(now)) {
             context.events().unreadableOver();
         }
         parts.healthMonitor.survey(parts.machines.all(), parts.tasks.anyBlocked(), now);
-        tokens.reset();
+        tokenRaiser.reset();
         for (Machine machine : parts.machines.snapshot()) {
-            visit(machine, now);
+            checkMachine(machine, now);
         }
-        parts.machines.forgetReturned(now);
-        tokens.raiseIfDue(now);
+        parts.machines.expireReturned(now);
+        tokenRaiser.raiseIfDue(now);
         context.loop().after(TICK_MS, this::tick);
     }
 
-    /** A process that stood still while its clocks ran on has heard nobody: that says nothing of the machines. */
-    private void checkStandstill(long now) {
-        long late = now - tickedAt - TICK_MS;
-        if (late > STOOD_STILL_MS) {
-            LOG.info("stood still for {} ms", late);
-            context.incidents().record("this controller stood still for " + late + " ms");
+    /** After a pause of the process, heartbeats are missing for that reason, which is no evidence that machines are silent. */
+    private void checkProcessPause(long now) {
+        long lateMs = now - lastTickAt - TICK_MS;
+        if (lateMs > PROCESS_PAUSE_MS) {
+            LOG.info("process paused, pauseMs={}", lateMs);
+            context.incidents().record("this controller was paused for " + lateMs + " ms");
             parts.healthMonitor.listenFrom(now);
         }
     }
 
-    private void visit(Machine machine, long now) {
-        switch (parts.healthMonitor.judge(machine, now).action()) {
+    private void checkMachine(Machine machine, long now) {
+        switch (parts.healthMonitor.decide(machine, now).action()) {
             case PLACE -> parts.leaseExpiry.expire(machine);
             case ASK -> {
                 parts.probe.ask(machine);
@@ -88,11 +91,11 @@
             }
             default -> {}
         }
-        tokens.observe(machine, now);
-        // One whose lease ran out unheard is not asked: it may well be gone for good, and says when it is back.
+        tokenRaiser.observe(machine, now);
+        // A machine whose lease expired is not probed until a heartbeat arrives: it may be gone for good.
         Incarnation incarnation = machine.incarnation();
         if (incarnation.restarted() && (machine.state() != Machine.State.LAPSED || incarnation.outdated() > 0)) {
-            tokens.observeRestarted(machine);
+            tokenRaiser.observeRestarted(machine);
             parts.probe.ask(machine);
         }
         parts.dispatcher.call(machine);
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends what a machine holds when its lease is certainly over: its worker has killed and forgotten every task. */
+/** Releases the tasks of a machine whose lease has expired: its worker has killed and dropped all of them. */
 final class LeaseExpiry {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
@@ -18,45 +18,45 @@
         this.unverifiedMachines = unverifiedMachines;
     }
 
-    /** The machine's lease is over, or nothing can be on it any more for another reason. */
+    /** Handles the expiry of the machine's lease, or another reason why it can hold no task any more. */
     void expire(Machine machine) {
-        // One that this leader never heard is no machine on its way either: counted as such, nothing was rented in its
-        // place.
-        if (machine.expected()) {
-            lapse(machine);
+        // Machines that have sent no heartbeat to this leader lapse too: as long as they counted as booting, no
+        // replacement was rented.
+        if (machine.heartbeatsExpected()) {
+            markLapsed(machine);
         }
         unverifiedMachines.accounted(machine);
         if (machine.registered()) {
-            deregister(machine);
+            markUnregistered(machine);
         }
         if (!machine.attempts().isEmpty()) {
-            attempts.releaseAll(machine, "its lease ran out");
+            attempts.releaseAll(machine, "its lease expired");
         }
         context.events().changed();
     }
 
-    private void lapse(Machine machine) {
-        int live = machine.live();
-        LOG.info("{} is silent: its lease has run out", machine.id());
+    private void markLapsed(Machine machine) {
+        int liveAttempts = machine.live();
+        LOG.info("lease expired, machine={}", machine.id());
         context.metrics().lapses.increment();
-        context.eventLog().emit("lapsed", "machine", machine.id(), "zone", machine.zone(), "held", live);
+        context.eventLog().emit("lapsed", "machine", machine.id(), "zone", machine.zone(), "held", liveAttempts);
         context.incidents()
-                .record(machine.id() + " fell silent and its lease ran out"
-                        + (live > 0 ? "; " + live + " tasks are started elsewhere" : ""));
+                .record(machine.id() + " is silent and its lease has expired"
+                        + (liveAttempts > 0 ? "; " + liveAttempts + " tasks are restarted elsewhere" : ""));
         machine.to(Machine.State.LAPSED);
         if (!machine.contact().everHeard()) {
-            // Which session ended nobody knows. What was reported in it may still arrive, after the first heartbeat of
-            // an incarnation that began since: only a higher token distinguishes them.
+            // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
+            // incarnation; only a higher token distinguishes the two.
             machine.incarnation().restart(context.leadership().token());
             machine.incarnation().clearOutdated();
         }
-        // What is still reported under the old session was sent before the lease ran out.
+        // Heartbeats of the old session that still arrive were sent before the lease expired.
         machine.incarnation().endSession();
     }
 
-    private void deregister(Machine machine) {
-        // From here on it holds nothing; its row must be written before it is given anything again.
-        machine.deregister();
+    private void markUnregistered(Machine machine) {
+        // The machine holds nothing now; its row must be written again before it is given tasks.
+        machine.markUnregistered();
         machine.contact().restore();
         Http.Exchange parked = machine.contact().unpark();
         if (parked != null) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -17,129 +17,135 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The stored registry of machines: every machine, many to one stored value. A row with an address is of a machine that may hold
- * tasks; one without has sent no heartbeat yet, or its lease has run out, and a later leader need not wait for it. A row may also
- * say for how many milliseconds its machine had been silent when the page was written, and under which leader's token: that
- * leader answers it no more before it has written the row without.
+ * The stored registry of machines: pages in the state service, each with the rows of many machines. A machine whose row has an
+ * address may hold tasks. A machine whose row has none has sent no heartbeat yet, or its lease has expired; a later leader need
+ * not wait for it. A row may also store how long the machine had been silent when the page was written, and the token of the
+ * leader that wrote it: that leader answers no heartbeat of the machine until it has stored the row without a silence.
  *
- * <p>Beside them stands which images the machines have, as far as was known when the page was last written: a later
- * leader starts services where their image is. That is a hint, and no page is written for it alone.
+ * <p>A page also lists the images on its machines, as known when the page was last written, so that a later leader can start
+ * services where their image already is. The list is a hint: a change of images alone causes no write.
  */
 public final class MachineRegistry {
-    /** Prefix of the keys of its pages, below the root. */
+    /** Prefix of the page keys, below the root. */
     public static final String PREFIX = "fleet/";
 
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
-    /** The row of a page that names images; in the others each stands as one digit. */
-    private static final String IMAGES = "images";
+    /** Field of a page that lists image names; machines' rows refer to them by one digit each. */
+    private static final String IMAGES_FIELD = "images";
 
     private static final int MAX_IMAGES = 36;
-    private static final int MAX_IMAGE_NAME = 24;
-    /** Of a value so much may be filled; the rest is for names of images that come later. */
-    private static final double FILL = 0.85;
-    /** What a row takes beside its texts, its images' digits included. */
-    private static final int ROW = 24;
-    /** An address that is not known yet is taken to be so long. */
-    private static final int ADDRESS = 22;
-    /** Ranks of a page that makes machines usable, and of one that does not. */
-    private static final int USABLE = 2;
+    private static final int MAX_IMAGE_NAME_LENGTH = 24;
+    /** Share of the value size limit that rows may fill; the rest is reserved for image names added later. */
+    private static final double FILL_SHARE = 0.85;
+    /** Size of a row without its texts but with its image digits, in bytes. */
+    private static final int ROW_OVERHEAD_BYTES = 24;
+    /** Assumed length of an address that is not known yet, in bytes. */
+    private static final int ASSUMED_ADDRESS_BYTES = 22;
+    /** Write priority of a page whose write makes machines usable. */
+    private static final int URGENT_RANK = 2;
+    /** Write priority of every other page. */
+    private static final int NORMAL_RANK = 6;
 
-    private static final int LATER = 6;
     private final BatchWriter writer;
-    private final RegistryHooks fleet;
+    private final RegistryHooks hooks;
     private final MachineTable machines;
     private final int valueBytes;
     private final PageTable<MachinePage> pages;
-    /** Keys of pages that cannot be read; nothing is written there before their machines' leases are over. */
-    private final Set<String> quarantined = new LinkedHashSet<>();
+    /** Keys of unreadable pages; they are not written until the leases of their machines have expired. */
+    private final Set<String> unreadableKeys = new LinkedHashSet<>();
 
-    /** @param valueBytes the most bytes that the state service takes for a value */
+    /** @param valueBytes size limit of a value in the state service, in bytes */
     public MachineRegistry(String root, BatchWriter writer, Fleet fleet, int valueBytes) {
         this.writer = writer;
-        this.fleet = fleet.registryHooks();
-        this.machines = this.fleet.machines();
+        this.hooks = fleet.registryHooks();
+        this.machines = this.hooks.machines();
         this.valueBytes = valueBytes;
-        this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL), MachinePage::new, writer);
+        this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL_SHARE), MachinePage::new, writer);
     }
 
     /**
-     * Takes over a page as it stands in the state service.
+     * Takes over a page from the state service.
      *
-     * @param at       when, by the loop's clock, this process first saw it so
-     * @param previous the token under which the last leader term began: only what it wrote of silent machines counts,
-     *                 since a later one may have answered them
+     * @param seenAt        time on the loop's clock at which this process first read the page in this form
+     * @param previousToken token under which the previous leader term began; silences stored under another token are ignored,
+     *                      since a later leader may have answered those machines
      */
-    public void takeOver(String key, JsonNode value, long at, long previous) {
-        String wrong = wrong(value);
-        if (wrong != null) {
-            // Taken for empty, what its machines hold would be started once more elsewhere.
-            LOG.error("{} cannot be read ({}): until a lease is over its machines may hold anything", key, wrong);
-            quarantined.add(key);
+    public void takeOver(String key, JsonNode value, long seenAt, long previousToken) {
+        String defect = findDefect(value);
+        if (defect != null) {
+            // If the page were treated as empty, the tasks on its machines would be started a second time elsewhere.
+            LOG.error(
+                    "registry page unreadable, its machines may hold any task until lease expiry, key={} defect={}",
+                    key,
+                    defect);
+            unreadableKeys.add(key);
             pages.reserve(key);
-            fleet.unreadable();
+            hooks.recordUnreadablePage();
             return;
         }
         MachinePage page = pages.open(key);
-        JsonNode images = value.path(IMAGES);
+        JsonNode imageNames = value.path(IMAGES_FIELD);
         value.properties().forEach(field -> {
-            if (!field.getKey().equals(IMAGES)) {
-                takeOver(field.getKey(), MachineRow.read(field.getValue()), page, images, at, previous);
+            if (!field.getKey().equals(IMAGES_FIELD)) {
+                takeOver(field.getKey(), MachineRow.read(field.getValue()), page, imageNames, seenAt, previousToken);
             }
         });
     }
 
-    private void takeOver(String id, MachineRow row, MachinePage page, JsonNode images, long at, long previous) {
-        MachinePage other = pages.of(id);
-        if (other != null) {
-            // A leader ended between the two steps of a split. What may hold tasks by either row may hold them.
+    private void takeOver(
+            String id, MachineRow row, MachinePage page, JsonNode imageNames, long seenAt, long previousToken) {
+        MachinePage otherPage = pages.of(id);
+        if (otherPage != null) {
+            // The machine is in two pages, because a leader stopped between the two writes of a page split. It may
+            // hold tasks if either row has an address.
             writer.mark(page);
             if (row.address() == null || machines.get(id).address() != null) {
                 return;
             }
         }
         Machine machine = machines.addRegistered(
-                id, row.address(), row.type(), row.zone(), row.spot(), row.silentSince(at, previous));
-        pages.put(id, size(machine), other == null ? page : other);
+                id, row.address(), row.type(), row.zone(), row.spot(), row.silentSince(seenAt, previousToken));
+        pages.put(id, rowBytes(machine), otherPage == null ? page : otherPage);
         for (char digit : row.images().toCharArray()) {
-            machine.used(Json.text(images, Character.digit(digit, MAX_IMAGES)));
+            machine.used(Json.text(imageNames, Character.digit(digit, MAX_IMAGES)));
         }
     }
 
-    /** What is wrong with a page, in a few words, or null. */
-    private String wrong(JsonNode value) {
+    /** Returns the reason why a page is unreadable, or null if it is readable. */
+    private String findDefect(JsonNode value) {
         if (!value.isObject()) {
-            return "not an object";
+            return "page is not an object";
         }
         for (Map.Entry<String, JsonNode> field : value.properties()) {
-            boolean readable = field.getKey().equals(IMAGES)
+            boolean readable = field.getKey().equals(IMAGES_FIELD)
                     ? field.getValue().isArray()
-                    : MachineRow.readable(field.getValue(), machines::knowsType);
+                    : MachineRow.isReadable(field.getValue(), machines::knowsType);
             if (!readable) {
-                return "row " + field.getKey();
+                return "malformed row " + field.getKey();
             }
         }
         return null;
     }
 
-    /** The machines of the pages that cannot be read hold nothing any more: the pages go. */
+    /** Deletes the unreadable pages, once the leases of their machines have expired. */
     public void dropUnreadable() {
-        for (String key : quarantined) {
+        for (String key : unreadableKeys) {
             writer.mark(pages.open(key));
         }
-        quarantined.clear();
+        unreadableKeys.clear();
     }
 
-    /** Pages that were filled up to a larger limit are split. */
+    /** Splits pages that exceed the present size limit. */
     public void splitOversized() {
         pages.splitOversized();
     }
 
-    /** The machine's row is written with the next page. */
+    /** Adds or updates the machine's row and schedules a write of its page. */
     public void add(Machine machine) {
-        writer.mark(pages.put(machine.id(), size(machine)));
+        writer.mark(pages.put(machine.id(), rowBytes(machine)));
     }
 
-    /** The machine is gone: its row goes. */
+    /** Removes the row of a machine that is gone. */
     public void remove(String id) {
         MachinePage page = pages.remove(id);
         if (page != null) {
@@ -147,23 +153,23 @@
         }
     }
 
-    /** Bytes that the machine's row may take. */
-    private static int size(Machine machine) {
+    /** Returns the size assumed for the machine's row, in bytes. */
+    private static int rowBytes(Machine machine) {
         String address = machine.address();
-        return ROW
+        return ROW_OVERHEAD_BYTES
                 + machine.id().length()
                 + machine.type().length()
                 + machine.zone().length()
-                + (address == null ? ADDRESS : address.length());
+                + (address == null ? ASSUMED_ADDRESS_BYTES : address.length());
     }
 
     private final class MachinePage extends Page {
-        /** Machines that stand with their address in the form rendered last. */
-        private List<String> holding = List.of();
-        /** Machines whose row in the form rendered last says nothing of a silence any more. */
-        private List<String> resuming = List.of();
-        /** Machines of whose silence that form was the first to say anything. */
-        private List<Machine> silenced = List.of();
+        /** Machines whose row has an address in the latest rendering. */
+        private List<String> idsWithAddress = List.of();
+        /** Machines whose row in the latest rendering no longer stores a silence. */
+        private List<String> resumingIds = List.of();
+        /** Machines whose silence is stored for the first time by the latest rendering. */
+        private List<Machine> newlySilent = List.of();
 
         MachinePage(String key) {
             super(key);
@@ -172,65 +178,66 @@
         @Override
         public JsonNode render() {
             if (names().isEmpty()) {
-                holding = List.of();
-                resuming = List.of();
+                idsWithAddress = List.of();
+                resumingIds = List.of();
                 return null;
             }
-            // Where nobody knows what became of the form before, the silences in it may be stored.
-            silenced = new ArrayList<>();
+            // If the result of the previous write is unknown, its silences may be stored and stay marked as such.
+            newlySilent = new ArrayList<>();
             ObjectNode page = render(true);
-            // What images there are is a hint: it gives way to the machines.
+            // The images are a hint; they are left out when the page would exceed the size limit.
             return Json.bytes(page).length <= valueBytes ? page : render(false);
         }
 
-        private ObjectNode render(boolean hints) {
-            holding = new ArrayList<>();
-            resuming = new ArrayList<>();
+        private ObjectNode render(boolean withImages) {
+            idsWithAddress = new ArrayList<>();
+            resumingIds = new ArrayList<>();
             ObjectNode page = Json.object();
-            Map<String, Integer> images = new LinkedHashMap<>();
+            Map<String, Integer> indexByImage = new LinkedHashMap<>();
             for (String id : names()) {
                 Machine machine = machines.get(id);
                 if (machine != null) {
-                    row(machine, hints ? digits(machine, images) : "").write(page.putArray(id));
+                    row(machine, withImages ? imageDigits(machine, indexByImage) : "")
+                            .write(page.putArray(id));
                 }
             }
-            ArrayNode names = page.putArray(IMAGES);
-            images.keySet().forEach(names::add);
+            ArrayNode imageNames = page.putArray(IMAGES_FIELD);
+            indexByImage.keySet().forEach(imageNames::add);
             return page;
         }
 
-        private MachineRow row(Machine machine, String images) {
-            boolean holds = machine.mayHold() || machine.unverified();
+        private MachineRow row(Machine machine, String imageDigits) {
+            boolean mayHoldTasks = machine.mayHoldTasks() || machine.unverified();
             long silentMs = MachineRow.NOT_SILENT;
-            if (machine.contact().state() == Contact.State.SUSPENDED && holds) {
-                silentMs = fleet.silentMs(machine);
+            if (machine.contact().state() == Contact.State.SUSPENDED && mayHoldTasks) {
+                silentMs = hooks.silentMs(machine);
                 if (!machine.contact().silenceStored()) {
                     machine.contact().silenceStored(true);
-                    silenced.add(machine);
+                    newlySilent.add(machine);
                 }
             } else if (machine.contact().state() == Contact.State.RESUMING) {
-                resuming.add(machine.id());
+                resumingIds.add(machine.id());
             }
-            if (holds) {
-                holding.add(machine.id());
+            if (mayHoldTasks) {
+                idsWithAddress.add(machine.id());
             }
             return new MachineRow(
-                    holds ? machine.address() : null,
+                    mayHoldTasks ? machine.address() : null,
                     machine.type(),
                     machine.zone(),
                     machine.spot(),
-                    images,
+                    imageDigits,
                     silentMs,
-                    fleet.token());
+                    hooks.token());
         }
 
-        private static String digits(Machine machine, Map<String, Integer> images) {
+        private static String imageDigits(Machine machine, Map<String, Integer> indexByImage) {
             StringBuilder digits = new StringBuilder();
             for (String image : machine.images()) {
-                Integer index = images.get(image);
-                if (index == null && images.size() < MAX_IMAGES && image.length() <= MAX_IMAGE_NAME) {
-                    index = images.size();
-                    images.put(image, index);
+                Integer index = indexByImage.get(image);
+                if (index == null && indexByImage.size() < MAX_IMAGES && image.length() <= MAX_IMAGE_NAME_LENGTH) {
+                    index = indexByImage.size();
+                    indexByImage.put(image, index);
                 }
                 if (index != null) {
                     digits.append(Character.forDigit(index, MAX_IMAGES));
@@ -242,29 +249,29 @@
         @Override
         public void stored(long revision) {
             super.stored(revision);
-            for (String id : holding) {
+            for (String id : idsWithAddress) {
                 Machine machine = machines.get(id);
-                if (machine != null && !machine.registered() && machine.mayHold()) {
-                    fleet.registered(machine);
+                if (machine != null && !machine.registered() && machine.mayHoldTasks()) {
+                    hooks.markRegistered(machine);
                 }
             }
-            for (String id : resuming) {
+            for (String id : resumingIds) {
                 Machine machine = machines.get(id);
                 if (machine != null && machine.contact().state() == Contact.State.RESUMING) {
-                    fleet.resume(machine);
+                    hooks.resume(machine);
                 }
             }
         }
 
         @Override
         public void refused() {
-            silenced.forEach(machine -> machine.contact().silenceStored(false));
-            silenced = List.of();
+            newlySilent.forEach(machine -> machine.contact().silenceStored(false));
+            newlySilent = List.of();
         }
 
-        /** True if tasks or answers wait for the machine's row to be stored. */
+        /** Returns true if starts or heartbeat answers wait for the machine's row to be stored. */
         private static boolean awaitsRow(Machine machine) {
-            boolean startsWait = !machine.registered() && machine.mayHold();
+            boolean startsWait = !machine.registered() && machine.mayHoldTasks();
             return startsWait || machine.contact().state() != Contact.State.ANSWERED;
         }
 
@@ -273,10 +280,10 @@
             for (String id : names()) {
                 Machine machine = machines.get(id);
                 if (machine != null && awaitsRow(machine)) {
-                    return USABLE;
+                    return URGENT_RANK;
                 }
             }
-            return LATER;
+            return NORMAL_RANK;
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -6,21 +6,22 @@
 import java.util.function.Function;
 import org.landingridge.wire.MachineType;
 
-/** The machines that are or may be rented, in the order in which they were heard of, and those that are gone. */
+/** The machines that are or may be rented, in the order of their addition, and the recently returned ones. */
 final class MachineTable {
-    /** So long a machine that was returned to the cloud is known as such. */
-    private static final long RETURNED_MS = 900_000;
+    /** Retention time of the identifiers of returned machines: lists of the cloud lag, and heartbeats may be minutes late. */
+    private static final long RETURNED_RETENTION_MS = 900_000;
 
     private final FleetContext context;
-    private final Function<String, MachineType> types;
+    private final Function<String, MachineType> typeByName;
     private final UnverifiedMachines unverifiedMachines;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    /** Machines that were returned, with the time; the oldest first. */
-    private final Map<String, Long> returned = new LinkedHashMap<>();
+    /** Return times by machine identifier, oldest first. */
+    private final Map<String, Long> returnedAtById = new LinkedHashMap<>();
 
-    MachineTable(FleetContext context, Function<String, MachineType> types, UnverifiedMachines unverifiedMachines) {
+    MachineTable(
+            FleetContext context, Function<String, MachineType> typeByName, UnverifiedMachines unverifiedMachines) {
         this.context = context;
-        this.types = types;
+        this.typeByName = typeByName;
         this.unverifiedMachines = unverifiedMachines;
     }
 
@@ -28,7 +29,7 @@
         return machines.values();
     }
 
-    /** The machines as they are now, for a pass in which some may come or go. */
+    /** Returns a copy of the current machines, for iterations during which machines may be added or removed. */
     Machine[] snapshot() {
         return machines.values().toArray(new Machine[0]);
     }
@@ -42,23 +43,23 @@
     }
 
     boolean knowsType(String type) {
-        return types.apply(type) != null;
+        return typeByName.apply(type) != null;
     }
 
-    /** True if the machine was returned to the cloud lately. */
+    /** Returns true if the machine was returned to the cloud within the last 15 minutes. */
     boolean wasReturned(String id) {
-        return returned.containsKey(id);
+        return returnedAtById.containsKey(id);
     }
 
     /**
-     * Adds a machine of the registry, as read at the election.
+     * Adds a machine from the stored registry, as read at the election.
      *
-     * @param silentSince no earlier leader has answered its heartbeats since then, by the loop's clock
+     * @param silentSince time on the loop's clock since which no earlier leader has answered its heartbeats
      */
     Machine addRegistered(String id, String address, String type, String zone, boolean spot, long silentSince) {
-        Machine machine = new Machine(id, address, types.apply(type), zone, spot, context.now());
+        Machine machine = new Machine(id, address, typeByName.apply(type), zone, spot, context.now());
         if (address != null) {
-            machine.register();
+            machine.markRegistered();
             machine.lease().inherit(Math.min(silentSince, context.leadership().quiescentSince()));
             unverifiedMachines.add(machine);
         }
@@ -66,10 +67,10 @@
         return machine;
     }
 
-    /** The machine of that name, added if it is new; null if its type is not known or it was returned. */
+    /** Returns the machine, added if it is new; null if its type is unknown or it has been returned to the cloud. */
     Machine addIfAbsent(String id, String address, String type, String zone, boolean spot) {
-        MachineType kind = types.apply(type);
-        if (kind == null || returned.containsKey(id)) {
+        MachineType machineType = typeByName.apply(type);
+        if (machineType == null || returnedAtById.containsKey(id)) {
             return null;
         }
         Machine known = machines.get(id);
@@ -79,24 +80,24 @@
             }
             return known;
         }
-        Machine machine = new Machine(id, address, kind, zone, spot, context.now());
+        Machine machine = new Machine(id, address, machineType, zone, spot, context.now());
         machines.put(id, machine);
         context.events().registry(machine);
         return machine;
     }
 
-    /** Adds a machine that has just been rented: its boot is measured. */
+    /** Adds a machine that has just been rented, and measures its boot time. */
     void addRented(String id, String type, String zone, boolean spot) {
-        boolean known = machines.containsKey(id);
+        boolean alreadyKnown = machines.containsKey(id);
         Machine machine = addIfAbsent(id, null, type, zone, spot);
-        if (machine != null && !known) {
+        if (machine != null && !alreadyKnown) {
             machine.awaitBoot();
         }
     }
 
-    /** Removes a machine that the cloud has taken back; null if it was not known. */
+    /** Removes a machine that has been returned to the cloud; returns null if it was not known. */
     Machine remove(String id) {
-        returned.put(id, context.now());
+        returnedAtById.put(id, context.now());
         Machine machine = machines.remove(id);
         if (machine != null) {
             machine.to(Machine.State.GONE);
@@ -104,11 +105,11 @@
         return machine;
     }
 
-    /** Lists lag, and heartbeats may come minutes late: after that a name that was returned is not heard of any more. */
-    void forgetReturned(long now) {
-        Iterator<Long> times = returned.values().iterator();
-        while (times.hasNext() && now - times.next() > RETURNED_MS) {
-            times.remove();
+    /** Drops the identifiers of returned machines whose retention time has expired. */
+    void expireReturned(long now) {
+        Iterator<Long> returnTimes = returnedAtById.values().iterator();
+        while (returnTimes.hasNext() && now - returnTimes.next() > RETURNED_RETENTION_MS) {
+            returnTimes.remove();
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -7,23 +7,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of the registry that are not accounted for yet. They may hold tasks that an earlier leader started and nobody
- * has reported to this one; a machine is accounted for once it is fenced, lapsed or gone.
+ * The machines of the stored registry that are not verified yet. They may hold tasks that an earlier leader started and that no
+ * heartbeat has shown to this leader. A machine is verified once it is fenced, its lease has expired, or it is gone.
  */
 final class UnverifiedMachines {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private final FleetContext context;
     private int left;
-    private int asked;
-    /** When one was accounted for last. */
-    private long lastAt;
-    /** Of those left, by what a job may ask for: type, zone and whether it is a spot machine. */
-    private final Map<Kind, Integer> kinds = new HashMap<>();
-    /** Until when machines of which the registry cannot be read may hold anything; negative while there are none. */
+    private int initialCount;
+    /** Time of the last verification or addition. */
+    private long lastChangeAt;
+    /** Numbers of unverified machines by the properties that a job can restrict. */
+    private final Map<MachineKind, Integer> countsByKind = new HashMap<>();
+    /** Time until which the machines of unreadable registry pages may hold any task; negative if there are none. */
     private long unreadableUntil = -1;
 
-    private record Kind(String type, String zone, boolean spot) {
-        Kind(Machine machine) {
+    private record MachineKind(String type, String zone, boolean spot) {
+        MachineKind(Machine machine) {
             this(machine.type(), machine.zone(), machine.spot());
         }
 
@@ -40,78 +40,80 @@
 
     void add(Machine machine) {
         machine.unverified(true);
-        lastAt = context.loop().now();
+        lastChangeAt = context.loop().now();
         left++;
-        asked++;
-        kinds.merge(new Kind(machine), 1, Integer::sum);
+        initialCount++;
+        countsByKind.merge(new MachineKind(machine), 1, Integer::sum);
     }
 
-    /** A page of the registry cannot be read: its machines may hold anything until then, when their leases are over. */
-    void unreadable(long until) {
+    /** Records an unreadable registry page: its machines may hold any task until their leases expire at {@code until}. */
+    void recordUnreadablePages(long until) {
         if (unreadableUntil < 0) {
             left++;
-            asked++;
+            initialCount++;
         }
         unreadableUntil = Math.max(unreadableUntil, until);
     }
 
-    boolean unreadable() {
+    boolean hasUnreadablePages() {
         return unreadableUntil >= 0;
     }
 
-    /** True once, when the leases of unreadable machines are over. */
-    boolean unreadableExpired(long now) {
-        if (!unreadable() || now <= unreadableUntil) {
+    /** Returns true once, when the leases of the machines of unreadable pages have expired. */
+    boolean expireUnreadablePages(long now) {
+        if (!hasUnreadablePages() || now <= unreadableUntil) {
             return false;
         }
         unreadableUntil = -1;
-        oneLess();
+        decrement();
         return true;
     }
 
-    long lastAt() {
-        return lastAt;
+    long lastChangeAt() {
+        return lastChangeAt;
     }
 
-    /** How many there were to be accounted for. */
-    int asked() {
-        return asked;
+    /** Returns the number of machines that had to be verified; all unreadable pages together count as one. */
+    int initialCount() {
+        return initialCount;
     }
 
     /**
-     * True if a machine that is not accounted for could hold tasks like this: no leader has ever started one where its
-     * job does not allow it.
+     * Returns true if an unverified machine could hold tasks of such a job: leaders start tasks only on machines that the job
+     * allows.
      */
     boolean mayHold(JobSpec spec) {
-        if (unreadable()) {
+        if (hasUnreadablePages()) {
             return true;
         }
-        for (Kind kind : kinds.keySet()) {
-            if (kind.allowedBy(spec)) {
+        for (MachineKind machineKind : countsByKind.keySet()) {
+            if (machineKind.allowedBy(spec)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** How many machines are not accounted for. */
+    /** Returns the number of unverified machines; all unreadable pages together count as one. */
     int left() {
         return left;
     }
 
+    /** Records that a machine is fenced, expired or gone; verified machines are ignored. */
     void accounted(Machine machine) {
         if (machine.unverified()) {
             machine.unverified(false);
-            kinds.computeIfPresent(new Kind(machine), (kind, count) -> count == 1 ? null : count - 1);
-            oneLess();
+            countsByKind.computeIfPresent(
+                    new MachineKind(machine), (machineKind, count) -> count == 1 ? null : count - 1);
+            decrement();
         }
     }
 
-    private void oneLess() {
+    private void decrement() {
         left--;
-        lastAt = context.loop().now();
+        lastChangeAt = context.loop().now();
         if (left == 0) {
-            LOG.info("reconciliation complete: machines={}", asked);
+            LOG.info("reconciliation complete, machines={}", initialCount);
         }
         context.events().changed();
     }
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.landingridge.wire.Heartbeat;
 
-/** Which heartbeats are newer than what is known, and which come from an earlier process of the worker. */
+/** Checks which heartbeats count as newer than the known ones, and which come from an earlier incarnation of the worker. */
 class IncarnationTest {
     private final Incarnation incarnation = new Incarnation();
 
@@ -24,9 +24,9 @@
     }
 
     @Test
-    @DisplayName("a heartbeat is newer by its session, and within one by its sequence number")
-    void newer() {
-        assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "nothing is known");
+    @DisplayName("a heartbeat is newer by its session, and within a session by its sequence number")
+    void heartbeatIsNewerBySessionThenBySequenceNumber() {
+        assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "no heartbeat is known yet");
         accept(heartbeat(2, 10, 5));
         assertTrue(incarnation.precedes(heartbeat(2, 11, 5)));
         assertTrue(incarnation.precedes(heartbeat(3, 1, 5)));
@@ -35,8 +35,8 @@
     }
 
     @Test
-    @DisplayName("once the lease is over nothing of the session counts")
-    void endSession() {
+    @DisplayName("once the lease has expired, no further heartbeat of the session counts")
+    void heartbeatsOfEndedSessionAreIgnored() {
         accept(heartbeat(2, 10, 5));
         incarnation.endSession();
         assertFalse(incarnation.precedes(heartbeat(2, 99, 5)));
@@ -44,25 +44,25 @@
     }
 
     @Test
-    @DisplayName("after a restart only a higher token tells the worker from its earlier incarnation")
-    void restart() {
+    @DisplayName("after a restart, only a higher token distinguishes the worker from its earlier incarnation")
+    void afterRestartOnlyHigherTokenIdentifiesNewIncarnation() {
         accept(heartbeat(2, 10, 5));
         incarnation.restart(5);
         assertTrue(incarnation.follows(heartbeat(9, 99, 5)));
-        assertFalse(incarnation.showable(5));
-        assertTrue(incarnation.showable(6));
+        assertFalse(incarnation.isDistinguishedBy(5));
+        assertTrue(incarnation.isDistinguishedBy(6));
         assertFalse(incarnation.follows(heartbeat(1, 1, 6)));
         incarnation.begin();
         assertFalse(incarnation.restarted());
         assertEquals(-1, incarnation.session());
         assertEquals(0, incarnation.token());
         assertTrue(incarnation.precedes(heartbeat(1, 1, 6)));
-        assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier one never count");
+        assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
     }
 
     @Test
     @DisplayName("a restart begins once and ends once")
-    void transitions() {
+    void restartBeginsAndEndsOnce() {
         assertThrows(IllegalStateException.class, incarnation::begin);
         incarnation.restart(1);
         assertThrows(IllegalStateException.class, () -> incarnation.restart(2));
