--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -9,12 +9,15 @@
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.wire.JobSpec;
 
-/** A job with its tasks, for as long as the leader works on it. */
+/** A job that is neither done nor cancelled, with the states of its tasks, in the memory of the leader. */
 public final class ActiveJob {
-    /** SOUND: nothing speaks against it. DOUBTED: a task has failed. BROKEN: it fails wherever it is tried. */
+    /** What the failures of a job's tasks say about the job. */
     public enum Health {
+        /** No task has failed since the last success. */
         SOUND,
+        /** A task has failed since the last success, and the cause is not known yet. */
         DOUBTED,
+        /** The job fails on every machine that it is tried on. */
         BROKEN
     }
 
@@ -23,31 +26,36 @@
     private final boolean own;
     private final long since;
     /**
-     * Tasks that something has happened to. The others wait or are stored as done, and take no memory: the largest
-     * arrays have 100,000, of which few are on machines at a time.
+     * Tasks by index, without those that have never been placed and those stored as done. Untracked tasks take no memory:
+     * the largest array jobs have 100,000 tasks, few of which are on machines at a time.
      */
     private final Int2ObjectHashMap<Task> touched = new Int2ObjectHashMap<>();
 
-    /** Tasks by their state. */
+    /** Number of tasks in each state. */
     private int pending;
 
     private int onMachine;
     private int finished;
     private int done;
-    /** Where the search for a waiting task goes on. */
+    /** Index of the task at which the search for a pending task continues. */
     private int next;
 
     private Health health = Health.SOUND;
-    /** Exits with an error since the last success. */
+    /** Number of tasks that ended with an error since the last success. */
     private int failures;
-    /** The machines on which they were. */
+    /** Identifiers of the machines on which tasks failed since the last success. */
     private final Set<String> failedOn = new LinkedHashSet<>();
-    /** One of its tasks has completed in this leader term. */
+    /** True once a task of the job has completed in this leader term. */
     private boolean succeeded;
 
     private long notBefore;
 
-    /** @param own accepted after the leader was elected, so no earlier leader can have started any of its tasks */
+    /**
+     * Creates a job whose tasks are pending, except those that are stored as done.
+     *
+     * @param own true if the job was accepted in this leader term, so that no earlier leader can have started its tasks
+     * @param now time of the event loop, in milliseconds
+     */
     ActiveJob(Job job, boolean own, long now) {
         this.job = job;
         this.spec = job.spec();
@@ -57,27 +65,27 @@
         pending = job.tasks() - done;
     }
 
-    /** Identifier of the job. */
+    /** Returns the identifier of the job. */
     public String id() {
         return job.id();
     }
 
-    /** What is stored of it. */
+    /** Returns the job as it is stored. */
     public Job job() {
         return job;
     }
 
-    /** What its user asked for. */
+    /** Returns the specification that the user submitted. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** Number of tasks. */
+    /** Returns the number of tasks. */
     public int size() {
         return job.tasks();
     }
 
-    /** The task of this number, or null where the job has none. */
+    /** Returns the task with this index, or null if the job has no such task. */
     public Task task(int index) {
         if (index < 0 || index >= size()) {
             return null;
@@ -90,12 +98,12 @@
         return task;
     }
 
-    /** The tasks that something has happened to. */
+    /** Returns the tasks that have been placed, reported or looked up by index, without those stored as done. */
     public List<Task> touched() {
         return new ArrayList<>(touched.values());
     }
 
-    /** Number of tasks in that state. */
+    /** Returns the number of tasks in a state. */
     public int count(Task.State state) {
         return switch (state) {
             case PENDING -> pending;
@@ -105,32 +113,32 @@
         };
     }
 
-    /** What its failures say of it. */
+    /** Returns what the failures since the last success say about the job. */
     public Health health() {
         return health;
     }
 
-    /** Time of the event loop, in milliseconds, before which none of its tasks is started. */
+    /** Returns the time of the event loop, in milliseconds, before which no task of the job is started. */
     public long notBefore() {
         return notBefore;
     }
 
-    /** True if it was accepted in this leader term. */
+    /** Returns whether the job was accepted in this leader term. */
     boolean own() {
         return own;
     }
 
-    /** Since when this leader works on it. */
+    /** Returns when this leader added the job, as a time of the event loop in milliseconds. */
     long since() {
         return since;
     }
 
-    /** True if nothing has happened to the task yet, and it is not done. */
+    /** Returns whether the task is pending and has never been placed, reported or looked up. */
     boolean untouched(int index) {
         return !done(index) && !touched.containsKey(index);
     }
 
-    /** The number of the task to look at next, in a circle over all of them. */
+    /** Returns the index of the task to examine next, and moves on; after the last task comes the first. */
     int advance() {
         int index = next;
         next = (index + 1) % size();
@@ -149,23 +157,22 @@
         return succeeded;
     }
 
-    /** None of its tasks is started before then. */
+    /** Starts no task of the job before a time of the event loop, in milliseconds. */
     void pauseUntil(long time) {
         notBefore = time;
     }
 
-    /** One of its tasks has ended with an error on the machine; its health follows by {@link #judged}. */
+    /** Records that a task ended with an error on the machine; the caller then updates the health by {@link #judged}. */
     void failed(String machine) {
         failedOn.add(machine);
         failures++;
     }
 
-    /** What its failures say of it has changed, or not. */
     void judged(Health next) {
         health = next;
     }
 
-    /** One of its tasks has completed. */
+    /** Records that a task completed, which clears the failures. */
     void completed() {
         failedOn.clear();
         failures = 0;
@@ -173,7 +180,7 @@
         health = Health.SOUND;
     }
 
-    /** One of its tasks has changed its state. */
+    /** Updates the counts after a task changed its state; a task stored as done is no longer tracked. */
     void moved(Task task, Task.State from, Task.State to) {
         add(from, -1);
         add(to, 1);
--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.landingridge.controller.jobs.Job;
 
-/** The jobs that the leader works on, in the order of their acceptance. */
+/** The jobs that are neither done nor cancelled, in the order of their acceptance. */
 final class ActiveJobs {
     private final FleetContext context;
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
@@ -19,7 +19,7 @@
         return jobs.values();
     }
 
-    /** The job of that name, or null if it is not worked on. */
+    /** Returns the job with this identifier, or null if it is not active. */
     ActiveJob get(String id) {
         return jobs.get(id);
     }
@@ -28,13 +28,13 @@
         return jobs.containsKey(id);
     }
 
-    /** A job is accepted, or was when this leader term began. */
+    /** Adds a job that has just been accepted, or that was stored as active when this leader term began. */
     void accept(Job job) {
         jobs.put(job.id(), new ActiveJob(job, job.created() > context.token(), context.now()));
         context.events().changed();
     }
 
-    /** A job is done or cancelled: nothing of it may stay on a machine. */
+    /** Removes a job that is done or cancelled, and stops its attempts on all machines. */
     void end(Job job, MachineTable machines, CommandDispatcher dispatcher) {
         jobs.remove(job.id());
         for (Machine machine : machines.all()) {
@@ -51,7 +51,8 @@
             if (attempt.jobId().equals(job.id())) {
                 attempt.disown();
                 if (job.status() == Job.Status.CANCELLED) {
-                    // Its user may have been answered at any time since all cancellations were known last.
+                    // The cancellation may have been confirmed to the user at any time since this leader last knew all
+                    // of them.
                     attempt.offBy(context.leadership().freshnessDeadline());
                 }
                 any = true;
@@ -60,7 +61,7 @@
         return any;
     }
 
-    /** Names of the jobs, ended ones included, of which an attempt is or may be on a machine. */
+    /** Returns the identifiers of all jobs, ended ones included, of which an attempt is or may be on a machine. */
     static Set<String> idsOn(MachineTable machines) {
         Set<String> ids = new HashSet<>();
         for (Machine machine : machines.all()) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -5,24 +5,30 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * One try of a task on one machine, from the moment its start may be sent until it is certainly over. Times are the event
- * loop's, in milliseconds.
+ * One attempt to run a task on one machine, from its placement until it certainly is no longer on the machine. Times are
+ * those of the event loop, in milliseconds.
  */
 public final class Attempt {
-    /** SENT: start given, not yet seen in a heartbeat. OVER: certainly not on the machine any more. */
+    /** States of an attempt, as far as this leader knows them. */
     public enum State {
+        /** Its start is to be sent or was sent; no heartbeat has shown it yet. */
         SENT,
+        /** The machine fetches its image. */
         FETCHING,
+        /** It runs. */
         RUNNING,
+        /** It was told to stop and saves its progress. */
         SAVING,
+        /** It has ended, or the worker refused it; the worker still reports it. */
         EXITED,
+        /** It certainly is no longer on the machine. */
         OVER
     }
 
     private static final long NEVER = Long.MIN_VALUE / 2;
-    /** A call that was not answered by now may be lost. */
+    /** A start sent in a direct call is left out of heartbeat answers for this long; after that the call may be lost. */
     private static final long CROSSING_MS = 300;
-    /** A stop is not repeated straight to the machine sooner. */
+    /** Least time between the last stop and its repetition in a direct call. */
     private static final long STOP_PAUSE_MS = 1_000;
 
     private final String job;
@@ -31,37 +37,41 @@
     private final Machine machine;
     private final JobSpec spec;
     private final long since;
-    /** The task that this attempt stands for; null if it is to be got rid of (job over, or not ours). */
+    /** The task that this attempt runs; null once it is detached (the job has ended, or another attempt counts). */
     private Task owner;
 
     private State state = State.SENT;
     private ExitCause cause = ExitCause.UNSTATED;
     private long runningSince;
-    /** The newest heartbeat that shows it, -1 if none does. */
+    /** Sequence number of the newest heartbeat or call reply that shows the attempt, -1 if none does. */
     private long reportedWith = -1;
 
-    /** The heartbeat in whose answer the start was last sent, -1 if in none. */
+    /** Sequence number of the heartbeat whose answer last carried the start, -1 if none did. */
     private long sentWithReport = -1;
-    /** When the start was last sent straight to the machine in a call that is still out. */
+    /** When the start was sent in a direct call that is still in flight. */
     private long directAt = NEVER;
-    /** Token of a direct start that got no answer and so may still arrive; 0 if there is none. */
+    /** Fencing token of a direct call with the start that was not answered and may still arrive; 0 if there is none. */
     private long unansweredUnder;
-    /** Token of the last start that was sent straight to the machine, 0 if none was: a copy of it may come late. */
+    /** Fencing token of the last direct call with the start, 0 if there was none: a duplicate may arrive late. */
     private long directUnder;
 
     private boolean stopWanted;
     private double graceS;
     private long stopSentAt = NEVER;
-    /** Its job is cancelled: from then on its machine's lease may not be renewed while a start of it may still arrive. */
+    /** Set when its job is cancelled: from then on the machine's lease is not renewed while the start may still arrive. */
     private long offBy = Long.MAX_VALUE;
 
-    /** An attempt that this leader starts. */
+    /** Creates an attempt that this leader starts. */
     Attempt(Machine machine, Task task, long number, long now) {
         this(machine, task.job().id(), task.index(), number, task.job().spec(), now);
         owner = task;
     }
 
-    /** An attempt that an earlier leader has started, as a heartbeat shows it; {@code spec} is null if its job is not known. */
+    /**
+     * Creates an attempt that a heartbeat shows and an earlier leader started.
+     *
+     * @param spec the specification of its job, null if the job is not known
+     */
     Attempt(Machine machine, Heartbeat.Entry entry, JobSpec spec, long now) {
         this(machine, entry.job(), entry.task(), entry.attempt(), spec, now);
     }
@@ -75,47 +85,47 @@
         this.since = now;
     }
 
-    /** What it does, as far as this leader knows. */
+    /** Returns the state, as far as this leader knows it. */
     public State state() {
         return state;
     }
 
-    /** The machine that it is or may be on. */
+    /** Returns the machine that the attempt is or may be on. */
     public Machine machine() {
         return machine;
     }
 
-    /** What its task takes; null if its job is not known any more. */
+    /** Returns the specification of its job, or null if the job is no longer known. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** True if it is to stop. */
+    /** Returns whether the attempt is to stop. */
     public boolean stopWanted() {
         return stopWanted;
     }
 
-    /** The task that it stands for; null if it is to be got rid of. */
+    /** Returns the task that the attempt runs, or null if it is detached from its task. */
     public Task owner() {
         return owner;
     }
 
-    /** When this leader started it or first saw it. */
+    /** Returns when this leader placed the attempt or first saw it. */
     public long since() {
         return since;
     }
 
-    /** Identifier of its job. */
+    /** Returns the identifier of its job. */
     public String jobId() {
         return job;
     }
 
-    /** When it was first seen to run, 0 if it was not. */
+    /** Returns when the attempt was first seen running, or 0 if it was not. */
     public long runningSince() {
         return runningSince;
     }
 
-    /** True while it takes room on its machine. */
+    /** Returns whether the attempt uses capacity of its machine. */
     public boolean live() {
         return state != State.EXITED && state != State.OVER;
     }
@@ -136,7 +146,7 @@
         return job + "/" + task + "#" + number;
     }
 
-    /** The only place where an attempt changes its state. */
+    /** Changes the state; every state change goes through here. */
     void to(State next, long now) {
         if (next == state) {
             return;
@@ -150,18 +160,18 @@
         state = next;
     }
 
-    /** Its worker says that it has ended. */
+    /** Records that the worker reports the end of the attempt. */
     void exit(ExitCause why, long now) {
         to(State.EXITED, now);
         cause = why;
     }
 
-    /** It stands for that task; null if for none any more. */
+    /** Sets the task that the attempt runs; null detaches the attempt. */
     void owner(Task next) {
         owner = next;
     }
 
-    /** The newest heartbeat that shows it, -1 if none does. */
+    /** Returns the sequence number of the newest heartbeat or call reply that shows the attempt, or -1. */
     long reportedWith() {
         return reportedWith;
     }
@@ -170,55 +180,55 @@
         reportedWith = seq;
     }
 
-    // ---- its start on the way ----
+    // ---- the start in transit ----
 
-    /** The heartbeat in whose answer the start was last sent, -1 if in none. */
+    /** Returns the sequence number of the heartbeat whose answer last carried the start, or -1. */
     long sentWithReport() {
         return sentWithReport;
     }
 
-    /** The start goes out in the answer to that heartbeat. */
+    /** Records that the answer to a heartbeat carries the start. */
     void sentWithReport(long seq) {
         sentWithReport = seq;
     }
 
-    /** True if its start may still have to go straight to the machine. */
+    /** Returns whether the start is still to be sent in a direct call. */
     boolean directStartDue() {
         return state == State.SENT && !stopWanted && sentWithReport < 0 && unansweredUnder == 0;
     }
 
-    /** True if its start is to go into an answer; one that crosses that answer on a call is not repeated. */
+    /** Returns whether the start is to be sent in a heartbeat answer; a recent direct call with it is not duplicated. */
     boolean answeredStartDue(long now) {
         return state == State.SENT && !stopWanted && now - directAt > CROSSING_MS;
     }
 
-    /** The start goes out in a call under that token. */
+    /** Records that a direct call under a fencing token carries the start. */
     void directCallBegun(long now, long token) {
         directAt = now;
         directUnder = token;
     }
 
-    /** That call is over. */
+    /** Records that the direct call has ended, answered or not. */
     void directCallOver() {
         directAt = NEVER;
     }
 
-    /** Nobody knows whether the call under that token arrived, or still will. */
+    /** Records that a direct call was not answered: the start may have arrived or may arrive later. */
     void directCallLost(long token) {
         unansweredUnder = token;
     }
 
-    /** Token of a direct start that got no answer and so may still arrive; 0 if there is none. */
+    /** Returns the fencing token of an unanswered direct call whose start may still arrive, or 0. */
     long unansweredUnder() {
         return unansweredUnder;
     }
 
-    /** True if a direct start that got no answer may still arrive. */
+    /** Returns whether the start in an unanswered direct call may still arrive. */
     boolean startMayArrive() {
         return unansweredUnder != 0;
     }
 
-    /** The machine has shown a token: a start under a lower one is not carried out any more. */
+    /** Records a fencing token that the machine has shown: it ignores a start under a lower one. */
     void tokenShown(long token) {
         if (unansweredUnder != 0 && token > unansweredUnder) {
             unansweredUnder = 0;
@@ -226,27 +236,27 @@
     }
 
     /**
-     * True if a late copy of its start could run it once more, should its machine forget it: token and session match for as
-     * long as the machine has seen no higher token.
+     * Returns whether a late duplicate of the start could run the task again if the machine forgot this attempt. Token and
+     * session of the duplicate still match until the machine has seen a higher token.
      */
     boolean copyCouldRun() {
         return directUnder != 0 && machine.incarnation().token() <= directUnder;
     }
 
-    /** True if it ended and could be run once more by a copy of a start under that token. */
+    /** Returns whether the attempt has ended and a late duplicate of its start under this token could run it again. */
     boolean keptUnder(long token) {
         return state == State.EXITED && copyCouldRun() && directUnder == token;
     }
 
-    // ---- its stop ----
+    // ---- the stop ----
 
-    /** It is to stop, with so many seconds to save. */
+    /** Requests a stop, with a grace period in seconds to save progress. */
     void requestStop(double seconds) {
         stopWanted = true;
         graceS = seconds;
     }
 
-    /** It stands for no task any more and is to stop at once, even if it was given time to save before. */
+    /** Detaches the attempt from its task and requests an immediate stop, even if it had a grace period before. */
     void disown() {
         owner = null;
         requestStop(0);
@@ -257,7 +267,7 @@
         return graceS;
     }
 
-    /** True if a stop is to be sent now, straight or in an answer. */
+    /** Returns whether a stop is to be sent now, in a direct call or in a heartbeat answer. */
     boolean stopDue(boolean direct, long now) {
         return stopWanted && state != State.SENT && (!direct || now - stopSentAt > STOP_PAUSE_MS);
     }
@@ -266,12 +276,12 @@
         stopSentAt = now;
     }
 
-    /** From then on its machine's lease may not be renewed while a start of it may still arrive. */
+    /** Sets the time from which the machine's lease is not renewed while the start may still arrive. */
     void offBy(long time) {
         offBy = time;
     }
 
-    /** True if only the end of the machine's session still keeps its start from being too late. */
+    /** Returns whether the start may still arrive after its deadline, which only the end of the machine's session prevents. */
     boolean mustLapse(long now) {
         return state == State.SENT && unansweredUnder != 0 && now >= offBy;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -14,20 +14,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What becomes of attempts: placed, seen, over; each change of theirs and of their tasks begins here. */
+/** Follows attempts from placement to release: every state change of an attempt and of its task begins here. */
 final class AttemptTracker {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** Numbers of attempts: the token in the upper bits, a count in so many lower ones. */
+    /** Low bits of an attempt number, which hold a count; the upper bits hold the fencing token. */
     private static final int COUNT_BITS = 22;
-    /** A machine that refuses a start gets none for so long. */
+    /** How long a machine that refused a start is sent no other. */
     private static final long AVOID_AFTER_REFUSAL_MS = 1_000;
-    /** And the job that was refused starts nothing for so long. */
+    /** How long no task is started of a job of which a start was refused. */
     private static final long PAUSE_AFTER_REFUSAL_MS = 500;
 
     private final FleetContext context;
     private final FailureAttribution failures;
     private final ActiveJobs jobs;
-    /** What the tasks of ended jobs take. */
+    /** Looks up the specification of an ended job by its identifier; null if the job is not known. */
     private final Function<String, JobSpec> endedSpecs;
 
     private long count;
@@ -40,7 +40,7 @@
         this.failures = failures;
     }
 
-    /** Places a task; its start is still to be sent. */
+    /** Places a task on a machine; its start is still to be sent. */
     void place(Task task, Machine machine) {
         long number = (context.token() << COUNT_BITS) + ++count;
         Attempt attempt = new Attempt(machine, task, number, context.now());
@@ -50,7 +50,7 @@
         LOG.debug("placing {} on {}", attempt.name(), machine.id());
     }
 
-    /** Stops an attempt so that its room is freed; the task becomes pending once it is certainly off. */
+    /** Requests a stop of an attempt to free its capacity; the task becomes pending once it certainly is off the machine. */
     void stop(Attempt attempt, double graceS) {
         if (!attempt.stopWanted()) {
             LOG.debug("stopping {} on {}", attempt.name(), attempt.machine().id());
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Takes over an attempt that an earlier leader has started. */
+    /** Adds an attempt that a heartbeat shows and an earlier leader started, and adopts or stops it. */
     Attempt adopt(Machine machine, Heartbeat.Entry entry, long now) {
         ActiveJob job = jobs.get(entry.job());
         Task task = job == null ? null : job.task(entry.task());
@@ -84,7 +84,7 @@
                         decision.reason().text());
                 attempt.requestStop(0);
             }
-            // An attempt that failed is still evidence on its job and its machine.
+            // The end of a failed attempt still counts as evidence about its job and its machine.
             default -> attempt.owner(said == ReportedAttempt.ENDED ? task : null);
         }
         if (entry.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
@@ -103,10 +103,9 @@
     }
 
     /**
-     * Takes the attempt for the one by which the task is on a machine. Where another was known until now, that was over when
-     * this one was started: it stands in an old heartbeat. Else the one that runs would be stopped for it, and the task
-     * started once more as soon as a newer heartbeat lacks the old one, beside the one that runs for as long as the stop does
-     * not reach it.
+     * Records the attempt as the one by which the task is on a machine. An attempt known before had ended when this one was
+     * started: it came from an outdated heartbeat. If the old one were kept, the running attempt would be stopped, and the
+     * task would be started again once a newer heartbeat lacks the old one. Both would run until the stop arrives.
      */
     private static void assign(Task task, Attempt attempt) {
         Attempt earlier = task.attempt();
@@ -121,7 +120,10 @@
         task.placed(attempt);
     }
 
-    /** Numbers only grow, from leader to leader and within a leader term, and a task is started where none of its attempts can run. */
+    /**
+     * Returns what this leader knows of the task of a reported attempt. Attempt numbers grow from leader to leader and within
+     * a leader term, and a task is started only when none of its earlier attempts can still run: the higher number is later.
+     */
     private static KnownTask known(Task task, Attempt attempt) {
         return task == null
                 ? KnownTask.NONE
@@ -136,7 +138,7 @@
                 };
     }
 
-    /** The newest heartbeat shows the attempt. */
+    /** Updates an attempt that the newest heartbeat or call reply shows. */
     void seen(Attempt attempt, Heartbeat.Entry entry, long now) {
         if (attempt.state() == Attempt.State.EXITED) {
             return;
@@ -216,15 +218,22 @@
         task.job().pauseUntil(now + PAUSE_AFTER_REFUSAL_MS);
     }
 
-    /** The newest heartbeat, or answer to a call, lacks an attempt that may be on the machine. */
+    /**
+     * Releases an attempt that the newest heartbeat or call reply does not show, if it can no longer be on the machine.
+     *
+     * @param hello true for a heartbeat, false for the reply to a call
+     */
     void missing(Attempt attempt, Heartbeat heartbeat, boolean hello) {
         if (attempt.state() != Attempt.State.SENT) {
-            // Seen before and now absent in the same session: it was forgotten on command.
+            // Shown before and absent now in the same session: the worker has forgotten it on command.
             release(attempt, "no longer reported");
             return;
         }
-        // A start that no heartbeat shows may still be on its way. One given in an answer is over with the next
-        // heartbeat (the worker has one in flight, and drops late answers); one sent straight is over when the call is.
+        // A start that no heartbeat shows may still be in transit. A start in a heartbeat answer cannot arrive any more
+        // once
+        // the next heartbeat has come (the worker has one in flight and drops late answers); a start in a direct call
+        // cannot
+        // once the call has ended.
         boolean covered = hello
                 && heartbeat.seq() > attempt.sentWithReport()
                 && !attempt.startMayArrive()
@@ -234,7 +243,7 @@
         }
     }
 
-    /** None of the machine's attempts is on it any more. */
+    /** Releases all attempts of a machine that certainly holds none of them any more. */
     void releaseAll(Machine machine, String why) {
         for (Attempt attempt : new ArrayList<>(machine.attempts().values())) {
             release(attempt, why);
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -2,7 +2,7 @@
 
 import org.landingridge.wire.Commands;
 
-/** Composes what a machine is to do now: stops and deletions first, then starts. */
+/** Composes the commands for a machine: stops and deletions first, then starts. */
 final class CommandComposer {
     private final FleetContext context;
     private final ActiveJobs jobs;
@@ -12,7 +12,7 @@
         this.jobs = jobs;
     }
 
-    /** Commands for the answer to the machine's heartbeat of that sequence number. */
+    /** Returns the commands for the answer to the machine's heartbeat with this sequence number. */
     Commands answer(Machine machine, long seq) {
         Commands commands = new Commands();
         if (!machine.fenced() || !machine.registered()) {
@@ -38,7 +38,7 @@
         return commands;
     }
 
-    /** Commands for a call straight to the machine. */
+    /** Returns the commands for a direct call to the machine. */
     Commands direct(Machine machine) {
         Commands commands = new Commands();
         if (!machine.fenced() || !machine.registered()) {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * What is over has to end whether or not this leader may start anything here: between a failover and the heartbeat that
-     * shows the token half a lease can pass, and in an outage no row is written.
+     * Stops detached attempts on a machine where this leader may not start anything yet. After a failover, half a lease can
+     * pass before a heartbeat shows the token, and during an outage of the state service no registry row is written.
      */
     private static void stopUnowned(Machine machine, Commands commands) {
         for (Attempt attempt : machine.attempts().values()) {
@@ -78,7 +78,7 @@
     private void forgetEnded(Attempt attempt, Commands commands) {
         Task owner = attempt.owner();
         boolean unstored = owner != null && owner.state() == Task.State.FINISHED && jobs.contains(attempt.jobId());
-        // A start that may still arrive would run once more if the machine forgot the attempt.
+        // If the machine forgot the attempt, a start that arrives late would run the task again.
         if (!unstored && !attempt.startMayArrive() && !attempt.copyCouldRun()) {
             commands.forget(attempt.jobId(), attempt.task(), attempt.number());
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -9,26 +9,28 @@
 import org.landingridge.wire.Commands;
 import org.landingridge.wire.Heartbeat;
 
-/** Sends commands straight to machines where that is quicker than the answer to their next heartbeat. */
+/** Sends commands to machines in direct calls, which is faster than to wait for their next heartbeat. */
 final class CommandDispatcher {
-    /** A call is over after so long, answered or not. */
+    /** Timeout of a direct call. */
     static final long CALL_MS = 1_500;
 
     private static final long PAUSE_AFTER_NO_ANSWER_MS = 3_000;
-    /** Pause after an answer that could not be used. */
+    /** Pause after a reply that is malformed, has an unexpected status or is outdated. */
     private static final long PAUSE_AFTER_OUTDATED_MS = 500;
-    /** What was decided during a call is sent so long after its answer. */
+    /** Delay from the reply to a call until the next call, which sends what was decided meanwhile. */
     private static final long NEXT_CALL_MS = 20;
-    /** Calls at a time take this part of the connections at most, and never fewer than so many. */
+    /** Direct calls use at most one connection in this many. */
     private static final int CALL_SHARE = 8;
 
+    /** Lower bound of the limit on concurrent calls, even if there are few connections. */
     private static final int LEAST_CALLS = 12;
 
     private final FleetContext context;
     private final HeartbeatHandler heartbeats;
     private final CommandComposer composer;
+    /** Machines that wait for a call, in the order of the decisions. */
     private final Set<Machine> touched = new LinkedHashSet<>();
-    /** Commands sent straight to machines at a time; more wait for one that is over, the first decided first. */
+    /** Limit on concurrent calls; other machines wait for a call to end, in the order of the decisions. */
     private final int mostCalls;
 
     private int calls;
@@ -41,17 +43,17 @@
         this.mostCalls = Math.max(LEAST_CALLS, maxConnections / CALL_SHARE);
     }
 
-    /** Nothing is sent any more. */
+    /** Stops sending; replies that still arrive are ignored. */
     void close() {
         closed = true;
     }
 
-    /** Something was decided about the machine: it is sent with the next {@link #flush}. */
+    /** Notes that a decision about the machine is to be sent with the next {@link #flush}. */
     void touch(Machine machine) {
         touched.add(machine);
     }
 
-    /** Sends what has been decided, straight to the machines that need it; what can't be sent now waits for a tick. */
+    /** Sends the decisions since the last flush in direct calls; what cannot be sent now waits for a tick. */
     void flush() {
         Iterator<Machine> next = touched.iterator();
         while (calls < mostCalls && next.hasNext()) {
@@ -61,7 +63,7 @@
         }
     }
 
-    /** Sends the machine what it is to do now, if there is anything and it can be reached. */
+    /** Sends the machine its commands if there are any and it can be called; waits if too many calls are in flight. */
     void call(Machine machine) {
         long now = context.now();
         if (closed || !callable(machine, now)) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
@@ -1,9 +1,12 @@
 package org.landingridge.controller.fleet;
 
-/** Calls straight to one machine: at most one is out at a time. Times are the event loop's, in milliseconds. */
+/**
+ * State of the direct calls to one machine, of which at most one is in flight. Times are those of the event loop, in
+ * milliseconds.
+ */
 final class DirectCalls {
     private boolean inFlight;
-    /** Calls in a row that it has not answered since it was last heard. */
+    /** Number of unanswered calls since the last message from the machine. */
     private int unanswered;
 
     private long commandsNotBefore;
@@ -25,23 +28,23 @@
         inFlight = false;
     }
 
-    /** The machine was heard, in whatever way. */
+    /** Records a message from the machine, in a heartbeat or in a reply. */
     void heard() {
         unanswered = 0;
     }
 
-    /** Commands were not answered; the next are sent no sooner than {@code retryAt}. */
+    /** Records that a call with commands was not answered; the next is sent at {@code retryAt} at the earliest. */
     void commandsUnanswered(long retryAt) {
         unanswered++;
         commandsNotBefore = retryAt;
     }
 
-    /** The next commands are sent no sooner than {@code until}. */
+    /** Sends no commands before {@code until}. */
     void pauseCommands(long until) {
         commandsNotBefore = until;
     }
 
-    /** A probe was not answered; the next is sent no sooner than {@code retryAt}. */
+    /** Records that a probe was not answered; the next is sent at {@code retryAt} at the earliest. */
     void probeUnanswered(long retryAt) {
         unanswered++;
         probeNotBefore = retryAt;
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
@@ -4,25 +4,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whose fault an error is, the job's or the machine's, by the evidence of both sides. A job that fails on several machines
- * and has not succeeded since is taken to be broken: it was submitted with a mistake, which no machine can help. A machine on
- * which jobs fail that succeed elsewhere, or several jobs one after the other, is faulty. Until one of the two is known the
- * machine is avoided for a while, and the job waits a little.
+ * Attributes errors to the job or to the machine, by the failures and successes of both. A job that fails on several machines
+ * without a success in between counts as broken: it was submitted with a mistake, so it fails on any machine. A machine counts
+ * as faulty when jobs fail on it that succeed elsewhere, or when several different jobs fail on it without a success in
+ * between. Until the cause is known, the machine gets no tasks for a while and the job is paused briefly.
  */
 final class FailureAttribution {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** A job that has failed on so many machines, without a success since, is broken. */
+    /** Number of machines on which a job fails without a success in between before it counts as broken. */
     static final int MACHINES = 2;
-    /** Or so often at all, where there are not so many machines. */
+    /** Number of failures at which a job counts as broken, on however few machines. */
     static final int TIMES = 6;
-    /** A machine is faulty by so many failures of jobs that succeed elsewhere. */
+    /** Number of failures of jobs that succeed elsewhere at which a machine counts as faulty. */
     static final int PROVEN = 2;
-    /** Or where so many different jobs fail, of which nothing is known. */
+    /** Number of different jobs that fail on a machine at which it counts as faulty, wherever else they succeed or fail. */
     static final int JOBS = 3;
 
+    /** Pause of a job after a failure, until it counts as broken. */
     private static final long PAUSE_MS = 500;
+    /** First pause of a broken job between retries; each further failure doubles it. */
     private static final long PROBE_MS = 2_000;
+
     private static final int MOST_DOUBLINGS = 5;
+
     private final FleetContext context;
     private final MachineTable machines;
 
@@ -31,7 +35,7 @@
         this.machines = machines;
     }
 
-    /** A task of the job ended with an error on the machine. */
+    /** Records that a task of the job ended with an error on the machine. */
     void failed(ActiveJob job, Machine machine, long now) {
         job.failed(machine.id());
         ActiveJob.Health health = health(job.failedOn().size(), job.failures(), job.succeeded());
@@ -40,7 +44,7 @@
         }
         job.judged(health);
         if (health == ActiveJob.Health.BROKEN) {
-            // Bounded, and never for good: a mistake outside the job may be mended.
+            // The pause is bounded and retries go on: the cause may lie outside the job and be repaired.
             job.pauseUntil(now + (PROBE_MS << Math.min(MOST_DOUBLINGS, job.failures() - MACHINES)));
             return;
         }
@@ -49,7 +53,7 @@
     }
 
     private void broken(ActiveJob job, long now) {
-        // What it did there says nothing of the machines any more.
+        // The failures of a broken job are no evidence against the machines.
         for (String id : job.failedOn()) {
             Machine machine = machines.get(id);
             if (machine != null) {
@@ -66,12 +70,12 @@
                 .emit("job_broken", "job", job.id(), "machines", job.failedOn().size());
     }
 
-    /** A task of the job completed on the machine: both have shown that they work. */
+    /** Records that a task of the job completed on the machine, which clears the failures of both. */
     void completed(ActiveJob job, Machine machine) {
         for (String id : job.failedOn()) {
             Machine other = machines.get(id);
             if (other != null && other != machine) {
-                // It failed there and succeeds here: then it was the machine.
+                // The job failed there and succeeds here, so the other machine is at fault.
                 other.failures().implicate(job.id());
             }
         }
@@ -79,7 +83,14 @@
         machine.failures().succeeded();
     }
 
-    /** What the failures since the last success say of a job. */
+    /**
+     * Returns what the failures since the last success say about a job. A job that has succeeded in this leader term counts as
+     * broken only after twice the failures.
+     *
+     * @param machines  number of machines on which the job failed
+     * @param failures  number of failures
+     * @param succeeded true if a task of the job has completed in this leader term
+     */
     static ActiveJob.Health health(int machines, int failures, boolean succeeded) {
         if (failures == 0) {
             return ActiveJob.Health.SOUND;
@@ -90,7 +101,12 @@
                 : ActiveJob.Health.DOUBTED;
     }
 
-    /** True if the failures on a machine since its last success are its own. */
+    /**
+     * Returns whether the failures on a machine since its last success are attributed to the machine.
+     *
+     * @param proven number of failures of jobs that succeed elsewhere
+     * @param jobs   number of different jobs that failed on the machine
+     */
     static boolean faulty(int proven, int jobs) {
         return proven >= PROVEN || jobs >= JOBS;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
@@ -3,42 +3,49 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What has failed on one machine since its last success, and until when it gets no tasks for that. */
+/**
+ * Failures on one machine since its last success, and the time until which it gets no tasks because of them. Times are those of
+ * the event loop, in milliseconds.
+ */
 final class FailureRecord {
+    /** How long a machine gets no tasks after the first error; each further error doubles it. */
     private static final long AVOID_AFTER_ERROR_MS = 5_000;
+
     private static final int MOST_DOUBLINGS = 5;
-    /** A machine that loses starts takes none for so long, and longer each time. */
+
+    /** How long a machine gets no tasks after a lost start, multiplied by the number of lost starts in a row. */
     private static final long AVOID_AFTER_LOST_START_MS = 10_000;
 
+    /** Upper bound of that multiplier. */
     private static final int MOST_LOST_STARTS = 6;
 
-    /** Errors of jobs that are not broken. */
+    /** Number of errors, without those of jobs that were broken already. */
     private int errors;
-    /** The jobs of these errors. */
+    /** Identifiers of the jobs that failed here, or that failed here before and succeeded elsewhere. */
     private final Set<String> jobs = new LinkedHashSet<>();
-    /** How many of them succeed elsewhere. */
+    /** Number of failures of jobs that succeed elsewhere. */
     private int proven;
-    /** Sessions in a row that ended with a start nobody knows to have arrived. */
+    /** Number of sessions in a row that ended with a start of which no heartbeat showed the arrival. */
     private int lostStarts;
 
     private long avoidUntil = Long.MIN_VALUE / 2;
 
-    /** True while the machine gets no tasks. */
+    /** Returns whether the machine gets no tasks at present. */
     boolean avoided(long now) {
         return now < avoidUntil;
     }
 
-    /** The machine gets no tasks until then. */
+    /** Gives the machine no tasks until a time. */
     void avoidUntil(long until) {
         avoidUntil = until;
     }
 
-    /** True if the failures since the last success are the machine's own. */
+    /** Returns whether the failures since the last success are attributed to the machine. */
     boolean faulty() {
         return FailureAttribution.faulty(proven, jobs.size());
     }
 
-    /** A job that is not known to be broken has failed here. */
+    /** Records the failure of a job that does not count as broken. */
     void failed(String job, boolean succeedsElsewhere, long now) {
         jobs.add(job);
         proven += succeedsElsewhere ? 1 : 0;
@@ -46,33 +53,33 @@
         avoidUntil = now + (AVOID_AFTER_ERROR_MS << Math.min(MOST_DOUBLINGS, errors - 1));
     }
 
-    /** The job is broken: its failures here say nothing of the machine. */
+    /** Removes a job that counts as broken: its failures are no evidence against the machine, which may get tasks again. */
     void exonerate(String job, long now) {
         if (jobs.remove(job)) {
             avoidUntil = now;
         }
     }
 
-    /** A job that failed here has succeeded on another machine. */
+    /** Records that a job that failed here has succeeded on another machine. */
     void implicate(String job) {
         jobs.add(job);
         proven++;
     }
 
-    /** A task has completed here. */
+    /** Records that a task completed here, which clears the failures. */
     void succeeded() {
         jobs.clear();
         proven = 0;
         errors = 0;
     }
 
-    /** A session ended with a start that no heartbeat has shown. */
+    /** Records that a session ended with a start that no heartbeat has shown. */
     void startLost(long now) {
         lostStarts++;
         avoidUntil = now + AVOID_AFTER_LOST_START_MS * Math.min(MOST_LOST_STARTS, lostStarts);
     }
 
-    /** A start has arrived. */
+    /** Records that a start has arrived. */
     void startArrived() {
         lostStarts = 0;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -10,9 +10,12 @@
 import org.landingridge.wire.Commands;
 import org.landingridge.wire.Heartbeat;
 
-/** Answers heartbeats, or not: a 200 renews the worker's lease, and only its leader may do that. */
+/** Answers or refuses heartbeats: a 200 renews the worker's lease, so only the leader may send one. */
 final class HeartbeatEndpoint {
-    /** An outdated heartbeat so long after the last one may be the first of a restarted worker; sooner, it has crossed an answer. */
+    /**
+     * An outdated heartbeat this long after the last message may be the first one of a restarted worker; a sooner one was sent
+     * before the reply to a call that arrived first.
+     */
     private static final long DOUBT_MS = 1_000;
 
     private final FleetContext context;
@@ -40,7 +43,7 @@
         this.healthMonitor = healthMonitor;
     }
 
-    /** Answers a heartbeat; the caller has checked that this process leads. */
+    /** Answers a heartbeat; the caller has checked that this process is the leader. */
     void receive(Heartbeat heartbeat, Http.Exchange exchange) {
         Machine known = machines.get(heartbeat.machine());
         Decision decision = Reconciliation.heartbeat(new HeartbeatEvidence(
@@ -48,7 +51,8 @@
                 known == null || known.incarnation().precedes(heartbeat),
                 Token.of(heartbeat.token(), context.leadership().token())));
         if (decision.is(Action.ASK)) {
-            // The worker would drop our 200, and its lease would run out while it stays with us.
+            // The worker has seen a higher token and would drop this controller's 200: its lease would expire
+            // unrenewed.
             context.leadership().suspect();
         }
         if (decision.is(Action.ASK) || decision.reason() == Decision.Reason.GIVEN_BACK) {
@@ -76,29 +80,30 @@
         boolean doubtful = machine.incarnation().outdated() > 1
                 || context.now() - machine.contact().heardAt() > DOUBT_MS;
         if (!merged && doubtful) {
-            // Its answer distinguishes a late heartbeat from a worker that was restarted.
+            // The reply distinguishes a late heartbeat from a restarted worker.
             probe.ask(machine);
         }
         return merged;
     }
 
     /**
-     * A machine of the registry sends heartbeats and shows no token of ours. A worker has one heartbeat in flight and drops
-     * late answers, so whatever we answered before has not reached it: its lease is that of the earlier leader. Otherwise one
-     * that hears nothing, and whose heartbeats all come, would count as alive with what it runs for as long as it is so.
+     * Counts the lease of an unverified machine from the earlier leader's answers, since its heartbeat does not show this
+     * leader's token. A worker has one heartbeat in flight and drops late answers, so no answer of this leader has reached it.
+     * Otherwise the lease of a worker that sends heartbeats but receives nothing would never expire, and its tasks would count
+     * as running all that time.
      */
     private void revertLease(Machine machine, long session) {
         machine.lease().revertToEarlierLeader();
         if (context.now() > healthMonitor.leaseEnds(machine)) {
             leaseExpiry.expire(machine);
-            // Nothing that it said so far counts any more; what it says once it has heard us does.
+            // Disregards the worker until it shows this leader's token.
             machine.incarnation().disregardUntil(context.token(), session);
         }
     }
 
     private void answerMerged(Machine machine, Heartbeat heartbeat, boolean merged, Http.Exchange exchange) {
         if (machine.contact().state() != Contact.State.ANSWERED) {
-            // A later leader may count its lease from before: it must read first that this one is answered again.
+            // A later leader would count the lease from the silence in the machine's row: the row is rewritten first.
             Http.Exchange earlier = machine.contact().park(exchange);
             if (earlier != null) {
                 refuse(earlier, "a newer report has come");
@@ -106,7 +111,7 @@
             return;
         }
         if (mustLapse(machine, context.now())) {
-            // A start that is held up on the way, of a job that is cancelled: only the end of the session stops it now.
+            // A delayed start of a cancelled job may still arrive: only the end of the session can stop it now.
             refuse(exchange, "a start of a cancelled job may still arrive here");
             return;
         }
@@ -114,8 +119,8 @@
     }
 
     /**
-     * True if a start of a cancelled job may still arrive at the machine, and its lease has to run out for that not to be too
-     * late: no higher token could be shown to it in time.
+     * Returns whether a start of a cancelled job may still arrive at the machine after its deadline. The lease then has to
+     * expire, since the machine did not see a higher token in time.
      */
     private static boolean mustLapse(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
@@ -127,7 +132,7 @@
     }
 
     private void answer(Machine machine, Commands commands, Http.Exchange exchange) {
-        // The right is checked last: a 200 renews the lease, so it may only be given by the leader.
+        // Leadership is checked last: a 200 renews the lease, so only the leader may send it.
         if (!context.leadership().mayAct()) {
             refuse(exchange, "not entitled to act");
             return;
@@ -136,7 +141,7 @@
         exchange.answer(200, commands.answer(context.leadership().token()));
     }
 
-    /** A silent machine's row is to say for how long it has been so, before a later leader needs to know. */
+    /** Stops answering a silent machine and has the silence stored in its registry row, where a later leader reads it. */
     void suspend(Machine machine) {
         if (machine.contact().state() != Contact.State.SUSPENDED
                 && machine.registered()
@@ -147,7 +152,7 @@
         }
     }
 
-    /** The row is stored without a silence: the machine is answered again. */
+    /** Answers the machine again, once its registry row is stored without a silence. */
     void resume(Machine machine) {
         machine.contact().restore();
         Http.Exchange parked = machine.contact().unpark();
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes over what workers say of themselves, in heartbeats and in answers to commands. */
+/** Merges the state that workers report, in heartbeats and in replies to calls, into the leader's picture of the fleet. */
 final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
@@ -27,7 +27,7 @@
         this.boots = boots;
     }
 
-    /** The state that a worker answered a call with; null if the answer has none. */
+    /** Returns the worker's state from its reply to a call, or null if the reply has none. */
     Heartbeat read(Machine machine, Http.Reply reply) {
         if (reply.status() != 200 && reply.status() != 409) {
             LOG.info("{} answered a command with {}", machine.id(), reply.status());
@@ -43,15 +43,18 @@
     }
 
     /**
-     * Takes over what a worker answered to a call, which it wrote after the call was sent.
+     * Merges the state from a worker's reply to a call. The worker wrote it after the call was sent.
      *
      * @param session the newest session known when the call was sent
-     * @param seq     the newest sequence number known then
-     * @return false if something newer is known already
+     * @param seq     the newest sequence number known when the call was sent
+     * @return false if the reply is outdated
      */
     boolean mergeAnswer(Machine machine, Heartbeat heartbeat, long session, long seq) {
-        // Sequences only grow within an incarnation: whoever answers now with an older one was restarted, and what it
-        // ran is gone. Else it would be taken for alive, with its tasks, for good: all its heartbeats are outdated.
+        // Sequence numbers only grow within an incarnation: a reply with an older one comes from a restarted worker,
+        // and
+        // its earlier tasks are gone. Otherwise the machine and these tasks would count as alive indefinitely, since
+        // all
+        // heartbeats of the new process are outdated.
         if (!Incarnation.newer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
@@ -71,14 +74,14 @@
     }
 
     /**
-     * Takes over what a worker says.
+     * Merges the state that a worker reports.
      *
-     * @param hello true for a heartbeat, false for the answer to a call
-     * @return false if something newer is known already
+     * @param hello true for a heartbeat, false for the reply to a call
+     * @return false if the report is outdated
      */
     boolean merge(Machine machine, Heartbeat heartbeat, boolean hello) {
         Incarnation incarnation = machine.incarnation();
-        // Late heartbeats of an earlier incarnation would take tasks of the present one for gone.
+        // A late heartbeat of an earlier incarnation lacks the tasks of the present one, which would count as gone.
         if (incarnation.follows(heartbeat)) {
             incarnation.noteOutdated();
             return false;
@@ -86,9 +89,9 @@
         if (incarnation.restarted()) {
             begin(machine);
         }
-        // The highest token that a worker has seen only grows within an incarnation. A heartbeat that shows less than
-        // is known was sent before, or by an earlier incarnation whose sequence had come further: held up behind a cut,
-        // it would end what runs now.
+        // The highest token that a worker has seen only grows within an incarnation. A heartbeat with a lower token was
+        // sent earlier, or by an earlier incarnation with higher sequence numbers. If a network partition delayed it,
+        // merging it would release the attempts that run now.
         if (!incarnation.precedes(heartbeat) || heartbeat.token() < incarnation.token()) {
             incarnation.noteOutdated();
             return false;
@@ -107,14 +110,14 @@
         if (machine.hasLive()) {
             machine.busyAt(now);
         }
-        // Most heartbeats say nothing new, and hundreds come each second: they may not cost a pass over the fleet.
+        // Hundreds of heartbeats arrive each second and most change nothing: they must not cost a pass over the fleet.
         if (news) {
             context.events().changed();
         }
         return true;
     }
 
-    /** The first heartbeat of a worker that was restarted and can be reached by nothing that was sent before. */
+    /** Begins the incarnation of a restarted worker: commands sent to the earlier one can no longer reach it. */
     private void begin(Machine machine) {
         machine.incarnation().begin();
         attempts.releaseAll(machine, "it was started anew");
@@ -131,18 +134,19 @@
             context.incidents().record(machine.id() + " came back with a new session; what it ran before is lost");
         }
         countLostStart(machine, now);
-        // The earlier session's end killed and forgot every task.
+        // When a session ends, the worker kills and forgets every task.
         attempts.releaseAll(machine, "its session ended");
         machine.incarnation().beginSession(heartbeat.session());
-        // A session has a lease's time from its beginning, whether anybody answers it or not. Counted from an answer to
-        // the one before, what was started straight into this one would be placed again while it still runs.
+        // A session lasts at least one lease, even if no heartbeat in it is answered. If the lease were counted from an
+        // answer in the previous session, a task started by a direct call in this one would be placed again while it
+        // runs.
         machine.lease().extend(now);
         return true;
     }
 
     /**
-     * A session that ended with starts that no heartbeat has shown is evidence of a machine that sends heartbeats and hears
-     * nothing: it looks the best of all, being empty, and would be given task after task.
+     * Counts a lost start if the session ended with a start that no heartbeat has shown. That is evidence of a machine that
+     * sends heartbeats but receives nothing: being empty, it would be preferred and given one task after another.
      */
     private static void countLostStart(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
@@ -189,7 +193,7 @@
                 news = true;
             }
             attempt.reportedWith(heartbeat.seq());
-            // One that has ended proves nothing: its task may have been placed elsewhere since.
+            // An ended attempt proves nothing: its task may have been placed elsewhere since.
             if (attempt.owner() != null
                     && heartbeat.token() >= context.token()
                     && entry.status() != Heartbeat.TaskStatus.EXITED) {
@@ -227,7 +231,7 @@
             return false;
         }
         machine.fence();
-        // From here on starts are sent to it, into a session that may have begun at any time until now.
+        // Starts are sent to the machine from now on, in a session that may have begun at any time up to now.
         machine.lease().extend(now);
         unverifiedMachines.accounted(machine);
         return true;
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -4,7 +4,7 @@
 import org.landingridge.controller.recovery.Reconciliation;
 import org.landingridge.controller.recovery.TaskEvidence;
 
-/** Which tasks wait, and which of them are certainly on no machine, so that they may be started. */
+/** Counts and finds pending tasks, and those of them that certainly are on no machine, so that they may be started. */
 final class PlaceableTasks {
     private final ActiveJobs jobs;
     private final UnverifiedMachines unverifiedMachines;
@@ -14,7 +14,7 @@
         this.unverifiedMachines = unverifiedMachines;
     }
 
-    /** Number of tasks that wait for a place. */
+    /** Returns the number of pending tasks of all jobs that are ready to start. */
     int waiting() {
         int sum = 0;
         for (ActiveJob job : jobs.all()) {
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Number of tasks that wait for a place and are certainly on no machine. An earlier leader had each task in one place at
-     * most: what this leader term has seen on a fenced machine and then lost is accounted for, whatever other machines may
-     * hold.
+     * Returns the number of the job's pending tasks that certainly are on no machine. An earlier leader had each task on at
+     * most one machine: a task that this leader has seen on a fenced machine and that was lost since is on no other one,
+     * whatever unverified machines there are.
      */
     int placeable(ActiveJob job) {
         if (!job.job().ready()) {
@@ -43,9 +43,9 @@
         return sum;
     }
 
-    /** The job's next waiting task that may be placed, or null. */
+    /** Returns the job's next pending task that may be placed, or null. */
     Task next(ActiveJob job) {
-        // Every start passes here: whatever asks, nothing of a job begins before all that it needs is stored as done.
+        // Every start passes here, so no task starts before all jobs that its job depends on are stored as done.
         if (!job.job().ready()) {
             return null;
         }
@@ -67,7 +67,7 @@
         return null;
     }
 
-    /** Number of tasks that wait until the machines that may hold them are accounted for. */
+    /** Returns the number of pending tasks that wait until the machines that may hold them are accounted for. */
     int blocked() {
         if (unverifiedMachines.left() == 0) {
             return 0;
@@ -79,7 +79,7 @@
         return sum;
     }
 
-    /** True if tasks of earlier leaders' jobs wait while machines are not accounted for. */
+    /** Returns whether pending tasks of jobs from earlier leader terms wait while machines are not accounted for. */
     boolean anyBlocked() {
         if (unverifiedMachines.left() == 0) {
             return false;
--- a/controller/src/main/java/org/landingridge/controller/fleet/Refusal.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Refusal.java
@@ -2,7 +2,7 @@
 
 import org.landingridge.wire.Json;
 
-/** The body of an answer that refuses a heartbeat. */
+/** Builds the body of an HTTP answer that refuses a heartbeat. */
 final class Refusal {
     private Refusal() {}
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -1,15 +1,16 @@
 package org.landingridge.controller.fleet;
 
-/** One task of a job, as the leader sees it. */
+/** One task of an active job, in the memory of the leader. */
 public final class Task {
-    /**
-     * PENDING: on no machine, as far as this leader can tell. ON_MACHINE: an attempt is or may be on a machine.
-     * FINISHED: it reported its end, not yet stored. DONE: stored.
-     */
+    /** States of a task. */
     public enum State {
+        /** On no machine, as far as this leader knows. */
         PENDING,
+        /** An attempt is or may be on a machine. */
         ON_MACHINE,
+        /** An attempt completed; the result is not stored yet. */
         FINISHED,
+        /** The result is stored. */
         DONE
     }
 
@@ -17,7 +18,7 @@
     private final int index;
     private State state;
     private Attempt attempt;
-    /** Seen by this leader on a machine that no earlier leader can command any more: so it is nowhere else. */
+    /** True once this leader has seen the task on a fenced machine: no attempt of an earlier leader is elsewhere. */
     private boolean accounted;
 
     Task(ActiveJob job, int index, State state) {
@@ -26,22 +27,22 @@
         this.state = state;
     }
 
-    /** Where it stands. */
+    /** Returns the state of the task. */
     public State state() {
         return state;
     }
 
-    /** The attempt that is or may be on a machine; null in every other state. */
+    /** Returns the attempt that is or may be on a machine, or null in any state but {@link State#ON_MACHINE}. */
     public Attempt attempt() {
         return attempt;
     }
 
-    /** Its job. */
+    /** Returns the job of the task. */
     public ActiveJob job() {
         return job;
     }
 
-    /** Its number in the job. */
+    /** Returns the index of the task in its job, from 0. */
     public int index() {
         return index;
     }
@@ -50,32 +51,32 @@
         return accounted;
     }
 
-    /** This leader has seen it on a fenced machine. */
+    /** Records that this leader has seen the task on a fenced machine. */
     void account() {
         accounted = true;
     }
 
-    /** It is on a machine by that attempt. */
+    /** Records that an attempt puts the task on a machine. */
     void placed(Attempt by) {
         to(State.ON_MACHINE, by);
     }
 
-    /** It is on no machine any more, and waits. */
+    /** Makes the task pending again: it is on no machine any more. */
     void requeue() {
         to(State.PENDING, null);
     }
 
-    /** It has reported its end. */
+    /** Records that an attempt completed; the result is not stored yet. */
     void finish() {
         to(State.FINISHED, null);
     }
 
-    /** Its end is stored. */
+    /** Records that the result is stored. */
     void done() {
         to(State.DONE, null);
     }
 
-    /** The only place where a task changes its state. */
+    /** Changes the state; every state change goes through here. */
     private void to(State next, Attempt by) {
         boolean legal = switch (state) {
             case PENDING -> next != State.PENDING;
