--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -14,55 +14,55 @@
     /** What the failures of a job's tasks say about the job. */
     public enum Health {
         /** No task has failed since the last success. */
-        SOUND,
+        HEALTHY,
         /** A task has failed since the last success, and the cause is not known yet. */
-        DOUBTED,
+        SUSPECT,
         /** The job fails on every machine that it is tried on. */
         BROKEN
     }
 
     private final Job job;
     private final JobSpec spec;
-    private final boolean own;
-    private final long since;
+    private final boolean acceptedThisTerm;
+    private final long addedAt;
     /**
      * Tasks by index, without those that have never been placed and those stored as done. Untracked tasks take no memory:
      * the largest array jobs have 100,000 tasks, few of which are on machines at a time.
      */
-    private final Int2ObjectHashMap<Task> touched = new Int2ObjectHashMap<>();
+    private final Int2ObjectHashMap<Task> trackedTasks = new Int2ObjectHashMap<>();
 
     /** Number of tasks in each state. */
-    private int pending;
+    private int pendingCount;
 
-    private int onMachine;
-    private int finished;
-    private int done;
+    private int onMachineCount;
+    private int finishedCount;
+    private int doneCount;
     /** Index of the task at which the search for a pending task continues. */
-    private int next;
+    private int searchIndex;
 
-    private Health health = Health.SOUND;
+    private Health health = Health.HEALTHY;
     /** Number of tasks that ended with an error since the last success. */
     private int failures;
     /** Identifiers of the machines on which tasks failed since the last success. */
-    private final Set<String> failedOn = new LinkedHashSet<>();
+    private final Set<String> failedMachineIds = new LinkedHashSet<>();
     /** True once a task of the job has completed in this leader term. */
     private boolean succeeded;
 
-    private long notBefore;
+    private long pausedUntil;
 
     /**
      * Creates a job whose tasks are pending, except those that are stored as done.
      *
-     * @param own true if the job was accepted in this leader term, so that no earlier leader can have started its tasks
-     * @param now time of the event loop, in milliseconds
+     * @param acceptedThisTerm true if the job was accepted in this leader term, so that no earlier leader started its tasks
+     * @param now              time of the event loop, in milliseconds
      */
-    ActiveJob(Job job, boolean own, long now) {
+    ActiveJob(Job job, boolean acceptedThisTerm, long now) {
         this.job = job;
         this.spec = job.spec();
-        this.own = own;
-        this.since = now;
-        done = job.done() == null ? 0 : job.done().cardinality();
-        pending = job.tasks() - done;
+        this.acceptedThisTerm = acceptedThisTerm;
+        this.addedAt = now;
+        doneCount = job.done() == null ? 0 : job.done().cardinality();
+        pendingCount = job.tasks() - doneCount;
     }
 
     /** Returns the identifier of the job. */
@@ -90,26 +90,26 @@
         if (index < 0 || index >= size()) {
             return null;
         }
-        Task task = touched.get(index);
+        Task task = trackedTasks.get(index);
         if (task == null) {
-            task = new Task(this, index, done(index) ? Task.State.DONE : Task.State.PENDING);
-            touched.put(index, task);
+            task = new Task(this, index, isDone(index) ? Task.State.DONE : Task.State.PENDING);
+            trackedTasks.put(index, task);
         }
         return task;
     }
 
     /** Returns the tasks that have been placed, reported or looked up by index, without those stored as done. */
     public List<Task> touched() {
-        return new ArrayList<>(touched.values());
+        return new ArrayList<>(trackedTasks.values());
     }
 
     /** Returns the number of tasks in a state. */
     public int count(Task.State state) {
         return switch (state) {
-            case PENDING -> pending;
-            case ON_MACHINE -> onMachine;
-            case FINISHED -> finished;
-            case DONE -> done;
+            case PENDING -> pendingCount;
+            case ON_MACHINE -> onMachineCount;
+            case FINISHED -> finishedCount;
+            case DONE -> doneCount;
         };
     }
 
@@ -120,28 +120,28 @@
 
     /** Returns the time of the event loop, in milliseconds, before which no task of the job is started. */
     public long notBefore() {
-        return notBefore;
+        return pausedUntil;
     }
 
     /** Returns whether the job was accepted in this leader term. */
-    boolean own() {
-        return own;
+    boolean acceptedThisTerm() {
+        return acceptedThisTerm;
     }
 
     /** Returns when this leader added the job, as a time of the event loop in milliseconds. */
-    long since() {
-        return since;
+    long addedAt() {
+        return addedAt;
     }
 
     /** Returns whether the task is pending and has never been placed, reported or looked up. */
-    boolean untouched(int index) {
-        return !done(index) && !touched.containsKey(index);
+    boolean isUntracked(int index) {
+        return !isDone(index) && !trackedTasks.containsKey(index);
     }
 
     /** Returns the index of the task to examine next, and moves on; after the last task comes the first. */
-    int advance() {
-        int index = next;
-        next = (index + 1) % size();
+    int nextIndex() {
+        int index = searchIndex;
+        searchIndex = (index + 1) % size();
         return index;
     }
 
@@ -149,8 +149,8 @@
         return failures;
     }
 
-    Set<String> failedOn() {
-        return failedOn;
+    Set<String> failedMachineIds() {
+        return failedMachineIds;
     }
 
     boolean succeeded() {
@@ -158,47 +158,47 @@
     }
 
     /** Starts no task of the job before a time of the event loop, in milliseconds. */
-    void pauseUntil(long time) {
-        notBefore = time;
+    void pauseUntil(long until) {
+        pausedUntil = until;
     }
 
-    /** Records that a task ended with an error on the machine; the caller then updates the health by {@link #judged}. */
-    void failed(String machine) {
-        failedOn.add(machine);
+    /** Records that a task ended with an error on the machine; the caller then updates the health by {@link #setHealth}. */
+    void recordFailure(String machineId) {
+        failedMachineIds.add(machineId);
         failures++;
     }
 
-    void judged(Health next) {
-        health = next;
+    void setHealth(Health newHealth) {
+        health = newHealth;
     }
 
     /** Records that a task completed, which clears the failures. */
-    void completed() {
-        failedOn.clear();
+    void recordSuccess() {
+        failedMachineIds.clear();
         failures = 0;
         succeeded = true;
-        health = Health.SOUND;
+        health = Health.HEALTHY;
     }
 
     /** Updates the counts after a task changed its state; a task stored as done is no longer tracked. */
-    void moved(Task task, Task.State from, Task.State to) {
-        add(from, -1);
-        add(to, 1);
-        if (to == Task.State.DONE && done(task.index())) {
-            touched.remove(task.index());
+    void countTransition(Task task, Task.State from, Task.State to) {
+        adjustCount(from, -1);
+        adjustCount(to, 1);
+        if (to == Task.State.DONE && isDone(task.index())) {
+            trackedTasks.remove(task.index());
         }
     }
 
-    private void add(Task.State state, int tasks) {
+    private void adjustCount(Task.State state, int delta) {
         switch (state) {
-            case PENDING -> pending += tasks;
-            case ON_MACHINE -> onMachine += tasks;
-            case FINISHED -> finished += tasks;
-            case DONE -> done += tasks;
+            case PENDING -> pendingCount += delta;
+            case ON_MACHINE -> onMachineCount += delta;
+            case FINISHED -> finishedCount += delta;
+            case DONE -> doneCount += delta;
         }
     }
 
-    private boolean done(int index) {
+    private boolean isDone(int index) {
         BitSet stored = job.done();
         return stored != null && stored.get(index);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
@@ -38,27 +38,27 @@
     void end(Job job, MachineTable machines, CommandDispatcher dispatcher) {
         jobs.remove(job.id());
         for (Machine machine : machines.all()) {
-            if (disown(machine, job)) {
+            if (detachAndStopAttempts(machine, job)) {
                 dispatcher.call(machine);
             }
         }
         context.events().changed();
     }
 
-    private boolean disown(Machine machine, Job job) {
-        boolean any = false;
+    private boolean detachAndStopAttempts(Machine machine, Job job) {
+        boolean anyDetached = false;
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.jobId().equals(job.id())) {
-                attempt.disown();
+                attempt.detachAndStop();
                 if (job.status() == Job.Status.CANCELLED) {
                     // The cancellation may have been confirmed to the user at any time since this leader last knew all
                     // of them.
-                    attempt.offBy(context.leadership().freshnessDeadline());
+                    attempt.setStartDeadline(context.leadership().freshnessDeadline());
                 }
-                any = true;
+                anyDetached = true;
             }
         }
-        return any;
+        return anyDetached;
     }
 
     /** Returns the identifiers of all jobs, ended ones included, of which an attempt is or may be on a machine. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -22,49 +22,55 @@
         /** It has ended, or the worker refused it; the worker still reports it. */
         EXITED,
         /** It certainly is no longer on the machine. */
-        OVER
+        RELEASED
     }
 
     private static final long NEVER = Long.MIN_VALUE / 2;
     /** A start sent in a direct call is left out of heartbeat answers for this long; after that the call may be lost. */
-    private static final long CROSSING_MS = 300;
+    private static final long DIRECT_START_IN_FLIGHT_MS = 300;
     /** Least time between the last stop and its repetition in a direct call. */
-    private static final long STOP_PAUSE_MS = 1_000;
+    private static final long DIRECT_STOP_RETRY_MS = 1_000;
 
-    private final String job;
-    private final int task;
+    private final String jobId;
+    private final int taskIndex;
     private final long number;
     private final Machine machine;
     private final JobSpec spec;
-    private final long since;
+    private final long knownSince;
     /** The task that this attempt runs; null once it is detached (the job has ended, or another attempt counts). */
-    private Task owner;
+    private Task task;
 
     private State state = State.SENT;
     private ExitCause cause = ExitCause.UNSTATED;
     private long runningSince;
     /** Sequence number of the newest heartbeat or call reply that shows the attempt, -1 if none does. */
-    private long reportedWith = -1;
+    private long lastReportSeq = -1;
 
     /** Sequence number of the heartbeat whose answer last carried the start, -1 if none did. */
-    private long sentWithReport = -1;
+    private long startAnswerSeq = -1;
     /** When the start was sent in a direct call that is still in flight. */
-    private long directAt = NEVER;
+    private long directStartSentAt = NEVER;
     /** Fencing token of a direct call with the start that was not answered and may still arrive; 0 if there is none. */
-    private long unansweredUnder;
+    private long unansweredStartToken;
     /** Fencing token of the last direct call with the start, 0 if there was none: a duplicate may arrive late. */
-    private long directUnder;
+    private long directStartToken;
 
-    private boolean stopWanted;
+    private boolean stopRequested;
     private double graceS;
     private long stopSentAt = NEVER;
     /** Set when its job is cancelled: from then on the machine's lease is not renewed while the start may still arrive. */
-    private long offBy = Long.MAX_VALUE;
+    private long startDeadline = Long.MAX_VALUE;
 
     /** Creates an attempt that this leader starts. */
-    Attempt(Machine machine, Task task, long number, long now) {
-        this(machine, task.job().id(), task.index(), number, task.job().spec(), now);
-        owner = task;
+    Attempt(Machine machine, Task placedTask, long number, long now) {
+        this(
+                machine,
+                placedTask.job().id(),
+                placedTask.index(),
+                number,
+                placedTask.job().spec(),
+                now);
+        task = placedTask;
     }
 
     /**
@@ -76,13 +82,13 @@
         this(machine, entry.job(), entry.task(), entry.attempt(), spec, now);
     }
 
-    private Attempt(Machine machine, String job, int task, long number, JobSpec spec, long now) {
+    private Attempt(Machine machine, String jobId, int taskIndex, long number, JobSpec spec, long now) {
         this.machine = machine;
-        this.job = job;
-        this.task = task;
+        this.jobId = jobId;
+        this.taskIndex = taskIndex;
         this.number = number;
         this.spec = spec;
-        this.since = now;
+        this.knownSince = now;
     }
 
     /** Returns the state, as far as this leader knows it. */
@@ -102,22 +108,22 @@
 
     /** Returns whether the attempt is to stop. */
     public boolean stopWanted() {
-        return stopWanted;
+        return stopRequested;
     }
 
     /** Returns the task that the attempt runs, or null if it is detached from its task. */
-    public Task owner() {
-        return owner;
+    public Task task() {
+        return task;
     }
 
     /** Returns when this leader placed the attempt or first saw it. */
     public long since() {
-        return since;
+        return knownSince;
     }
 
     /** Returns the identifier of its job. */
     public String jobId() {
-        return job;
+        return jobId;
     }
 
     /** Returns when the attempt was first seen running, or 0 if it was not. */
@@ -127,11 +133,11 @@
 
     /** Returns whether the attempt uses capacity of its machine. */
     public boolean live() {
-        return state != State.EXITED && state != State.OVER;
+        return state != State.EXITED && state != State.RELEASED;
     }
 
-    int task() {
-        return task;
+    int taskIndex() {
+        return taskIndex;
     }
 
     long number() {
@@ -143,15 +149,15 @@
     }
 
     String name() {
-        return job + "/" + task + "#" + number;
+        return jobId + "/" + taskIndex + "#" + number;
     }
 
     /** Changes the state; every state change goes through here. */
-    void to(State next, long now) {
+    void transitionTo(State next, long now) {
         if (next == state) {
             return;
         }
-        if (state == State.OVER || (state == State.EXITED && next != State.OVER)) {
+        if (state == State.RELEASED || (state == State.EXITED && next != State.RELEASED)) {
             throw new IllegalStateException(name() + ": " + state + " -> " + next);
         }
         if (next == State.RUNNING) {
@@ -161,77 +167,77 @@
     }
 
     /** Records that the worker reports the end of the attempt. */
-    void exit(ExitCause why, long now) {
-        to(State.EXITED, now);
-        cause = why;
+    void exit(ExitCause reportedCause, long now) {
+        transitionTo(State.EXITED, now);
+        cause = reportedCause;
     }
 
     /** Sets the task that the attempt runs; null detaches the attempt. */
-    void owner(Task next) {
-        owner = next;
+    void setTask(Task newTask) {
+        task = newTask;
     }
 
     /** Returns the sequence number of the newest heartbeat or call reply that shows the attempt, or -1. */
-    long reportedWith() {
-        return reportedWith;
+    long lastReportSeq() {
+        return lastReportSeq;
     }
 
-    void reportedWith(long seq) {
-        reportedWith = seq;
+    void markReported(long seq) {
+        lastReportSeq = seq;
     }
 
     // ---- the start in transit ----
 
     /** Returns the sequence number of the heartbeat whose answer last carried the start, or -1. */
-    long sentWithReport() {
-        return sentWithReport;
+    long startAnswerSeq() {
+        return startAnswerSeq;
     }
 
     /** Records that the answer to a heartbeat carries the start. */
-    void sentWithReport(long seq) {
-        sentWithReport = seq;
+    void markStartInAnswer(long seq) {
+        startAnswerSeq = seq;
     }
 
     /** Returns whether the start is still to be sent in a direct call. */
-    boolean directStartDue() {
-        return state == State.SENT && !stopWanted && sentWithReport < 0 && unansweredUnder == 0;
+    boolean startDueInCall() {
+        return state == State.SENT && !stopRequested && startAnswerSeq < 0 && unansweredStartToken == 0;
     }
 
     /** Returns whether the start is to be sent in a heartbeat answer; a recent direct call with it is not duplicated. */
-    boolean answeredStartDue(long now) {
-        return state == State.SENT && !stopWanted && now - directAt > CROSSING_MS;
+    boolean startDueInAnswer(long now) {
+        return state == State.SENT && !stopRequested && now - directStartSentAt > DIRECT_START_IN_FLIGHT_MS;
     }
 
     /** Records that a direct call under a fencing token carries the start. */
-    void directCallBegun(long now, long token) {
-        directAt = now;
-        directUnder = token;
+    void beginDirectStart(long now, long token) {
+        directStartSentAt = now;
+        directStartToken = token;
     }
 
     /** Records that the direct call has ended, answered or not. */
-    void directCallOver() {
-        directAt = NEVER;
+    void endDirectStart() {
+        directStartSentAt = NEVER;
     }
 
     /** Records that a direct call was not answered: the start may have arrived or may arrive later. */
-    void directCallLost(long token) {
-        unansweredUnder = token;
+    void markDirectStartUnanswered(long token) {
+        unansweredStartToken = token;
     }
 
     /** Returns the fencing token of an unanswered direct call whose start may still arrive, or 0. */
     long unansweredUnder() {
-        return unansweredUnder;
+        return unansweredStartToken;
     }
 
     /** Returns whether the start in an unanswered direct call may still arrive. */
     boolean startMayArrive() {
-        return unansweredUnder != 0;
+        return unansweredStartToken != 0;
     }
 
     /** Records a fencing token that the machine has shown: it ignores a start under a lower one. */
-    void tokenShown(long token) {
-        if (unansweredUnder != 0 && token > unansweredUnder) {
-            unansweredUnder = 0;
+    void observeToken(long token) {
+        if (unansweredStartToken != 0 && token > unansweredStartToken) {
+            unansweredStartToken = 0;
         }
     }
 
@@ -239,26 +245,26 @@
      * Returns whether a late duplicate of the start could run the task again if the machine forgot this attempt. Token and
      * session of the duplicate still match until the machine has seen a higher token.
      */
-    boolean copyCouldRun() {
-        return directUnder != 0 && machine.incarnation().token() <= directUnder;
+    boolean duplicateCouldRun() {
+        return directStartToken != 0 && machine.incarnation().token() <= directStartToken;
     }
 
     /** Returns whether the attempt has ended and a late duplicate of its start under this token could run it again. */
     boolean keptUnder(long token) {
-        return state == State.EXITED && copyCouldRun() && directUnder == token;
+        return state == State.EXITED && duplicateCouldRun() && directStartToken == token;
     }
 
     // ---- the stop ----
 
     /** Requests a stop, with a grace period in seconds to save progress. */
-    void requestStop(double seconds) {
-        stopWanted = true;
-        graceS = seconds;
+    void requestStop(double graceSeconds) {
+        stopRequested = true;
+        graceS = graceSeconds;
     }
 
     /** Detaches the attempt from its task and requests an immediate stop, even if it had a grace period before. */
-    void disown() {
-        owner = null;
+    void detachAndStop() {
+        task = null;
         requestStop(0);
         stopSentAt = NEVER;
     }
@@ -268,8 +274,8 @@
     }
 
     /** Returns whether a stop is to be sent now, in a direct call or in a heartbeat answer. */
-    boolean stopDue(boolean direct, long now) {
-        return stopWanted && state != State.SENT && (!direct || now - stopSentAt > STOP_PAUSE_MS);
+    boolean stopDue(boolean inDirectCall, long now) {
+        return stopRequested && state != State.SENT && (!inDirectCall || now - stopSentAt > DIRECT_STOP_RETRY_MS);
     }
 
     void stopSent(long now) {
@@ -277,12 +283,12 @@
     }
 
     /** Sets the time from which the machine's lease is not renewed while the start may still arrive. */
-    void offBy(long time) {
-        offBy = time;
+    void setStartDeadline(long deadline) {
+        startDeadline = deadline;
     }
 
     /** Returns whether the start may still arrive after its deadline, which only the end of the machine's session prevents. */
-    boolean mustLapse(long now) {
-        return state == State.SENT && unansweredUnder != 0 && now >= offBy;
+    boolean requiresLeaseExpiry(long now) {
+        return state == State.SENT && unansweredStartToken != 0 && now >= startDeadline;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -17,8 +17,8 @@
 /** Follows attempts from placement to release: every state change of an attempt and of its task begins here. */
 final class AttemptTracker {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** Low bits of an attempt number, which hold a count; the upper bits hold the fencing token. */
-    private static final int COUNT_BITS = 22;
+    /** Number of low bits of an attempt number that hold a count; the upper bits hold the fencing token. */
+    private static final int SEQUENCE_BITS = 22;
     /** How long a machine that refused a start is sent no other. */
     private static final long AVOID_AFTER_REFUSAL_MS = 1_000;
     /** How long no task is started of a job of which a start was refused. */
@@ -28,25 +28,28 @@
     private final FailureAttribution failures;
     private final ActiveJobs jobs;
     /** Looks up the specification of an ended job by its identifier; null if the job is not known. */
-    private final Function<String, JobSpec> endedSpecs;
+    private final Function<String, JobSpec> endedJobSpecs;
 
-    private long count;
+    private long placedCount;
 
     AttemptTracker(
-            FleetContext context, ActiveJobs jobs, Function<String, JobSpec> endedSpecs, FailureAttribution failures) {
+            FleetContext context,
+            ActiveJobs jobs,
+            Function<String, JobSpec> endedJobSpecs,
+            FailureAttribution failures) {
         this.context = context;
         this.jobs = jobs;
-        this.endedSpecs = endedSpecs;
+        this.endedJobSpecs = endedJobSpecs;
         this.failures = failures;
     }
 
     /** Places a task on a machine; its start is still to be sent. */
     void place(Task task, Machine machine) {
-        long number = (context.token() << COUNT_BITS) + ++count;
+        long number = (context.token() << SEQUENCE_BITS) + ++placedCount;
         Attempt attempt = new Attempt(machine, task, number, context.now());
         machine.add(attempt);
         machine.used(attempt.spec().image());
-        task.placed(attempt);
+        task.markOnMachine(attempt);
         LOG.debug("placing {} on {}", attempt.name(), machine.id());
     }
 
@@ -62,20 +65,20 @@
     Attempt adopt(Machine machine, Heartbeat.Entry entry, long now) {
         ActiveJob job = jobs.get(entry.job());
         Task task = job == null ? null : job.task(entry.task());
-        JobSpec spec = job == null ? endedSpecs.apply(entry.job()) : job.spec();
+        JobSpec spec = job == null ? endedJobSpecs.apply(entry.job()) : job.spec();
         Attempt attempt = new Attempt(machine, entry, spec, now);
         machine.add(attempt);
-        ReportedAttempt said = said(entry, job);
-        StoredJob stored = job != null ? StoredJob.ACTIVE : spec != null ? StoredJob.ENDED : StoredJob.ABSENT;
-        Decision decision = Reconciliation.entry(new EntryEvidence(stored, known(task, attempt), said));
+        ReportedAttempt reported = reportedAttempt(entry, job);
+        StoredJob storedJob = job != null ? StoredJob.ACTIVE : spec != null ? StoredJob.ENDED : StoredJob.ABSENT;
+        Decision decision = Reconciliation.entry(new EntryEvidence(storedJob, knownTask(task, attempt), reported));
         switch (decision.action()) {
             case ADOPT -> {
-                attempt.owner(task);
-                if (said == ReportedAttempt.LIVE) {
-                    assign(task, attempt);
+                attempt.setTask(task);
+                if (reported == ReportedAttempt.LIVE) {
+                    assignTask(task, attempt);
                 }
             }
-            case WAIT -> attempt.owner(task);
+            case WAIT -> attempt.setTask(task);
             case STOP -> {
                 LOG.debug(
                         "{} on {} is stopped: {}",
@@ -85,7 +88,7 @@
                 attempt.requestStop(0);
             }
             // The end of a failed attempt still counts as evidence about its job and its machine.
-            default -> attempt.owner(said == ReportedAttempt.ENDED ? task : null);
+            default -> attempt.setTask(reported == ReportedAttempt.ENDED ? task : null);
         }
         if (entry.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
             machine.used(spec.image());
@@ -93,7 +96,7 @@
         return attempt;
     }
 
-    private static ReportedAttempt said(Heartbeat.Entry entry, ActiveJob job) {
+    private static ReportedAttempt reportedAttempt(Heartbeat.Entry entry, ActiveJob job) {
         if (entry.status() != Heartbeat.TaskStatus.EXITED) {
             return ReportedAttempt.LIVE;
         }
@@ -107,24 +110,24 @@
      * started: it came from an outdated heartbeat. If the old one were kept, the running attempt would be stopped, and the
      * task would be started again once a newer heartbeat lacks the old one. Both would run until the stop arrives.
      */
-    private static void assign(Task task, Attempt attempt) {
+    private static void assignTask(Task task, Attempt attempt) {
         Attempt earlier = task.attempt();
         if (earlier != null) {
             LOG.info(
                     "{} on {} is over: a later attempt is on a machine",
                     earlier.name(),
                     earlier.machine().id());
-            earlier.disown();
+            earlier.detachAndStop();
             task.requeue();
         }
-        task.placed(attempt);
+        task.markOnMachine(attempt);
     }
 
     /**
      * Returns what this leader knows of the task of a reported attempt. Attempt numbers grow from leader to leader and within
      * a leader term, and a task is started only when none of its earlier attempts can still run: the higher number is later.
      */
-    private static KnownTask known(Task task, Attempt attempt) {
+    private static KnownTask knownTask(Task task, Attempt attempt) {
         return task == null
                 ? KnownTask.NONE
                 : switch (task.state()) {
@@ -139,80 +142,80 @@
     }
 
     /** Updates an attempt that the newest heartbeat or call reply shows. */
-    void seen(Attempt attempt, Heartbeat.Entry entry, long now) {
+    void update(Attempt attempt, Heartbeat.Entry entry, long now) {
         if (attempt.state() == Attempt.State.EXITED) {
             return;
         }
         switch (entry.status()) {
             case FETCHING -> {
                 if (attempt.state() == Attempt.State.SENT) {
-                    attempt.to(Attempt.State.FETCHING, now);
+                    attempt.transitionTo(Attempt.State.FETCHING, now);
                 }
             }
             case RUNNING -> {
                 if (attempt.state() != Attempt.State.RUNNING) {
-                    running(attempt, now);
+                    markRunning(attempt, now);
                 }
             }
-            case SAVING -> attempt.to(Attempt.State.SAVING, now);
+            case SAVING -> attempt.transitionTo(Attempt.State.SAVING, now);
             case EXITED -> {
                 attempt.exit(entry.cause(), now);
-                exited(attempt, now);
+                handleExit(attempt, now);
             }
         }
     }
 
-    private static void running(Attempt attempt, long now) {
-        if (LOG.isDebugEnabled() && attempt.owner() != null) {
+    private static void markRunning(Attempt attempt, long now) {
+        if (LOG.isDebugEnabled() && attempt.task() != null) {
             LOG.debug(
                     "{} runs on {}: {} ms after the job came, {} after it was placed",
                     attempt.name(),
                     attempt.machine().id(),
-                    now - attempt.owner().job().since(),
+                    now - attempt.task().job().addedAt(),
                     now - attempt.since());
         }
-        attempt.to(Attempt.State.RUNNING, now);
+        attempt.transitionTo(Attempt.State.RUNNING, now);
     }
 
-    private void exited(Attempt attempt, long now) {
-        Task task = attempt.owner();
+    private void handleExit(Attempt attempt, long now) {
+        Task task = attempt.task();
         LOG.debug("{} on {} exited: {}", attempt.name(), attempt.machine().id(), attempt.cause());
         if (task == null) {
             return;
         }
         if (attempt.cause() == ExitCause.DONE && !task.job().spec().service()) {
-            completed(attempt, task);
+            complete(attempt, task);
             return;
         }
-        attempt.owner(null);
+        attempt.setTask(null);
         if (task.attempt() == attempt) {
             task.requeue();
         }
         switch (attempt.cause()) {
             case ERROR -> {
-                failures.failed(task.job(), attempt.machine(), now);
+                failures.recordFailure(task.job(), attempt.machine(), now);
                 LOG.info("{} failed on {}", attempt.name(), attempt.machine().id());
             }
-            case FULL, BUSY, UNKNOWN_TASK -> refused(attempt, task, now);
+            case FULL, BUSY, UNKNOWN_TASK -> handleRefusal(attempt, task, now);
             case DONE, STOPPED, UNSTATED -> {}
         }
     }
 
-    private void completed(Attempt attempt, Task task) {
-        failures.completed(task.job(), attempt.machine());
+    private void complete(Attempt attempt, Task task) {
+        failures.recordSuccess(task.job(), attempt.machine());
         if (task.state() != Task.State.PENDING && task.state() != Task.State.ON_MACHINE) {
             return;
         }
         Attempt other = task.attempt();
         if (other != null && other != attempt) {
-            other.disown();
+            other.detachAndStop();
         }
-        task.finish();
+        task.markFinished();
         context.events().completed(attempt);
         context.events().finished(task);
     }
 
-    private static void refused(Attempt attempt, Task task, long now) {
+    private static void handleRefusal(Attempt attempt, Task task, long now) {
         LOG.info("{} refused {}: {}", attempt.machine().id(), attempt.name(), attempt.cause());
         attempt.machine().failures().avoidUntil(now + AVOID_AFTER_REFUSAL_MS);
         task.job().pauseUntil(now + PAUSE_AFTER_REFUSAL_MS);
@@ -221,9 +224,9 @@
     /**
      * Releases an attempt that the newest heartbeat or call reply does not show, if it can no longer be on the machine.
      *
-     * @param hello true for a heartbeat, false for the reply to a call
+     * @param isHeartbeat true for a heartbeat, false for the reply to a call
      */
-    void missing(Attempt attempt, Heartbeat heartbeat, boolean hello) {
+    void handleMissing(Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
         if (attempt.state() != Attempt.State.SENT) {
             // Shown before and absent now in the same session: the worker has forgotten it on command.
             release(attempt, "no longer reported");
@@ -234,38 +237,38 @@
         // the next heartbeat has come (the worker has one in flight and drops late answers); a start in a direct call
         // cannot
         // once the call has ended.
-        boolean covered = hello
-                && heartbeat.seq() > attempt.sentWithReport()
+        boolean startCannotArrive = isHeartbeat
+                && heartbeat.seq() > attempt.startAnswerSeq()
                 && !attempt.startMayArrive()
                 && !attempt.machine().calls().inFlight();
-        if (attempt.stopWanted() && covered) {
+        if (attempt.stopWanted() && startCannotArrive) {
             release(attempt, "withdrawn");
         }
     }
 
     /** Releases all attempts of a machine that certainly holds none of them any more. */
-    void releaseAll(Machine machine, String why) {
+    void releaseAll(Machine machine, String reason) {
         for (Attempt attempt : new ArrayList<>(machine.attempts().values())) {
-            release(attempt, why);
+            release(attempt, reason);
         }
     }
 
-    private void release(Attempt attempt, String why) {
-        boolean lost = attempt.live();
-        attempt.to(Attempt.State.OVER, context.now());
+    private void release(Attempt attempt, String reason) {
+        boolean wasLive = attempt.live();
+        attempt.transitionTo(Attempt.State.RELEASED, context.now());
         attempt.machine().remove(attempt);
-        Task task = attempt.owner();
+        Task task = attempt.task();
         if (task != null && task.state() == Task.State.ON_MACHINE && task.attempt() == attempt) {
-            if (lost) {
+            if (wasLive) {
                 LOG.info(
                         "{} on {} is over: {}",
                         attempt.name(),
                         attempt.machine().id(),
-                        why);
+                        reason);
                 context.metrics().lost.increment();
             }
             task.requeue();
         }
-        attempt.owner(null);
+        attempt.setTask(null);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -13,25 +13,25 @@
     }
 
     /** Returns the commands for the answer to the machine's heartbeat with this sequence number. */
-    Commands answer(Machine machine, long seq) {
+    Commands composeAnswer(Machine machine, long seq) {
         Commands commands = new Commands();
         if (!machine.fenced() || !machine.registered()) {
-            stopUnowned(machine, commands);
+            stopDetached(machine, commands);
             return commands;
         }
         long now = context.now();
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.state() == Attempt.State.EXITED) {
-                forgetEnded(attempt, commands);
+                addForgetIfSafe(attempt, commands);
             } else {
-                stop(attempt, false, now, commands);
+                addStopIfDue(attempt, false, now, commands);
             }
         }
         if (machine.up()) {
             for (Attempt attempt : machine.attempts().values()) {
-                if (attempt.answeredStartDue(now)) {
-                    start(attempt, commands);
-                    attempt.sentWithReport(seq);
+                if (attempt.startDueInAnswer(now)) {
+                    addStart(attempt, commands);
+                    attempt.markStartInAnswer(seq);
                 }
             }
         }
@@ -39,7 +39,7 @@
     }
 
     /** Returns the commands for a direct call to the machine. */
-    Commands direct(Machine machine) {
+    Commands composeDirectCall(Machine machine) {
         Commands commands = new Commands();
         if (!machine.fenced() || !machine.registered()) {
             return commands;
@@ -47,13 +47,13 @@
         long now = context.now();
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.state() != Attempt.State.EXITED) {
-                stop(attempt, true, now, commands);
+                addStopIfDue(attempt, true, now, commands);
             }
         }
         if (machine.up()) {
             for (Attempt attempt : machine.attempts().values()) {
-                if (attempt.directStartDue()) {
-                    start(attempt, commands);
+                if (attempt.startDueInCall()) {
+                    addStart(attempt, commands);
                 }
             }
         }
@@ -64,34 +64,34 @@
      * Stops detached attempts on a machine where this leader may not start anything yet. After a failover, half a lease can
      * pass before a heartbeat shows the token, and during an outage of the state service no registry row is written.
      */
-    private static void stopUnowned(Machine machine, Commands commands) {
+    private static void stopDetached(Machine machine, Commands commands) {
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.live()
-                    && attempt.owner() == null
+                    && attempt.task() == null
                     && attempt.stopWanted()
                     && attempt.state() != Attempt.State.SENT) {
-                commands.stop(attempt.jobId(), attempt.task(), attempt.number(), 0);
+                commands.stop(attempt.jobId(), attempt.taskIndex(), attempt.number(), 0);
             }
         }
     }
 
-    private void forgetEnded(Attempt attempt, Commands commands) {
-        Task owner = attempt.owner();
-        boolean unstored = owner != null && owner.state() == Task.State.FINISHED && jobs.contains(attempt.jobId());
+    private void addForgetIfSafe(Attempt attempt, Commands commands) {
+        Task task = attempt.task();
+        boolean unstored = task != null && task.state() == Task.State.FINISHED && jobs.contains(attempt.jobId());
         // If the machine forgot the attempt, a start that arrives late would run the task again.
-        if (!unstored && !attempt.startMayArrive() && !attempt.copyCouldRun()) {
-            commands.forget(attempt.jobId(), attempt.task(), attempt.number());
+        if (!unstored && !attempt.startMayArrive() && !attempt.duplicateCouldRun()) {
+            commands.forget(attempt.jobId(), attempt.taskIndex(), attempt.number());
         }
     }
 
-    private static void stop(Attempt attempt, boolean direct, long now, Commands commands) {
-        if (attempt.stopDue(direct, now)) {
+    private static void addStopIfDue(Attempt attempt, boolean inDirectCall, long now, Commands commands) {
+        if (attempt.stopDue(inDirectCall, now)) {
             attempt.stopSent(now);
-            commands.stop(attempt.jobId(), attempt.task(), attempt.number(), attempt.graceS());
+            commands.stop(attempt.jobId(), attempt.taskIndex(), attempt.number(), attempt.graceS());
         }
     }
 
-    private static void start(Attempt attempt, Commands commands) {
-        commands.start(attempt.jobId(), attempt.task(), attempt.number());
+    private static void addStart(Attempt attempt, Commands commands) {
+        commands.start(attempt.jobId(), attempt.taskIndex(), attempt.number());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -16,31 +16,31 @@
 
     private static final long PAUSE_AFTER_NO_ANSWER_MS = 3_000;
     /** Pause after a reply that is malformed, has an unexpected status or is outdated. */
-    private static final long PAUSE_AFTER_OUTDATED_MS = 500;
+    private static final long PAUSE_AFTER_UNUSABLE_REPLY_MS = 500;
     /** Delay from the reply to a call until the next call, which sends what was decided meanwhile. */
-    private static final long NEXT_CALL_MS = 20;
+    private static final long FOLLOW_UP_CALL_DELAY_MS = 20;
     /** Direct calls use at most one connection in this many. */
-    private static final int CALL_SHARE = 8;
+    private static final int CONNECTIONS_PER_CALL = 8;
 
     /** Lower bound of the limit on concurrent calls, even if there are few connections. */
-    private static final int LEAST_CALLS = 12;
+    private static final int MIN_CALL_LIMIT = 12;
 
     private final FleetContext context;
     private final HeartbeatHandler heartbeats;
     private final CommandComposer composer;
     /** Machines that wait for a call, in the order of the decisions. */
-    private final Set<Machine> touched = new LinkedHashSet<>();
+    private final Set<Machine> waitingMachines = new LinkedHashSet<>();
     /** Limit on concurrent calls; other machines wait for a call to end, in the order of the decisions. */
-    private final int mostCalls;
+    private final int maxConcurrentCalls;
 
-    private int calls;
+    private int callsInFlight;
     private boolean closed;
 
     CommandDispatcher(FleetContext context, HeartbeatHandler heartbeats, CommandComposer composer, int maxConnections) {
         this.context = context;
         this.heartbeats = heartbeats;
         this.composer = composer;
-        this.mostCalls = Math.max(LEAST_CALLS, maxConnections / CALL_SHARE);
+        this.maxConcurrentCalls = Math.max(MIN_CALL_LIMIT, maxConnections / CONNECTIONS_PER_CALL);
     }
 
     /** Stops sending; replies that still arrive are ignored. */
@@ -50,15 +50,15 @@
 
     /** Notes that a decision about the machine is to be sent with the next {@link #flush}. */
     void touch(Machine machine) {
-        touched.add(machine);
+        waitingMachines.add(machine);
     }
 
     /** Sends the decisions since the last flush in direct calls; what cannot be sent now waits for a tick. */
     void flush() {
-        Iterator<Machine> next = touched.iterator();
-        while (calls < mostCalls && next.hasNext()) {
-            Machine machine = next.next();
-            next.remove();
+        Iterator<Machine> waiting = waitingMachines.iterator();
+        while (callsInFlight < maxConcurrentCalls && waiting.hasNext()) {
+            Machine machine = waiting.next();
+            waiting.remove();
             call(machine);
         }
     }
@@ -66,20 +66,20 @@
     /** Sends the machine its commands if there are any and it can be called; waits if too many calls are in flight. */
     void call(Machine machine) {
         long now = context.now();
-        if (closed || !callable(machine, now)) {
+        if (closed || !canCall(machine, now)) {
             return;
         }
-        if (calls >= mostCalls) {
-            touched.add(machine);
+        if (callsInFlight >= maxConcurrentCalls) {
+            waitingMachines.add(machine);
             return;
         }
-        Commands commands = composer.direct(machine);
+        Commands commands = composer.composeDirectCall(machine);
         if (!commands.isEmpty()) {
             send(machine, commands, now);
         }
     }
 
-    private boolean callable(Machine machine, long now) {
+    private boolean canCall(Machine machine, long now) {
         return !machine.attempts().isEmpty()
                 && machine.calls().commandsDue(now)
                 && machine.fenced()
@@ -93,38 +93,38 @@
         long token = context.leadership().token();
         List<Attempt> starts = new ArrayList<>();
         for (Attempt attempt : machine.attempts().values()) {
-            if (attempt.directStartDue()) {
+            if (attempt.startDueInCall()) {
                 starts.add(attempt);
-                attempt.directCallBegun(now, token);
+                attempt.beginDirectStart(now, token);
             }
         }
         machine.calls().begin();
-        calls++;
+        callsInFlight++;
         long session = machine.incarnation().session();
         long seq = machine.incarnation().seq();
         byte[] body = commands.direct(token, session);
         context.http().call(machine.address(), "POST", "/commands", body, CALL_MS, reply -> {
             machine.calls().end();
-            calls--;
-            starts.forEach(Attempt::directCallOver);
+            callsInFlight--;
+            starts.forEach(Attempt::endDirectStart);
             if (!closed) {
                 context.loop().after(0, this::flush);
-                answered(machine, reply, session, seq);
+                handleReply(machine, reply, session, seq);
                 if (reply.outcome() == Http.Outcome.UNKNOWN) {
-                    starts.forEach(attempt -> attempt.directCallLost(token));
+                    starts.forEach(attempt -> attempt.markDirectStartUnanswered(token));
                 }
             }
         });
     }
 
-    private void answered(Machine machine, Http.Reply reply, long session, long seq) {
+    private void handleReply(Machine machine, Http.Reply reply, long session, long seq) {
         switch (reply.outcome()) {
             case ANSWERED -> {
                 Heartbeat heartbeat = heartbeats.read(machine, reply);
                 if (heartbeat == null || !heartbeats.mergeAnswer(machine, heartbeat, session, seq)) {
-                    machine.calls().pauseCommands(context.now() + PAUSE_AFTER_OUTDATED_MS);
+                    machine.calls().pauseCommands(context.now() + PAUSE_AFTER_UNUSABLE_REPLY_MS);
                 }
-                context.loop().after(NEXT_CALL_MS, () -> call(machine));
+                context.loop().after(FOLLOW_UP_CALL_DELAY_MS, () -> call(machine));
             }
             case NOT_SENT, UNKNOWN -> machine.calls().commandsUnanswered(context.now() + PAUSE_AFTER_NO_ANSWER_MS);
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
@@ -11,22 +11,22 @@
     /** How long a machine gets no tasks after the first error; each further error doubles it. */
     private static final long AVOID_AFTER_ERROR_MS = 5_000;
 
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
     /** How long a machine gets no tasks after a lost start, multiplied by the number of lost starts in a row. */
     private static final long AVOID_AFTER_LOST_START_MS = 10_000;
 
     /** Upper bound of that multiplier. */
-    private static final int MOST_LOST_STARTS = 6;
+    private static final int MAX_LOST_START_MULTIPLIER = 6;
 
     /** Number of errors, without those of jobs that were broken already. */
-    private int errors;
+    private int errorCount;
     /** Identifiers of the jobs that failed here, or that failed here before and succeeded elsewhere. */
-    private final Set<String> jobs = new LinkedHashSet<>();
+    private final Set<String> failedJobIds = new LinkedHashSet<>();
     /** Number of failures of jobs that succeed elsewhere. */
-    private int proven;
+    private int provenFailures;
     /** Number of sessions in a row that ended with a start of which no heartbeat showed the arrival. */
-    private int lostStarts;
+    private int consecutiveLostStarts;
 
     private long avoidUntil = Long.MIN_VALUE / 2;
 
@@ -42,45 +42,45 @@
 
     /** Returns whether the failures since the last success are attributed to the machine. */
     boolean faulty() {
-        return FailureAttribution.faulty(proven, jobs.size());
+        return FailureAttribution.isFaulty(provenFailures, failedJobIds.size());
     }
 
     /** Records the failure of a job that does not count as broken. */
-    void failed(String job, boolean succeedsElsewhere, long now) {
-        jobs.add(job);
-        proven += succeedsElsewhere ? 1 : 0;
-        errors++;
-        avoidUntil = now + (AVOID_AFTER_ERROR_MS << Math.min(MOST_DOUBLINGS, errors - 1));
+    void recordFailure(String jobId, boolean succeedsElsewhere, long now) {
+        failedJobIds.add(jobId);
+        provenFailures += succeedsElsewhere ? 1 : 0;
+        errorCount++;
+        avoidUntil = now + (AVOID_AFTER_ERROR_MS << Math.min(MAX_BACKOFF_DOUBLINGS, errorCount - 1));
     }
 
     /** Removes a job that counts as broken: its failures are no evidence against the machine, which may get tasks again. */
-    void exonerate(String job, long now) {
-        if (jobs.remove(job)) {
+    void removeBrokenJob(String jobId, long now) {
+        if (failedJobIds.remove(jobId)) {
             avoidUntil = now;
         }
     }
 
     /** Records that a job that failed here has succeeded on another machine. */
-    void implicate(String job) {
-        jobs.add(job);
-        proven++;
+    void recordSuccessElsewhere(String jobId) {
+        failedJobIds.add(jobId);
+        provenFailures++;
     }
 
     /** Records that a task completed here, which clears the failures. */
-    void succeeded() {
-        jobs.clear();
-        proven = 0;
-        errors = 0;
+    void recordSuccess() {
+        failedJobIds.clear();
+        provenFailures = 0;
+        errorCount = 0;
     }
 
     /** Records that a session ended with a start that no heartbeat has shown. */
-    void startLost(long now) {
-        lostStarts++;
-        avoidUntil = now + AVOID_AFTER_LOST_START_MS * Math.min(MOST_LOST_STARTS, lostStarts);
+    void recordLostStart(long now) {
+        consecutiveLostStarts++;
+        avoidUntil = now + AVOID_AFTER_LOST_START_MS * Math.min(MAX_LOST_START_MULTIPLIER, consecutiveLostStarts);
     }
 
     /** Records that a start has arrived. */
-    void startArrived() {
-        lostStarts = 0;
+    void recordArrivedStart() {
+        consecutiveLostStarts = 0;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -16,7 +16,7 @@
      * An outdated heartbeat this long after the last message may be the first one of a restarted worker; a sooner one was sent
      * before the reply to a call that arrived first.
      */
-    private static final long DOUBT_MS = 1_000;
+    private static final long RESTART_SUSPECTED_AFTER_MS = 1_000;
 
     private final FleetContext context;
     private final MachineTable machines;
@@ -77,9 +77,9 @@
         if (merged && machine.unverified() && !machine.fenced()) {
             revertLease(machine, heartbeat.session());
         }
-        boolean doubtful = machine.incarnation().outdated() > 1
-                || context.now() - machine.contact().heardAt() > DOUBT_MS;
-        if (!merged && doubtful) {
+        boolean mayBeRestarted = machine.incarnation().outdated() > 1
+                || context.now() - machine.contact().heardAt() > RESTART_SUSPECTED_AFTER_MS;
+        if (!merged && mayBeRestarted) {
             // The reply distinguishes a late heartbeat from a restarted worker.
             probe.ask(machine);
         }
@@ -104,27 +104,27 @@
     private void answerMerged(Machine machine, Heartbeat heartbeat, boolean merged, Http.Exchange exchange) {
         if (machine.contact().state() != Contact.State.ANSWERED) {
             // A later leader would count the lease from the silence in the machine's row: the row is rewritten first.
-            Http.Exchange earlier = machine.contact().park(exchange);
-            if (earlier != null) {
-                refuse(earlier, "a newer report has come");
+            Http.Exchange superseded = machine.contact().park(exchange);
+            if (superseded != null) {
+                refuse(superseded, "a newer report has come");
             }
             return;
         }
-        if (mustLapse(machine, context.now())) {
+        if (requiresLeaseExpiry(machine, context.now())) {
             // A delayed start of a cancelled job may still arrive: only the end of the session can stop it now.
             refuse(exchange, "a start of a cancelled job may still arrive here");
             return;
         }
-        answer(machine, merged ? composer.answer(machine, heartbeat.seq()) : new Commands(), exchange);
+        answer(machine, merged ? composer.composeAnswer(machine, heartbeat.seq()) : new Commands(), exchange);
     }
 
     /**
      * Returns whether a start of a cancelled job may still arrive at the machine after its deadline. The lease then has to
      * expire, since the machine did not see a higher token in time.
      */
-    private static boolean mustLapse(Machine machine, long now) {
+    private static boolean requiresLeaseExpiry(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
-            if (attempt.mustLapse(now)) {
+            if (attempt.requiresLeaseExpiry(now)) {
                 return true;
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -76,10 +76,10 @@
     /**
      * Merges the state that a worker reports.
      *
-     * @param hello true for a heartbeat, false for the reply to a call
+     * @param isHeartbeat true for a heartbeat, false for the reply to a call
      * @return false if the report is outdated
      */
-    boolean merge(Machine machine, Heartbeat heartbeat, boolean hello) {
+    boolean merge(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
         Incarnation incarnation = machine.incarnation();
         // A late heartbeat of an earlier incarnation lacks the tasks of the present one, which would count as gone.
         if (incarnation.follows(heartbeat)) {
@@ -87,7 +87,7 @@
             return false;
         }
         if (incarnation.restarted()) {
-            begin(machine);
+            beginIncarnation(machine);
         }
         // The highest token that a worker has seen only grows within an incarnation. A heartbeat with a lower token was
         // sent earlier, or by an earlier incarnation with higher sequence numbers. If a network partition delayed it,
@@ -98,42 +98,42 @@
         }
         incarnation.clearOutdated();
         long now = context.now();
-        boolean news = !Objects.equals(machine.noticeS(), heartbeat.noticeS());
-        news |= mergeSession(machine, heartbeat, now);
+        boolean changed = !Objects.equals(machine.noticeS(), heartbeat.noticeS());
+        changed |= mergeSession(machine, heartbeat, now);
         incarnation.accept(heartbeat);
-        mergeContact(machine, hello, now);
+        mergeContact(machine, isHeartbeat, now);
         machine.describe(heartbeat);
-        news |= bringUp(machine, now);
-        news |= mergeEntries(machine, heartbeat, now);
-        news |= mergeAbsent(machine, heartbeat, hello);
-        news |= fence(machine, heartbeat, now);
+        changed |= markUp(machine, now);
+        changed |= mergeEntries(machine, heartbeat, now);
+        changed |= mergeAbsent(machine, heartbeat, isHeartbeat);
+        changed |= fence(machine, heartbeat, now);
         if (machine.hasLive()) {
             machine.busyAt(now);
         }
         // Hundreds of heartbeats arrive each second and most change nothing: they must not cost a pass over the fleet.
-        if (news) {
+        if (changed) {
             context.events().changed();
         }
         return true;
     }
 
     /** Begins the incarnation of a restarted worker: commands sent to the earlier one can no longer reach it. */
-    private void begin(Machine machine) {
+    private void beginIncarnation(Machine machine) {
         machine.incarnation().begin();
         attempts.releaseAll(machine, "it was started anew");
         machine.images().clear();
     }
 
     private boolean mergeSession(Machine machine, Heartbeat heartbeat, long now) {
-        long known = machine.incarnation().session();
-        if (heartbeat.session() <= known) {
+        long knownSession = machine.incarnation().session();
+        if (heartbeat.session() <= knownSession) {
             return false;
         }
-        if (known >= 0) {
+        if (knownSession >= 0) {
             LOG.info("{} begins session {}: everything on it was lost", machine.id(), heartbeat.session());
             context.incidents().record(machine.id() + " came back with a new session; what it ran before is lost");
         }
-        countLostStart(machine, now);
+        countLostStartIfAny(machine, now);
         // When a session ends, the worker kills and forgets every task.
         attempts.releaseAll(machine, "its session ended");
         machine.incarnation().beginSession(heartbeat.session());
@@ -148,18 +148,18 @@
      * Counts a lost start if the session ended with a start that no heartbeat has shown. That is evidence of a machine that
      * sends heartbeats but receives nothing: being empty, it would be preferred and given one task after another.
      */
-    private static void countLostStart(Machine machine, long now) {
+    private static void countLostStartIfAny(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.state() == Attempt.State.SENT && attempt.startMayArrive()) {
-                machine.failures().startLost(now);
+                machine.failures().recordLostStart(now);
                 return;
             }
         }
     }
 
-    private void mergeContact(Machine machine, boolean hello, long now) {
+    private void mergeContact(Machine machine, boolean isHeartbeat, long now) {
         machine.heard(now);
-        if (hello) {
+        if (isHeartbeat) {
             machine.contact().heartbeat(now);
         }
         if (machine.contact().reopen()) {
@@ -167,7 +167,7 @@
         }
     }
 
-    private boolean bringUp(Machine machine, long now) {
+    private boolean markUp(Machine machine, long now) {
         if (machine.state() != Machine.State.BOOTING && machine.state() != Machine.State.LAPSED) {
             return false;
         }
@@ -185,45 +185,45 @@
     }
 
     private boolean mergeEntries(Machine machine, Heartbeat heartbeat, long now) {
-        boolean news = false;
+        boolean changed = false;
         for (Heartbeat.Entry entry : heartbeat.tasks()) {
             Attempt attempt = machine.attempt(entry.attempt());
             if (attempt == null) {
                 attempt = attempts.adopt(machine, entry, now);
-                news = true;
+                changed = true;
             }
-            attempt.reportedWith(heartbeat.seq());
+            attempt.markReported(heartbeat.seq());
             // An ended attempt proves nothing: its task may have been placed elsewhere since.
-            if (attempt.owner() != null
+            if (attempt.task() != null
                     && heartbeat.token() >= context.token()
                     && entry.status() != Heartbeat.TaskStatus.EXITED) {
-                attempt.owner().account();
+                attempt.task().markAccountedFor();
             }
-            Attempt.State before = attempt.state();
-            if (before == Attempt.State.SENT) {
-                machine.failures().startArrived();
+            Attempt.State previousState = attempt.state();
+            if (previousState == Attempt.State.SENT) {
+                machine.failures().recordArrivedStart();
             }
-            attempts.seen(attempt, entry, now);
-            news |= attempt.state() != before;
+            attempts.update(attempt, entry, now);
+            changed |= attempt.state() != previousState;
         }
-        return news;
+        return changed;
     }
 
-    private boolean mergeAbsent(Machine machine, Heartbeat heartbeat, boolean hello) {
-        boolean news = false;
+    private boolean mergeAbsent(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
+        boolean changed = false;
         List<Attempt> absent = List.of();
         for (Attempt attempt : machine.attempts().values()) {
-            attempt.tokenShown(heartbeat.token());
-            if (attempt.reportedWith() != heartbeat.seq()) {
+            attempt.observeToken(heartbeat.token());
+            if (attempt.lastReportSeq() != heartbeat.seq()) {
                 absent = absent.isEmpty() ? new ArrayList<>() : absent;
                 absent.add(attempt);
             }
         }
         for (Attempt attempt : absent) {
-            attempts.missing(attempt, heartbeat, hello);
-            news |= attempt.state() == Attempt.State.OVER;
+            attempts.handleMissing(attempt, heartbeat, isHeartbeat);
+            changed |= attempt.state() == Attempt.State.RELEASED;
         }
-        return news;
+        return changed;
     }
 
     private boolean fence(Machine machine, Heartbeat heartbeat, long now) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -32,13 +32,13 @@
         if (!job.job().ready()) {
             return 0;
         }
-        boolean heldPossibly = unverifiedMachines.mayHold(job.spec());
-        if (placeable(job, false, heldPossibly)) {
+        boolean mayBeHeld = unverifiedMachines.mayHold(job.spec());
+        if (isPlaceable(job, false, mayBeHeld)) {
             return job.count(Task.State.PENDING);
         }
         int sum = 0;
         for (Task task : job.touched()) {
-            sum += task.state() == Task.State.PENDING && placeable(job, task.accounted(), heldPossibly) ? 1 : 0;
+            sum += task.state() == Task.State.PENDING && isPlaceable(job, task.accountedFor(), mayBeHeld) ? 1 : 0;
         }
         return sum;
     }
@@ -49,17 +49,17 @@
         if (!job.job().ready()) {
             return null;
         }
-        boolean heldPossibly = unverifiedMachines.mayHold(job.spec());
-        boolean anyUntouched = placeable(job, false, heldPossibly);
-        for (int tried = 0; tried < job.size(); tried++) {
-            int index = job.advance();
-            if (job.untouched(index)) {
-                if (anyUntouched) {
+        boolean mayBeHeld = unverifiedMachines.mayHold(job.spec());
+        boolean untrackedPlaceable = isPlaceable(job, false, mayBeHeld);
+        for (int examined = 0; examined < job.size(); examined++) {
+            int index = job.nextIndex();
+            if (job.isUntracked(index)) {
+                if (untrackedPlaceable) {
                     return job.task(index);
                 }
             } else {
                 Task task = job.task(index);
-                if (task.state() == Task.State.PENDING && placeable(job, task.accounted(), heldPossibly)) {
+                if (task.state() == Task.State.PENDING && isPlaceable(job, task.accountedFor(), mayBeHeld)) {
                     return task;
                 }
             }
@@ -85,15 +85,15 @@
             return false;
         }
         for (ActiveJob job : jobs.all()) {
-            if (!job.own() && job.job().ready() && job.count(Task.State.PENDING) > 0) {
+            if (!job.acceptedThisTerm() && job.job().ready() && job.count(Task.State.PENDING) > 0) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean placeable(ActiveJob job, boolean accounted, boolean heldPossibly) {
-        return Reconciliation.task(new TaskEvidence(job.own(), accounted, heldPossibly))
+    private static boolean isPlaceable(ActiveJob job, boolean accountedFor, boolean mayBeHeld) {
+        return Reconciliation.task(new TaskEvidence(job.acceptedThisTerm(), accountedFor, mayBeHeld))
                 .is(Action.PLACE);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -19,7 +19,7 @@
     private State state;
     private Attempt attempt;
     /** True once this leader has seen the task on a fenced machine: no attempt of an earlier leader is elsewhere. */
-    private boolean accounted;
+    private boolean accountedFor;
 
     Task(ActiveJob job, int index, State state) {
         this.job = job;
@@ -47,48 +47,48 @@
         return index;
     }
 
-    boolean accounted() {
-        return accounted;
+    boolean accountedFor() {
+        return accountedFor;
     }
 
     /** Records that this leader has seen the task on a fenced machine. */
-    void account() {
-        accounted = true;
+    void markAccountedFor() {
+        accountedFor = true;
     }
 
     /** Records that an attempt puts the task on a machine. */
-    void placed(Attempt by) {
-        to(State.ON_MACHINE, by);
+    void markOnMachine(Attempt newAttempt) {
+        transitionTo(State.ON_MACHINE, newAttempt);
     }
 
     /** Makes the task pending again: it is on no machine any more. */
     void requeue() {
-        to(State.PENDING, null);
+        transitionTo(State.PENDING, null);
     }
 
     /** Records that an attempt completed; the result is not stored yet. */
-    void finish() {
-        to(State.FINISHED, null);
+    void markFinished() {
+        transitionTo(State.FINISHED, null);
     }
 
     /** Records that the result is stored. */
     void done() {
-        to(State.DONE, null);
+        transitionTo(State.DONE, null);
     }
 
     /** Changes the state; every state change goes through here. */
-    private void to(State next, Attempt by) {
-        boolean legal = switch (state) {
+    private void transitionTo(State next, Attempt newAttempt) {
+        boolean isAllowed = switch (state) {
             case PENDING -> next != State.PENDING;
             case ON_MACHINE -> next == State.PENDING || next == State.FINISHED || next == State.DONE;
             case FINISHED -> next == State.DONE;
             case DONE -> false;
         };
-        if (!legal) {
+        if (!isAllowed) {
             throw new IllegalStateException(job.id() + "/" + index + ": " + state + " -> " + next);
         }
-        job.moved(this, state, next);
+        job.countTransition(this, state, next);
         state = next;
-        attempt = by;
+        attempt = newAttempt;
     }
 }
