--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -158,7 +158,8 @@
             return;
         }
         if (state == State.RELEASED || (state == State.EXITED && next != State.RELEASED)) {
-            throw new IllegalStateException(name() + ": " + state + " -> " + next);
+            throw new IllegalStateException(
+                    "attempt " + name() + ": transition " + state + " -> " + next + " is not allowed");
         }
         if (next == State.RUNNING) {
             runningSince = now;
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -50,13 +50,16 @@
         machine.add(attempt);
         machine.used(attempt.spec().image());
         task.markOnMachine(attempt);
-        LOG.debug("placing {} on {}", attempt.name(), machine.id());
+        LOG.debug("task placed, attempt={} machine={}", attempt.name(), machine.id());
     }
 
     /** Requests a stop of an attempt to free its capacity; the task becomes pending once it certainly is off the machine. */
     void stop(Attempt attempt, double graceS) {
         if (!attempt.stopWanted()) {
-            LOG.debug("stopping {} on {}", attempt.name(), attempt.machine().id());
+            LOG.debug(
+                    "attempt stop requested, attempt={} machine={}",
+                    attempt.name(),
+                    attempt.machine().id());
             attempt.requestStop(graceS);
         }
     }
@@ -81,7 +84,7 @@
             case WAIT -> attempt.setTask(task);
             case STOP -> {
                 LOG.debug(
-                        "{} on {} is stopped: {}",
+                        "reported attempt stopped, attempt={} machine={} reason={}",
                         attempt.name(),
                         machine.id(),
                         decision.reason().text());
@@ -114,7 +117,7 @@
         Attempt earlier = task.attempt();
         if (earlier != null) {
             LOG.info(
-                    "{} on {} is over: a later attempt is on a machine",
+                    "attempt superseded by a later one, attempt={} machine={}",
                     earlier.name(),
                     earlier.machine().id());
             earlier.detachAndStop();
@@ -168,7 +171,7 @@
     private static void markRunning(Attempt attempt, long now) {
         if (LOG.isDebugEnabled() && attempt.task() != null) {
             LOG.debug(
-                    "{} runs on {}: {} ms after the job came, {} after it was placed",
+                    "attempt running, attempt={} machine={} sinceJobAddedMs={} sincePlacedMs={}",
                     attempt.name(),
                     attempt.machine().id(),
                     now - attempt.task().job().addedAt(),
@@ -179,7 +182,11 @@
 
     private void handleExit(Attempt attempt, long now) {
         Task task = attempt.task();
-        LOG.debug("{} on {} exited: {}", attempt.name(), attempt.machine().id(), attempt.cause());
+        LOG.debug(
+                "attempt exited, attempt={} machine={} cause={}",
+                attempt.name(),
+                attempt.machine().id(),
+                attempt.cause());
         if (task == null) {
             return;
         }
@@ -194,7 +201,10 @@
         switch (attempt.cause()) {
             case ERROR -> {
                 failures.recordFailure(task.job(), attempt.machine(), now);
-                LOG.info("{} failed on {}", attempt.name(), attempt.machine().id());
+                LOG.info(
+                        "attempt failed, attempt={} machine={}",
+                        attempt.name(),
+                        attempt.machine().id());
             }
             case FULL, BUSY, UNKNOWN_TASK -> handleRefusal(attempt, task, now);
             case DONE, STOPPED, UNSTATED -> {}
@@ -216,7 +226,11 @@
     }
 
     private static void handleRefusal(Attempt attempt, Task task, long now) {
-        LOG.info("{} refused {}: {}", attempt.machine().id(), attempt.name(), attempt.cause());
+        LOG.info(
+                "start refused, machine={} attempt={} cause={}",
+                attempt.machine().id(),
+                attempt.name(),
+                attempt.cause());
         attempt.machine().failures().avoidUntil(now + AVOID_AFTER_REFUSAL_MS);
         task.job().pauseUntil(now + PAUSE_AFTER_REFUSAL_MS);
     }
@@ -242,7 +256,7 @@
                 && !attempt.startMayArrive()
                 && !attempt.machine().calls().inFlight();
         if (attempt.stopWanted() && startCannotArrive) {
-            release(attempt, "withdrawn");
+            release(attempt, "the start was withdrawn");
         }
     }
 
@@ -261,7 +275,7 @@
         if (task != null && task.state() == Task.State.ON_MACHINE && task.attempt() == attempt) {
             if (wasLive) {
                 LOG.info(
-                        "{} on {} is over: {}",
+                        "attempt lost, attempt={} machine={} reason={}",
                         attempt.name(),
                         attempt.machine().id(),
                         reason);
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
@@ -61,12 +61,12 @@
                 machine.failures().removeBrokenJob(job.id(), now);
             }
         }
-        LOG.info("{} fails on every machine that it is given: one task at a time is tried from now on", job.id());
+        LOG.info("job broken, limited to one task at a time, job={}", job.id());
         context.incidents()
-                .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
+                .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine it is tried on, so far on "
                         + String.join(", ", job.failedMachineIds())
                         + ": it looks like a mistake in the job; one task at a time is tried"
-                        + " until it is cancelled");
+                        + " until the job is cancelled");
         context.eventLog()
                 .emit(
                         "job_broken",
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -65,7 +65,7 @@
             context.events().newcomer();
         }
         if (machine == null) {
-            refuse(exchange, "unknown machine type");
+            refuse(exchange, "unknown machine type " + heartbeat.type());
             return;
         }
         boolean merged = merge(machine, heartbeat);
@@ -106,13 +106,13 @@
             // A later leader would count the lease from the silence in the machine's row: the row is rewritten first.
             Http.Exchange superseded = machine.contact().park(exchange);
             if (superseded != null) {
-                refuse(superseded, "a newer report has come");
+                refuse(superseded, "a newer heartbeat has arrived");
             }
             return;
         }
         if (requiresLeaseExpiry(machine, context.now())) {
             // A delayed start of a cancelled job may still arrive: only the end of the session can stop it now.
-            refuse(exchange, "a start of a cancelled job may still arrive here");
+            refuse(exchange, "a start of a cancelled job may still arrive at this machine");
             return;
         }
         answer(machine, merged ? composer.composeAnswer(machine, heartbeat.seq()) : new Commands(), exchange);
@@ -134,7 +134,7 @@
     private void answer(Machine machine, Commands commands, Http.Exchange exchange) {
         // Leadership is checked last: a 200 renews the lease, so only the leader may send it.
         if (!context.leadership().mayAct()) {
-            refuse(exchange, "not entitled to act");
+            refuse(exchange, "this controller may not act as leader at present");
             return;
         }
         machine.lease().renew(context.now());
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -30,14 +30,14 @@
     /** Returns the worker's state from its reply to a call, or null if the reply has none. */
     Heartbeat read(Machine machine, Http.Reply reply) {
         if (reply.status() != 200 && reply.status() != 409) {
-            LOG.info("{} answered a command with {}", machine.id(), reply.status());
+            LOG.info("call reply with unexpected status, machine={} status={}", machine.id(), reply.status());
             return null;
         }
         try {
             Heartbeat heartbeat = Heartbeat.parse(Json.parse(reply.body()));
             return heartbeat.machine().equals(machine.id()) ? heartbeat : null;
         } catch (InvalidMessageException e) {
-            LOG.warn("dropping an answer of {}: {}", machine.id(), e.getMessage());
+            LOG.warn("malformed call reply dropped, machine={} reason={}", machine.id(), e.getMessage());
             return null;
         }
     }
@@ -58,13 +58,14 @@
         if (!Incarnation.newer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
-                    "{} has begun anew: it answers with {}/{} after {}/{}",
+                    "worker restarted, machine={} session={} seq={} knownSession={} knownSeq={}",
                     machine.id(),
                     heartbeat.session(),
                     heartbeat.seq(),
                     session,
                     seq);
-            context.incidents().record(machine.id() + " was started anew; what it ran before is lost");
+            context.incidents()
+                    .record("the worker of " + machine.id() + " was restarted; the tasks that it ran before are lost");
             context.eventLog()
                     .emit("begun_anew", "machine", machine.id(), "zone", machine.zone(), "held", machine.live());
             machine.incarnation().restart(context.leadership().token());
@@ -120,7 +121,7 @@
     /** Begins the incarnation of a restarted worker: commands sent to the earlier one can no longer reach it. */
     private void beginIncarnation(Machine machine) {
         machine.incarnation().begin();
-        attempts.releaseAll(machine, "it was started anew");
+        attempts.releaseAll(machine, "the worker was restarted");
         machine.images().clear();
     }
 
@@ -130,12 +131,13 @@
             return false;
         }
         if (knownSession >= 0) {
-            LOG.info("{} begins session {}: everything on it was lost", machine.id(), heartbeat.session());
-            context.incidents().record(machine.id() + " came back with a new session; what it ran before is lost");
+            LOG.info(
+                    "new worker session, earlier tasks lost, machine={} session={}", machine.id(), heartbeat.session());
+            context.incidents().record(machine.id() + " began a new session; the tasks that it ran before are lost");
         }
         countLostStartIfAny(machine, now);
         // When a session ends, the worker kills and forgets every task.
-        attempts.releaseAll(machine, "its session ended");
+        attempts.releaseAll(machine, "the worker's session ended");
         machine.incarnation().beginSession(heartbeat.session());
         // A session lasts at least one lease, even if no heartbeat in it is answered. If the lease were counted from an
         // answer in the previous session, a task started by a direct call in this one would be placed again while it
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -85,7 +85,8 @@
             case DONE -> false;
         };
         if (!isAllowed) {
-            throw new IllegalStateException(job.id() + "/" + index + ": " + state + " -> " + next);
+            throw new IllegalStateException(
+                    "task " + job.id() + "/" + index + ": transition " + state + " -> " + next + " is not allowed");
         }
         job.countTransition(this, state, next);
         state = next;
