--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
@@ -51,8 +51,8 @@
             if (attempt.jobId().equals(job.id())) {
                 attempt.detachAndStop();
                 if (job.status() == Job.Status.CANCELLED) {
-                    // The cancellation may have been confirmed to the user at any time since this leader last knew all
-                    // of them.
+                    // Another controller may have confirmed the cancellation to the user at any time since this leader
+                    // last read all cancellations.
                     attempt.setStartDeadline(context.leadership().freshnessDeadline());
                 }
                 anyDetached = true;
--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -17,7 +17,7 @@
         FETCHING,
         /** It runs. */
         RUNNING,
-        /** It was told to stop and saves its progress. */
+        /** It has received a stop and saves its progress. */
         SAVING,
         /** It has ended, or the worker refused it; the worker still reports it. */
         EXITED,
@@ -37,7 +37,7 @@
     private final Machine machine;
     private final JobSpec spec;
     private final long knownSince;
-    /** The task that this attempt runs; null once it is detached (the job has ended, or another attempt counts). */
+    /** The task that this attempt runs; null if the job has ended, the attempt was unsuccessful or another one replaces it. */
     private Task task;
 
     private State state = State.SENT;
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -246,11 +246,10 @@
             release(attempt, "no longer reported");
             return;
         }
-        // A start that no heartbeat shows may still be in transit. A start in a heartbeat answer cannot arrive any more
-        // once
-        // the next heartbeat has come (the worker has one in flight and drops late answers); a start in a direct call
-        // cannot
-        // once the call has ended.
+        // A start that no heartbeat shows may still be in transit. If it was sent in a heartbeat answer, it cannot
+        // arrive
+        // after the next heartbeat (the worker has one in flight and drops late answers); if it was sent in a direct
+        // call, it cannot arrive after the call has been answered.
         boolean startCannotArrive = isHeartbeat
                 && heartbeat.seq() > attempt.startAnswerSeq()
                 && !attempt.startMayArrive()
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
@@ -17,12 +17,12 @@
     static final int BROKEN_JOB_FAILURES = 6;
     /** Number of failures of jobs that succeed elsewhere at which a machine counts as faulty. */
     static final int FAULTY_MACHINE_PROVEN_FAILURES = 2;
-    /** Number of different jobs that fail on a machine at which it counts as faulty, wherever else they succeed or fail. */
+    /** Number of different failed jobs at which a machine counts as faulty, even if none of them succeeds elsewhere. */
     static final int FAULTY_MACHINE_FAILED_JOBS = 3;
 
     /** Pause of a job after a failure, until it counts as broken. */
     private static final long PAUSE_AFTER_FAILURE_MS = 500;
-    /** First pause of a broken job between retries; each further failure doubles it. */
+    /** Pause before a broken job is retried; each failure beyond {@link #BROKEN_JOB_MACHINES} doubles it. */
     private static final long BROKEN_JOB_RETRY_MS = 2_000;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 5;
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -51,8 +51,7 @@
                 known == null || known.incarnation().precedes(heartbeat),
                 Token.of(heartbeat.token(), context.leadership().token())));
         if (decision.is(Action.ASK)) {
-            // The worker has seen a higher token and would drop this controller's 200: its lease would expire
-            // unrenewed.
+            // The worker has seen a higher token and would drop this controller's 200: its lease would not be renewed.
             context.leadership().suspect();
         }
         if (decision.is(Action.ASK) || decision.reason() == Decision.Reason.GIVEN_BACK) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Merges the state that workers report, in heartbeats and in replies to calls, into the leader's picture of the fleet. */
+/** Merges the state that workers report, in heartbeats and in replies to calls, into the leader's view of the fleet. */
 final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
@@ -52,9 +52,9 @@
     boolean mergeAnswer(Machine machine, Heartbeat heartbeat, long session, long seq) {
         // Sequence numbers only grow within an incarnation: a reply with an older one comes from a restarted worker,
         // and
-        // its earlier tasks are gone. Otherwise the machine and these tasks would count as alive indefinitely, since
-        // all
-        // heartbeats of the new process are outdated.
+        // its earlier tasks are gone. Without this check, the machine and these tasks would count as alive
+        // indefinitely,
+        // since all heartbeats of the new process look outdated.
         if (!Incarnation.newer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
@@ -140,8 +140,8 @@
         attempts.releaseAll(machine, "the worker's session ended");
         machine.incarnation().beginSession(heartbeat.session());
         // A session lasts at least one lease, even if no heartbeat in it is answered. If the lease were counted from an
-        // answer in the previous session, a task started by a direct call in this one would be placed again while it
-        // runs.
+        // answer in the previous session, a task that a direct call started in this one would be placed again while it
+        // still runs.
         machine.lease().extend(now);
         return true;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -26,7 +26,7 @@
     /**
      * Returns the number of the job's pending tasks that certainly are on no machine. An earlier leader had each task on at
      * most one machine: a task that this leader has seen on a fenced machine and that was lost since is on no other one,
-     * whatever unverified machines there are.
+     * even while there are unverified machines.
      */
     int placeable(ActiveJob job) {
         if (!job.job().ready()) {
