--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -77,9 +77,9 @@
 
     private void addForgetIfSafe(Attempt attempt, Commands commands) {
         Task task = attempt.task();
-        boolean unstored = task != null && task.state() == Task.State.FINISHED && jobs.contains(attempt.jobId());
+        boolean resultUnstored = task != null && task.state() == Task.State.FINISHED && jobs.contains(attempt.jobId());
         // If the machine forgot the attempt, a start that arrives late would run the task again.
-        if (!unstored && !attempt.startMayArrive() && !attempt.duplicateCouldRun()) {
+        if (!resultUnstored && !attempt.startMayArrive() && !attempt.duplicateCouldRun()) {
             commands.forget(attempt.jobId(), attempt.taskIndex(), attempt.number());
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -14,7 +14,7 @@
     /** Timeout of a direct call. */
     static final long CALL_MS = 1_500;
 
-    private static final long PAUSE_AFTER_NO_ANSWER_MS = 3_000;
+    private static final long PAUSE_AFTER_NO_REPLY_MS = 3_000;
     /** Pause after a reply that is malformed, has an unexpected status or is outdated. */
     private static final long PAUSE_AFTER_UNUSABLE_REPLY_MS = 500;
     /** Delay from the reply to a call until the next call, which sends what was decided meanwhile. */
@@ -126,7 +126,7 @@
                 }
                 context.loop().after(FOLLOW_UP_CALL_DELAY_MS, () -> call(machine));
             }
-            case NOT_SENT, UNKNOWN -> machine.calls().commandsUnanswered(context.now() + PAUSE_AFTER_NO_ANSWER_MS);
+            case NOT_SENT, UNKNOWN -> machine.calls().commandsUnanswered(context.now() + PAUSE_AFTER_NO_REPLY_MS);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -45,10 +45,10 @@
 
     /** Answers a heartbeat; the caller has checked that this process is the leader. */
     void receive(Heartbeat heartbeat, Http.Exchange exchange) {
-        Machine known = machines.get(heartbeat.machine());
+        Machine knownMachine = machines.get(heartbeat.machine());
         Decision decision = Reconciliation.heartbeat(new HeartbeatEvidence(
                 machines.wasReturned(heartbeat.machine()),
-                known == null || known.incarnation().precedes(heartbeat),
+                knownMachine == null || knownMachine.incarnation().precedes(heartbeat),
                 Token.of(heartbeat.token(), context.leadership().token())));
         if (decision.is(Action.ASK)) {
             // The worker has seen a higher token and would drop this controller's 200: its lease would not be renewed.
@@ -60,7 +60,7 @@
         }
         Machine machine = machines.addIfAbsent(
                 heartbeat.machine(), heartbeat.addr(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-        if (known == null && machine != null) {
+        if (knownMachine == null && machine != null) {
             context.events().newcomer();
         }
         if (machine == null) {
