--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -247,9 +247,8 @@
             return;
         }
         // A start that no heartbeat shows may still be in transit. If it was sent in a heartbeat answer, it cannot
-        // arrive
-        // after the next heartbeat (the worker has one in flight and drops late answers); if it was sent in a direct
-        // call, it cannot arrive after the call has been answered.
+        // arrive after the next heartbeat: the worker has one in flight and drops late answers. If it was sent in a
+        // direct call, it cannot arrive after the call has been answered.
         boolean startCannotArrive = isHeartbeat
                 && heartbeat.seq() > attempt.startAnswerSeq()
                 && !attempt.startMayArrive()
