--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -51,10 +51,8 @@
      */
     boolean mergeAnswer(Machine machine, Heartbeat heartbeat, long session, long seq) {
         // Sequence numbers only grow within an incarnation: a reply with an older one comes from a restarted worker,
-        // and
-        // its earlier tasks are gone. Without this check, the machine and these tasks would count as alive
-        // indefinitely,
-        // since all heartbeats of the new process look outdated.
+        // and its earlier tasks are gone. Without this check, the machine and these tasks would count as alive
+        // indefinitely, since all heartbeats of the new process look outdated.
         if (!Incarnation.newer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
