--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -9,131 +9,139 @@
 import org.landingridge.controller.jobs.Job;
 import org.landingridge.wire.JobSpec;
 
-/** A job with its tasks, for as long as the leader works on it. */
+/** A job that is neither done nor cancelled, with the states of its tasks, in the memory of the leader. */
 public final class ActiveJob {
-    /** SOUND: nothing speaks against it. DOUBTED: a task has failed. BROKEN: it fails wherever it is tried. */
+    /** What the failures of a job's tasks say about the job. */
     public enum Health {
-        SOUND,
-        DOUBTED,
+        /** No task has failed since the last success. */
+        HEALTHY,
+        /** A task has failed since the last success, and the cause is not known yet. */
+        SUSPECT,
+        /** The job fails on every machine that it is tried on. */
         BROKEN
     }
 
     private final Job job;
     private final JobSpec spec;
-    private final boolean own;
-    private final long since;
+    private final boolean acceptedThisTerm;
+    private final long addedAt;
     /**
-     * Tasks that something has happened to. The others wait or are stored as done, and take no memory: the largest
-     * arrays have 100,000, of which few are on machines at a time.
+     * Tasks by index, without those that have never been placed and those stored as done. Untracked tasks take no memory:
+     * the largest array jobs have 100,000 tasks, few of which are on machines at a time.
      */
-    private final Int2ObjectHashMap<Task> touched = new Int2ObjectHashMap<>();
+    private final Int2ObjectHashMap<Task> trackedTasks = new Int2ObjectHashMap<>();
 
-    /** Tasks by their state. */
-    private int pending;
+    /** Number of tasks in each state. */
+    private int pendingCount;
 
-    private int onMachine;
-    private int finished;
-    private int done;
-    /** Where the search for a waiting task goes on. */
-    private int next;
+    private int onMachineCount;
+    private int finishedCount;
+    private int doneCount;
+    /** Index of the task at which the search for a pending task continues. */
+    private int searchIndex;
 
-    private Health health = Health.SOUND;
-    /** Exits with an error since the last success. */
+    private Health health = Health.HEALTHY;
+    /** Number of tasks that ended with an error since the last success. */
     private int failures;
-    /** The machines on which they were. */
-    private final Set<String> failedOn = new LinkedHashSet<>();
-    /** One of its tasks has completed in this leader term. */
+    /** Identifiers of the machines on which tasks failed since the last success. */
+    private final Set<String> failedMachineIds = new LinkedHashSet<>();
+    /** True once a task of the job has completed in this leader term. */
     private boolean succeeded;
 
-    private long notBefore;
+    private long pausedUntil;
 
-    /** @param own accepted after the leader was elected, so no earlier leader can have started any of its tasks */
-    ActiveJob(Job job, boolean own, long now) {
+    /**
+     * Creates a job whose tasks are pending, except those that are stored as done.
+     *
+     * @param acceptedThisTerm true if the job was accepted in this leader term, so that no earlier leader started its tasks
+     * @param now              time of the event loop, in milliseconds
+     */
+    ActiveJob(Job job, boolean acceptedThisTerm, long now) {
         this.job = job;
         this.spec = job.spec();
-        this.own = own;
-        this.since = now;
-        done = job.done() == null ? 0 : job.done().cardinality();
-        pending = job.tasks() - done;
+        this.acceptedThisTerm = acceptedThisTerm;
+        this.addedAt = now;
+        doneCount = job.done() == null ? 0 : job.done().cardinality();
+        pendingCount = job.tasks() - doneCount;
     }
 
-    /** Identifier of the job. */
+    /** Returns the identifier of the job. */
     public String id() {
         return job.id();
     }
 
-    /** What is stored of it. */
+    /** Returns the job as it is stored. */
     public Job job() {
         return job;
     }
 
-    /** What its user asked for. */
+    /** Returns the specification that the user submitted. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** Number of tasks. */
+    /** Returns the number of tasks. */
     public int size() {
         return job.tasks();
     }
 
-    /** The task of this number, or null where the job has none. */
+    /** Returns the task with this index, or null if the job has no such task. */
     public Task task(int index) {
         if (index < 0 || index >= size()) {
             return null;
         }
-        Task task = touched.get(index);
+        Task task = trackedTasks.get(index);
         if (task == null) {
-            task = new Task(this, index, done(index) ? Task.State.DONE : Task.State.PENDING);
-            touched.put(index, task);
+            task = new Task(this, index, isDone(index) ? Task.State.DONE : Task.State.PENDING);
+            trackedTasks.put(index, task);
         }
         return task;
     }
 
-    /** The tasks that something has happened to. */
+    /** Returns the tasks that have been placed, reported or looked up by index, without those stored as done. */
     public List<Task> touched() {
-        return new ArrayList<>(touched.values());
+        return new ArrayList<>(trackedTasks.values());
     }
 
-    /** Number of tasks in that state. */
+    /** Returns the number of tasks in a state. */
     public int count(Task.State state) {
         return switch (state) {
-            case PENDING -> pending;
-            case ON_MACHINE -> onMachine;
-            case FINISHED -> finished;
-            case DONE -> done;
+            case PENDING -> pendingCount;
+            case ON_MACHINE -> onMachineCount;
+            case FINISHED -> finishedCount;
+            case DONE -> doneCount;
         };
     }
 
-    /** What its failures say of it. */
+    /** Returns what the failures since the last success say about the job. */
     public Health health() {
         return health;
     }
 
-    /** Time of the event loop, in milliseconds, before which none of its tasks is started. */
+    /** Returns the time of the event loop, in milliseconds, before which no task of the job is started. */
     public long notBefore() {
-        return notBefore;
+        return pausedUntil;
     }
 
-    /** True if it was accepted in this leader term. */
-    boolean own() {
-        return own;
+    /** Returns whether the job was accepted in this leader term. */
+    boolean acceptedThisTerm() {
+        return acceptedThisTerm;
     }
 
-    /** Since when this leader works on it. */
-    long since() {
-        return since;
+    /** Returns when this leader added the job, as a time of the event loop in milliseconds. */
+    long addedAt() {
+        return addedAt;
     }
 
-    /** True if nothing has happened to the task yet, and it is not done. */
-    boolean untouched(int index) {
-        return !done(index) && !touched.containsKey(index);
+    /** Returns whether the task is pending and has never been placed, reported or looked up. */
+    boolean isUntracked(int index) {
+        return !isDone(index) && !trackedTasks.containsKey(index);
     }
 
-    /** The number of the task to look at next, in a circle over all of them. */
-    int advance() {
-        int index = next;
-        next = (index + 1) % size();
+    /** Returns the index of the task to examine next, and moves on; after the last task comes the first. */
+    int nextIndex() {
+        int index = searchIndex;
+        searchIndex = (index + 1) % size();
         return index;
     }
 
@@ -141,57 +149,56 @@
         return failures;
     }
 
-    Set<String> failedOn() {
-        return failedOn;
+    Set<String> failedMachineIds() {
+        return failedMachineIds;
     }
 
     boolean succeeded() {
         return succeeded;
     }
 
-    /** None of its tasks is started before then. */
-    void pauseUntil(long time) {
-        notBefore = time;
+    /** Starts no task of the job before a time of the event loop, in milliseconds. */
+    void pauseUntil(long until) {
+        pausedUntil = until;
     }
 
-    /** One of its tasks has ended with an error on the machine; its health follows by {@link #judged}. */
-    void failed(String machine) {
-        failedOn.add(machine);
+    /** Records that a task ended with an error on the machine; the caller then updates the health by {@link #setHealth}. */
+    void recordFailure(String machineId) {
+        failedMachineIds.add(machineId);
         failures++;
     }
 
-    /** What its failures say of it has changed, or not. */
-    void judged(Health next) {
-        health = next;
+    void setHealth(Health newHealth) {
+        health = newHealth;
     }
 
-    /** One of its tasks has completed. */
-    void completed() {
-        failedOn.clear();
+    /** Records that a task completed, which clears the failures. */
+    void recordSuccess() {
+        failedMachineIds.clear();
         failures = 0;
         succeeded = true;
-        health = Health.SOUND;
+        health = Health.HEALTHY;
     }
 
-    /** One of its tasks has changed its state. */
-    void moved(Task task, Task.State from, Task.State to) {
-        add(from, -1);
-        add(to, 1);
-        if (to == Task.State.DONE && done(task.index())) {
-            touched.remove(task.index());
+    /** Updates the counts after a task changed its state; a task stored as done is no longer tracked. */
+    void countTransition(Task task, Task.State from, Task.State to) {
+        adjustCount(from, -1);
+        adjustCount(to, 1);
+        if (to == Task.State.DONE && isDone(task.index())) {
+            trackedTasks.remove(task.index());
         }
     }
 
-    private void add(Task.State state, int tasks) {
+    private void adjustCount(Task.State state, int delta) {
         switch (state) {
-            case PENDING -> pending += tasks;
-            case ON_MACHINE -> onMachine += tasks;
-            case FINISHED -> finished += tasks;
-            case DONE -> done += tasks;
+            case PENDING -> pendingCount += delta;
+            case ON_MACHINE -> onMachineCount += delta;
+            case FINISHED -> finishedCount += delta;
+            case DONE -> doneCount += delta;
         }
     }
 
-    private boolean done(int index) {
+    private boolean isDone(int index) {
         BitSet stored = job.done();
         return stored != null && stored.get(index);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -14,78 +14,84 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What becomes of attempts: placed, seen, over; each change of theirs and of their tasks begins here. */
+/** Follows attempts from placement to release: every state change of an attempt and of its task begins here. */
 final class AttemptTracker {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** Numbers of attempts: the token in the upper bits, a count in so many lower ones. */
-    private static final int COUNT_BITS = 22;
-    /** A machine that refuses a start gets none for so long. */
+    /** Number of low bits of an attempt number that hold a count; the upper bits hold the fencing token. */
+    private static final int SEQUENCE_BITS = 22;
+    /** How long a machine that refused a start is sent no other. */
     private static final long AVOID_AFTER_REFUSAL_MS = 1_000;
-    /** And the job that was refused starts nothing for so long. */
+    /** How long no task is started of a job of which a start was refused. */
     private static final long PAUSE_AFTER_REFUSAL_MS = 500;
 
     private final FleetContext context;
     private final FailureAttribution failures;
     private final ActiveJobs jobs;
-    /** What the tasks of ended jobs take. */
-    private final Function<String, JobSpec> endedSpecs;
+    /** Looks up the specification of an ended job by its identifier; null if the job is not known. */
+    private final Function<String, JobSpec> endedJobSpecs;
 
-    private long count;
+    private long placedCount;
 
     AttemptTracker(
-            FleetContext context, ActiveJobs jobs, Function<String, JobSpec> endedSpecs, FailureAttribution failures) {
+            FleetContext context,
+            ActiveJobs jobs,
+            Function<String, JobSpec> endedJobSpecs,
+            FailureAttribution failures) {
         this.context = context;
         this.jobs = jobs;
-        this.endedSpecs = endedSpecs;
+        this.endedJobSpecs = endedJobSpecs;
         this.failures = failures;
     }
 
-    /** Places a task; its start is still to be sent. */
+    /** Places a task on a machine; its start is still to be sent. */
     void place(Task task, Machine machine) {
-        long number = (context.token() << COUNT_BITS) + ++count;
+        long number = (context.token() << SEQUENCE_BITS) + ++placedCount;
         Attempt attempt = new Attempt(machine, task, number, context.now());
         machine.add(attempt);
         machine.used(attempt.spec().image());
-        task.placed(attempt);
-        LOG.debug("placing {} on {}", attempt.name(), machine.id());
+        task.markOnMachine(attempt);
+        LOG.debug("task placed, attempt={} machine={}", attempt.name(), machine.id());
     }
 
-    /** Stops an attempt so that its room is freed; the task becomes pending once it is certainly off. */
+    /** Requests a stop of an attempt to free its capacity; the task becomes pending once it certainly is off the machine. */
     void stop(Attempt attempt, double graceS) {
         if (!attempt.stopWanted()) {
-            LOG.debug("stopping {} on {}", attempt.name(), attempt.machine().id());
+            LOG.debug(
+                    "attempt stop requested, attempt={} machine={}",
+                    attempt.name(),
+                    attempt.machine().id());
             attempt.requestStop(graceS);
         }
     }
 
-    /** Takes over an attempt that an earlier leader has started. */
+    /** Adds an attempt that a heartbeat shows and an earlier leader started, and adopts or stops it. */
     Attempt adopt(Machine machine, Heartbeat.Entry entry, long now) {
         ActiveJob job = jobs.get(entry.job());
         Task task = job == null ? null : job.task(entry.task());
-        JobSpec spec = job == null ? endedSpecs.apply(entry.job()) : job.spec();
+        JobSpec spec = job == null ? endedJobSpecs.apply(entry.job()) : job.spec();
         Attempt attempt = new Attempt(machine, entry, spec, now);
         machine.add(attempt);
-        ReportedAttempt said = said(entry, job);
-        StoredJob stored = job != null ? StoredJob.ACTIVE : spec != null ? StoredJob.ENDED : StoredJob.ABSENT;
-        Decision decision = Reconciliation.entry(new EntryEvidence(stored, known(task, attempt), said));
+        ReportedAttempt reported = reportedAttempt(entry, job);
+        StoredJob storedJob = job != null ? StoredJob.ACTIVE : spec != null ? StoredJob.ENDED : StoredJob.ABSENT;
+        Decision decision = Reconciliation.entry(new EntryEvidence(storedJob, knownTask(task, attempt), reported));
         switch (decision.action()) {
             case ADOPT -> {
-                attempt.owner(task);
-                if (said == ReportedAttempt.LIVE) {
-                    assign(task, attempt);
+                attempt.setTask(task);
+                if (reported == ReportedAttempt.LIVE) {
+                    assignTask(task, attempt);
                 }
             }
-            case WAIT -> attempt.owner(task);
+            case WAIT -> attempt.setTask(task);
             case STOP -> {
                 LOG.debug(
-                        "{} on {} is stopped: {}",
+                        "reported attempt stopped, attempt={} machine={} reason={}",
                         attempt.name(),
                         machine.id(),
                         decision.reason().text());
                 attempt.requestStop(0);
             }
-            // An attempt that failed is still evidence on its job and its machine.
-            default -> attempt.owner(said == ReportedAttempt.ENDED ? task : null);
+            // The end of a failed attempt still counts as evidence about its job and its machine.
+            default -> attempt.setTask(reported == ReportedAttempt.ENDED ? task : null);
         }
         if (entry.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
             machine.used(spec.image());
@@ -93,7 +99,7 @@
         return attempt;
     }
 
-    private static ReportedAttempt said(Heartbeat.Entry entry, ActiveJob job) {
+    private static ReportedAttempt reportedAttempt(Heartbeat.Entry entry, ActiveJob job) {
         if (entry.status() != Heartbeat.TaskStatus.EXITED) {
             return ReportedAttempt.LIVE;
         }
@@ -103,26 +109,28 @@
     }
 
     /**
-     * Takes the attempt for the one by which the task is on a machine. Where another was known until now, that was over when
-     * this one was started: it stands in an old heartbeat. Else the one that runs would be stopped for it, and the task
-     * started once more as soon as a newer heartbeat lacks the old one, beside the one that runs for as long as the stop does
-     * not reach it.
+     * Records the attempt as the one by which the task is on a machine. An attempt known before had ended when this one was
+     * started: it came from an outdated heartbeat. If the old one were kept, the running attempt would be stopped, and the
+     * task would be started again once a newer heartbeat lacks the old one. Both would run until the stop arrives.
      */
-    private static void assign(Task task, Attempt attempt) {
+    private static void assignTask(Task task, Attempt attempt) {
         Attempt earlier = task.attempt();
         if (earlier != null) {
             LOG.info(
-                    "{} on {} is over: a later attempt is on a machine",
+                    "attempt superseded by a later one, attempt={} machine={}",
                     earlier.name(),
                     earlier.machine().id());
-            earlier.disown();
+            earlier.detachAndStop();
             task.requeue();
         }
-        task.placed(attempt);
+        task.markOnMachine(attempt);
     }
 
-    /** Numbers only grow, from leader to leader and within a leader term, and a task is started where none of its attempts can run. */
-    private static KnownTask known(Task task, Attempt attempt) {
+    /**
+     * Returns what this leader knows of the task of a reported attempt. Attempt numbers grow from leader to leader and within
+     * a leader term, and a task is started only when none of its earlier attempts can still run: the higher number is later.
+     */
+    private static KnownTask knownTask(Task task, Attempt attempt) {
         return task == null
                 ? KnownTask.NONE
                 : switch (task.state()) {
@@ -136,127 +144,143 @@
                 };
     }
 
-    /** The newest heartbeat shows the attempt. */
-    void seen(Attempt attempt, Heartbeat.Entry entry, long now) {
+    /** Updates an attempt that the newest heartbeat or call reply shows. */
+    void update(Attempt attempt, Heartbeat.Entry entry, long now) {
         if (attempt.state() == Attempt.State.EXITED) {
             return;
         }
         switch (entry.status()) {
             case FETCHING -> {
                 if (attempt.state() == Attempt.State.SENT) {
-                    attempt.to(Attempt.State.FETCHING, now);
+                    attempt.transitionTo(Attempt.State.FETCHING, now);
                 }
             }
             case RUNNING -> {
                 if (attempt.state() != Attempt.State.RUNNING) {
-                    running(attempt, now);
+                    markRunning(attempt, now);
                 }
             }
-            case SAVING -> attempt.to(Attempt.State.SAVING, now);
+            case SAVING -> attempt.transitionTo(Attempt.State.SAVING, now);
             case EXITED -> {
                 attempt.exit(entry.cause(), now);
-                exited(attempt, now);
+                handleExit(attempt, now);
             }
         }
     }
 
-    private static void running(Attempt attempt, long now) {
-        if (LOG.isDebugEnabled() && attempt.owner() != null) {
+    private static void markRunning(Attempt attempt, long now) {
+        if (LOG.isDebugEnabled() && attempt.task() != null) {
             LOG.debug(
-                    "{} runs on {}: {} ms after the job came, {} after it was placed",
+                    "attempt running, attempt={} machine={} sinceJobAddedMs={} sincePlacedMs={}",
                     attempt.name(),
                     attempt.machine().id(),
-                    now - attempt.owner().job().since(),
+                    now - attempt.task().job().addedAt(),
                     now - attempt.since());
         }
-        attempt.to(Attempt.State.RUNNING, now);
+        attempt.transitionTo(Attempt.State.RUNNING, now);
     }
 
-    private void exited(Attempt attempt, long now) {
-        Task task = attempt.owner();
-        LOG.debug("{} on {} exited: {}", attempt.name(), attempt.machine().id(), attempt.cause());
+    private void handleExit(Attempt attempt, long now) {
+        Task task = attempt.task();
+        LOG.debug(
+                "attempt exited, attempt={} machine={} cause={}",
+                attempt.name(),
+                attempt.machine().id(),
+                attempt.cause());
         if (task == null) {
             return;
         }
         if (attempt.cause() == ExitCause.DONE && !task.job().spec().service()) {
-            completed(attempt, task);
+            complete(attempt, task);
             return;
         }
-        attempt.owner(null);
+        attempt.setTask(null);
         if (task.attempt() == attempt) {
             task.requeue();
         }
         switch (attempt.cause()) {
             case ERROR -> {
-                failures.failed(task.job(), attempt.machine(), now);
-                LOG.info("{} failed on {}", attempt.name(), attempt.machine().id());
+                failures.recordFailure(task.job(), attempt.machine(), now);
+                LOG.info(
+                        "attempt failed, attempt={} machine={}",
+                        attempt.name(),
+                        attempt.machine().id());
             }
-            case FULL, BUSY, UNKNOWN_TASK -> refused(attempt, task, now);
+            case FULL, BUSY, UNKNOWN_TASK -> handleRefusal(attempt, task, now);
             case DONE, STOPPED, UNSTATED -> {}
         }
     }
 
-    private void completed(Attempt attempt, Task task) {
-        failures.completed(task.job(), attempt.machine());
+    private void complete(Attempt attempt, Task task) {
+        failures.recordSuccess(task.job(), attempt.machine());
         if (task.state() != Task.State.PENDING && task.state() != Task.State.ON_MACHINE) {
             return;
         }
         Attempt other = task.attempt();
         if (other != null && other != attempt) {
-            other.disown();
+            other.detachAndStop();
         }
-        task.finish();
+        task.markFinished();
         context.events().completed(attempt);
         context.events().finished(task);
     }
 
-    private static void refused(Attempt attempt, Task task, long now) {
-        LOG.info("{} refused {}: {}", attempt.machine().id(), attempt.name(), attempt.cause());
+    private static void handleRefusal(Attempt attempt, Task task, long now) {
+        LOG.info(
+                "start refused, machine={} attempt={} cause={}",
+                attempt.machine().id(),
+                attempt.name(),
+                attempt.cause());
         attempt.machine().failures().avoidUntil(now + AVOID_AFTER_REFUSAL_MS);
         task.job().pauseUntil(now + PAUSE_AFTER_REFUSAL_MS);
     }
 
-    /** The newest heartbeat, or answer to a call, lacks an attempt that may be on the machine. */
-    void missing(Attempt attempt, Heartbeat heartbeat, boolean hello) {
+    /**
+     * Releases an attempt that the newest heartbeat or call reply does not show, if it can no longer be on the machine.
+     *
+     * @param isHeartbeat true for a heartbeat, false for the reply to a call
+     */
+    void handleMissing(Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
         if (attempt.state() != Attempt.State.SENT) {
-            // Seen before and now absent in the same session: it was forgotten on command.
+            // Shown before and absent now in the same session: the worker has forgotten it on command.
             release(attempt, "no longer reported");
             return;
         }
-        // A start that no heartbeat shows may still be on its way. One given in an answer is over with the next
-        // heartbeat (the worker has one in flight, and drops late answers); one sent straight is over when the call is.
-        boolean covered = hello
-                && heartbeat.seq() > attempt.sentWithReport()
+        // A start that no heartbeat shows may still be in transit. If it was sent in a heartbeat answer, it cannot
+        // arrive after the next heartbeat: the worker has one in flight and drops late answers. If it was sent in a
+        // direct call, it cannot arrive after the call has been answered.
+        boolean startCannotArrive = isHeartbeat
+                && heartbeat.seq() > attempt.startAnswerSeq()
                 && !attempt.startMayArrive()
                 && !attempt.machine().calls().inFlight();
-        if (attempt.stopWanted() && covered) {
-            release(attempt, "withdrawn");
+        if (attempt.stopWanted() && startCannotArrive) {
+            release(attempt, "the start was withdrawn");
         }
     }
 
-    /** None of the machine's attempts is on it any more. */
-    void releaseAll(Machine machine, String why) {
+    /** Releases all attempts of a machine that certainly holds none of them any more. */
+    void releaseAll(Machine machine, String reason) {
         for (Attempt attempt : new ArrayList<>(machine.attempts().values())) {
-            release(attempt, why);
+            release(attempt, reason);
         }
     }
 
-    private void release(Attempt attempt, String why) {
-        boolean lost = attempt.live();
-        attempt.to(Attempt.State.OVER, context.now());
+    private void release(Attempt attempt, String reason) {
+        boolean wasLive = attempt.live();
+        attempt.transitionTo(Attempt.State.RELEASED, context.now());
         attempt.machine().remove(attempt);
-        Task task = attempt.owner();
+        Task task = attempt.task();
         if (task != null && task.state() == Task.State.ON_MACHINE && task.attempt() == attempt) {
-            if (lost) {
+            if (wasLive) {
                 LOG.info(
-                        "{} on {} is over: {}",
+                        "attempt lost, attempt={} machine={} reason={}",
                         attempt.name(),
                         attempt.machine().id(),
-                        why);
+                        reason);
                 context.metrics().lost.increment();
             }
             task.requeue();
         }
-        attempt.owner(null);
+        attempt.setTask(null);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureAttribution.java
@@ -4,25 +4,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whose fault an error is, the job's or the machine's, by the evidence of both sides. A job that fails on several machines
- * and has not succeeded since is taken to be broken: it was submitted with a mistake, which no machine can help. A machine on
- * which jobs fail that succeed elsewhere, or several jobs one after the other, is faulty. Until one of the two is known the
- * machine is avoided for a while, and the job waits a little.
+ * Attributes errors to the job or to the machine, by the failures and successes of both. A job that fails on several machines
+ * without a success in between counts as broken: it was submitted with a mistake, so it fails on any machine. A machine counts
+ * as faulty when jobs fail on it that succeed elsewhere, or when several different jobs fail on it without a success in
+ * between. Until the cause is known, the machine gets no tasks for a while and the job is paused briefly.
  */
 final class FailureAttribution {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** A job that has failed on so many machines, without a success since, is broken. */
-    static final int MACHINES = 2;
-    /** Or so often at all, where there are not so many machines. */
-    static final int TIMES = 6;
-    /** A machine is faulty by so many failures of jobs that succeed elsewhere. */
-    static final int PROVEN = 2;
-    /** Or where so many different jobs fail, of which nothing is known. */
-    static final int JOBS = 3;
+    /** Number of machines on which a job fails without a success in between before it counts as broken. */
+    static final int BROKEN_JOB_MACHINES = 2;
+    /** Number of failures at which a job counts as broken, on however few machines. */
+    static final int BROKEN_JOB_FAILURES = 6;
+    /** Number of failures of jobs that succeed elsewhere at which a machine counts as faulty. */
+    static final int FAULTY_MACHINE_PROVEN_FAILURES = 2;
+    /** Number of different failed jobs at which a machine counts as faulty, even if none of them succeeds elsewhere. */
+    static final int FAULTY_MACHINE_FAILED_JOBS = 3;
+
+    /** Pause of a job after a failure, until it counts as broken. */
+    private static final long PAUSE_AFTER_FAILURE_MS = 500;
+    /** Pause before a broken job is retried; each failure beyond {@link #BROKEN_JOB_MACHINES} doubles it. */
+    private static final long BROKEN_JOB_RETRY_MS = 2_000;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-    private static final long PAUSE_MS = 500;
-    private static final long PROBE_MS = 2_000;
-    private static final int MOST_DOUBLINGS = 5;
     private final FleetContext context;
     private final MachineTable machines;
 
@@ -31,67 +35,86 @@
         this.machines = machines;
     }
 
-    /** A task of the job ended with an error on the machine. */
-    void failed(ActiveJob job, Machine machine, long now) {
-        job.failed(machine.id());
-        ActiveJob.Health health = health(job.failedOn().size(), job.failures(), job.succeeded());
+    /** Records that a task of the job ended with an error on the machine. */
+    void recordFailure(ActiveJob job, Machine machine, long now) {
+        job.recordFailure(machine.id());
+        ActiveJob.Health health = computeHealth(job.failedMachineIds().size(), job.failures(), job.succeeded());
         if (health == ActiveJob.Health.BROKEN && job.health() != health) {
-            broken(job, now);
+            handleBrokenJob(job, now);
         }
-        job.judged(health);
+        job.setHealth(health);
         if (health == ActiveJob.Health.BROKEN) {
-            // Bounded, and never for good: a mistake outside the job may be mended.
-            job.pauseUntil(now + (PROBE_MS << Math.min(MOST_DOUBLINGS, job.failures() - MACHINES)));
+            // The pause is bounded and retries go on: the cause may lie outside the job and be repaired.
+            job.pauseUntil(now
+                    + (BROKEN_JOB_RETRY_MS << Math.min(MAX_BACKOFF_DOUBLINGS, job.failures() - BROKEN_JOB_MACHINES)));
             return;
         }
-        job.pauseUntil(now + PAUSE_MS);
-        machine.failures().failed(job.id(), job.succeeded(), now);
+        job.pauseUntil(now + PAUSE_AFTER_FAILURE_MS);
+        machine.failures().recordFailure(job.id(), job.succeeded(), now);
     }
 
-    private void broken(ActiveJob job, long now) {
-        // What it did there says nothing of the machines any more.
-        for (String id : job.failedOn()) {
-            Machine machine = machines.get(id);
+    private void handleBrokenJob(ActiveJob job, long now) {
+        // The failures of a broken job are no evidence against the machines.
+        for (String machineId : job.failedMachineIds()) {
+            Machine machine = machines.get(machineId);
             if (machine != null) {
-                machine.failures().exonerate(job.id(), now);
+                machine.failures().removeBrokenJob(job.id(), now);
             }
         }
-        LOG.info("{} fails on every machine that it is given: one task at a time is tried from now on", job.id());
+        LOG.info("job broken, limited to one task at a time, job={}", job.id());
         context.incidents()
-                .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine, so far on "
-                        + String.join(", ", job.failedOn())
+                .record(job.id() + " (" + job.spec().jobClass() + ") fails on every machine it is tried on, so far on "
+                        + String.join(", ", job.failedMachineIds())
                         + ": it looks like a mistake in the job; one task at a time is tried"
-                        + " until it is cancelled");
+                        + " until the job is cancelled");
         context.eventLog()
-                .emit("job_broken", "job", job.id(), "machines", job.failedOn().size());
+                .emit(
+                        "job_broken",
+                        "job",
+                        job.id(),
+                        "machines",
+                        job.failedMachineIds().size());
     }
 
-    /** A task of the job completed on the machine: both have shown that they work. */
-    void completed(ActiveJob job, Machine machine) {
-        for (String id : job.failedOn()) {
-            Machine other = machines.get(id);
+    /** Records that a task of the job completed on the machine, which clears the failures of both. */
+    void recordSuccess(ActiveJob job, Machine machine) {
+        for (String machineId : job.failedMachineIds()) {
+            Machine other = machines.get(machineId);
             if (other != null && other != machine) {
-                // It failed there and succeeds here: then it was the machine.
-                other.failures().implicate(job.id());
+                // The job failed there and succeeds here, so the other machine is at fault.
+                other.failures().recordSuccessElsewhere(job.id());
             }
         }
-        job.completed();
-        machine.failures().succeeded();
+        job.recordSuccess();
+        machine.failures().recordSuccess();
     }
 
-    /** What the failures since the last success say of a job. */
-    static ActiveJob.Health health(int machines, int failures, boolean succeeded) {
+    /**
+     * Returns what the failures since the last success say about a job. A job that has succeeded in this leader term counts as
+     * broken only after twice the failures.
+     *
+     * @param failedMachines number of machines on which the job failed
+     * @param failures       number of failures
+     * @param succeeded      true if a task of the job has completed in this leader term
+     */
+    static ActiveJob.Health computeHealth(int failedMachines, int failures, boolean succeeded) {
         if (failures == 0) {
-            return ActiveJob.Health.SOUND;
+            return ActiveJob.Health.HEALTHY;
         }
-        int more = succeeded ? 2 : 1;
-        return machines >= MACHINES * more || failures >= TIMES * more
+        int evidenceFactor = succeeded ? 2 : 1;
+        return failedMachines >= BROKEN_JOB_MACHINES * evidenceFactor
+                        || failures >= BROKEN_JOB_FAILURES * evidenceFactor
                 ? ActiveJob.Health.BROKEN
-                : ActiveJob.Health.DOUBTED;
+                : ActiveJob.Health.SUSPECT;
     }
 
-    /** True if the failures on a machine since its last success are its own. */
-    static boolean faulty(int proven, int jobs) {
-        return proven >= PROVEN || jobs >= JOBS;
+    /**
+     * Returns whether the failures on a machine since its last success are attributed to the machine.
+     *
+     * @param provenFailures number of failures of jobs that succeed elsewhere
+     * @param failedJobs     number of different jobs that failed on the machine
+     */
+    static boolean isFaulty(int provenFailures, int failedJobs) {
+        return provenFailures >= FAULTY_MACHINE_PROVEN_FAILURES || failedJobs >= FAULTY_MACHINE_FAILED_JOBS;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes over what workers say of themselves, in heartbeats and in answers to commands. */
+/** Merges the state that workers report, in heartbeats and in replies to calls, into the leader's view of the fleet. */
 final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
@@ -27,41 +27,43 @@
         this.boots = boots;
     }
 
-    /** The state that a worker answered a call with; null if the answer has none. */
+    /** Returns the worker's state from its reply to a call, or null if the reply has none. */
     Heartbeat read(Machine machine, Http.Reply reply) {
         if (reply.status() != 200 && reply.status() != 409) {
-            LOG.info("{} answered a command with {}", machine.id(), reply.status());
+            LOG.info("call reply with unexpected status, machine={} status={}", machine.id(), reply.status());
             return null;
         }
         try {
             Heartbeat heartbeat = Heartbeat.parse(Json.parse(reply.body()));
             return heartbeat.machine().equals(machine.id()) ? heartbeat : null;
         } catch (InvalidMessageException e) {
-            LOG.warn("dropping an answer of {}: {}", machine.id(), e.getMessage());
+            LOG.warn("malformed call reply dropped, machine={} reason={}", machine.id(), e.getMessage());
             return null;
         }
     }
 
     /**
-     * Takes over what a worker answered to a call, which it wrote after the call was sent.
+     * Merges the state from a worker's reply to a call. The worker wrote it after the call was sent.
      *
      * @param session the newest session known when the call was sent
-     * @param seq     the newest sequence number known then
-     * @return false if something newer is known already
+     * @param seq     the newest sequence number known when the call was sent
+     * @return false if the reply is outdated
      */
     boolean mergeAnswer(Machine machine, Heartbeat heartbeat, long session, long seq) {
-        // Sequences only grow within an incarnation: whoever answers now with an older one was restarted, and what it
-        // ran is gone. Else it would be taken for alive, with its tasks, for good: all its heartbeats are outdated.
+        // Sequence numbers only grow within an incarnation: a reply with an older one comes from a restarted worker,
+        // and its earlier tasks are gone. Without this check, the machine and these tasks would count as alive
+        // indefinitely, since all heartbeats of the new process look outdated.
         if (!Incarnation.newer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
-                    "{} has begun anew: it answers with {}/{} after {}/{}",
+                    "worker restarted, machine={} session={} seq={} knownSession={} knownSeq={}",
                     machine.id(),
                     heartbeat.session(),
                     heartbeat.seq(),
                     session,
                     seq);
-            context.incidents().record(machine.id() + " was started anew; what it ran before is lost");
+            context.incidents()
+                    .record("the worker of " + machine.id() + " was restarted; the tasks that it ran before are lost");
             context.eventLog()
                     .emit("begun_anew", "machine", machine.id(), "zone", machine.zone(), "held", machine.live());
             machine.incarnation().restart(context.leadership().token());
@@ -71,91 +73,93 @@
     }
 
     /**
-     * Takes over what a worker says.
+     * Merges the state that a worker reports.
      *
-     * @param hello true for a heartbeat, false for the answer to a call
-     * @return false if something newer is known already
+     * @param isHeartbeat true for a heartbeat, false for the reply to a call
+     * @return false if the report is outdated
      */
-    boolean merge(Machine machine, Heartbeat heartbeat, boolean hello) {
+    boolean merge(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
         Incarnation incarnation = machine.incarnation();
-        // Late heartbeats of an earlier incarnation would take tasks of the present one for gone.
+        // A late heartbeat of an earlier incarnation lacks the tasks of the present one, which would count as gone.
         if (incarnation.follows(heartbeat)) {
             incarnation.noteOutdated();
             return false;
         }
         if (incarnation.restarted()) {
-            begin(machine);
+            beginIncarnation(machine);
         }
-        // The highest token that a worker has seen only grows within an incarnation. A heartbeat that shows less than
-        // is known was sent before, or by an earlier incarnation whose sequence had come further: held up behind a cut,
-        // it would end what runs now.
+        // The highest token that a worker has seen only grows within an incarnation. A heartbeat with a lower token was
+        // sent earlier, or by an earlier incarnation with higher sequence numbers. If a network partition delayed it,
+        // merging it would release the attempts that run now.
         if (!incarnation.precedes(heartbeat) || heartbeat.token() < incarnation.token()) {
             incarnation.noteOutdated();
             return false;
         }
         incarnation.clearOutdated();
         long now = context.now();
-        boolean news = !Objects.equals(machine.noticeS(), heartbeat.noticeS());
-        news |= mergeSession(machine, heartbeat, now);
+        boolean changed = !Objects.equals(machine.noticeS(), heartbeat.noticeS());
+        changed |= mergeSession(machine, heartbeat, now);
         incarnation.accept(heartbeat);
-        mergeContact(machine, hello, now);
+        mergeContact(machine, isHeartbeat, now);
         machine.describe(heartbeat);
-        news |= bringUp(machine, now);
-        news |= mergeEntries(machine, heartbeat, now);
-        news |= mergeAbsent(machine, heartbeat, hello);
-        news |= fence(machine, heartbeat, now);
+        changed |= markUp(machine, now);
+        changed |= mergeEntries(machine, heartbeat, now);
+        changed |= mergeAbsent(machine, heartbeat, isHeartbeat);
+        changed |= fence(machine, heartbeat, now);
         if (machine.hasLive()) {
             machine.busyAt(now);
         }
-        // Most heartbeats say nothing new, and hundreds come each second: they may not cost a pass over the fleet.
-        if (news) {
+        // Hundreds of heartbeats arrive each second and most change nothing: they must not cost a pass over the fleet.
+        if (changed) {
             context.events().changed();
         }
         return true;
     }
 
-    /** The first heartbeat of a worker that was restarted and can be reached by nothing that was sent before. */
-    private void begin(Machine machine) {
+    /** Begins the incarnation of a restarted worker: commands sent to the earlier one can no longer reach it. */
+    private void beginIncarnation(Machine machine) {
         machine.incarnation().begin();
-        attempts.releaseAll(machine, "it was started anew");
+        attempts.releaseAll(machine, "the worker was restarted");
         machine.images().clear();
     }
 
     private boolean mergeSession(Machine machine, Heartbeat heartbeat, long now) {
-        long known = machine.incarnation().session();
-        if (heartbeat.session() <= known) {
+        long knownSession = machine.incarnation().session();
+        if (heartbeat.session() <= knownSession) {
             return false;
         }
-        if (known >= 0) {
-            LOG.info("{} begins session {}: everything on it was lost", machine.id(), heartbeat.session());
-            context.incidents().record(machine.id() + " came back with a new session; what it ran before is lost");
+        if (knownSession >= 0) {
+            LOG.info(
+                    "new worker session, earlier tasks lost, machine={} session={}", machine.id(), heartbeat.session());
+            context.incidents().record(machine.id() + " began a new session; the tasks that it ran before are lost");
         }
-        countLostStart(machine, now);
-        // The earlier session's end killed and forgot every task.
-        attempts.releaseAll(machine, "its session ended");
+        countLostStartIfAny(machine, now);
+        // When a session ends, the worker kills and forgets every task.
+        attempts.releaseAll(machine, "the worker's session ended");
         machine.incarnation().beginSession(heartbeat.session());
-        // A session has a lease's time from its beginning, whether anybody answers it or not. Counted from an answer to
-        // the one before, what was started straight into this one would be placed again while it still runs.
+        // A session lasts at least one lease, even if no heartbeat in it is answered. If the lease were counted from an
+        // answer in the previous session, a task that a direct call started in this one would be placed again while it
+        // still runs.
         machine.lease().extend(now);
         return true;
     }
 
     /**
-     * A session that ended with starts that no heartbeat has shown is evidence of a machine that sends heartbeats and hears
-     * nothing: it looks the best of all, being empty, and would be given task after task.
+     * Counts a lost start if the session ended with a start that no heartbeat has shown. That is evidence of a machine that
+     * sends heartbeats but receives nothing: being empty, it would be preferred and given one task after another.
      */
-    private static void countLostStart(Machine machine, long now) {
+    private static void countLostStartIfAny(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.state() == Attempt.State.SENT && attempt.startMayArrive()) {
-                machine.failures().startLost(now);
+                machine.failures().recordLostStart(now);
                 return;
             }
         }
     }
 
-    private void mergeContact(Machine machine, boolean hello, long now) {
+    private void mergeContact(Machine machine, boolean isHeartbeat, long now) {
         machine.heard(now);
-        if (hello) {
+        if (isHeartbeat) {
             machine.contact().heartbeat(now);
         }
         if (machine.contact().reopen()) {
@@ -163,7 +167,7 @@
         }
     }
 
-    private boolean bringUp(Machine machine, long now) {
+    private boolean markUp(Machine machine, long now) {
         if (machine.state() != Machine.State.BOOTING && machine.state() != Machine.State.LAPSED) {
             return false;
         }
@@ -181,45 +185,45 @@
     }
 
     private boolean mergeEntries(Machine machine, Heartbeat heartbeat, long now) {
-        boolean news = false;
+        boolean changed = false;
         for (Heartbeat.Entry entry : heartbeat.tasks()) {
             Attempt attempt = machine.attempt(entry.attempt());
             if (attempt == null) {
                 attempt = attempts.adopt(machine, entry, now);
-                news = true;
+                changed = true;
             }
-            attempt.reportedWith(heartbeat.seq());
-            // One that has ended proves nothing: its task may have been placed elsewhere since.
-            if (attempt.owner() != null
+            attempt.markReported(heartbeat.seq());
+            // An ended attempt proves nothing: its task may have been placed elsewhere since.
+            if (attempt.task() != null
                     && heartbeat.token() >= context.token()
                     && entry.status() != Heartbeat.TaskStatus.EXITED) {
-                attempt.owner().account();
+                attempt.task().markAccountedFor();
             }
-            Attempt.State before = attempt.state();
-            if (before == Attempt.State.SENT) {
-                machine.failures().startArrived();
+            Attempt.State previousState = attempt.state();
+            if (previousState == Attempt.State.SENT) {
+                machine.failures().recordArrivedStart();
             }
-            attempts.seen(attempt, entry, now);
-            news |= attempt.state() != before;
+            attempts.update(attempt, entry, now);
+            changed |= attempt.state() != previousState;
         }
-        return news;
+        return changed;
     }
 
-    private boolean mergeAbsent(Machine machine, Heartbeat heartbeat, boolean hello) {
-        boolean news = false;
+    private boolean mergeAbsent(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
+        boolean changed = false;
         List<Attempt> absent = List.of();
         for (Attempt attempt : machine.attempts().values()) {
-            attempt.tokenShown(heartbeat.token());
-            if (attempt.reportedWith() != heartbeat.seq()) {
+            attempt.observeToken(heartbeat.token());
+            if (attempt.lastReportSeq() != heartbeat.seq()) {
                 absent = absent.isEmpty() ? new ArrayList<>() : absent;
                 absent.add(attempt);
             }
         }
         for (Attempt attempt : absent) {
-            attempts.missing(attempt, heartbeat, hello);
-            news |= attempt.state() == Attempt.State.OVER;
+            attempts.handleMissing(attempt, heartbeat, isHeartbeat);
+            changed |= attempt.state() == Attempt.State.RELEASED;
         }
-        return news;
+        return changed;
     }
 
     private boolean fence(Machine machine, Heartbeat heartbeat, long now) {
@@ -227,7 +231,7 @@
             return false;
         }
         machine.fence();
-        // From here on starts are sent to it, into a session that may have begun at any time until now.
+        // Starts are sent to the machine from now on, in a session that may have begun at any time up to now.
         machine.lease().extend(now);
         unverifiedMachines.accounted(machine);
         return true;
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -1,15 +1,16 @@
 package org.landingridge.controller.fleet;
 
-/** One task of a job, as the leader sees it. */
+/** One task of an active job, in the memory of the leader. */
 public final class Task {
-    /**
-     * PENDING: on no machine, as far as this leader can tell. ON_MACHINE: an attempt is or may be on a machine.
-     * FINISHED: it reported its end, not yet stored. DONE: stored.
-     */
+    /** States of a task. */
     public enum State {
+        /** On no machine, as far as this leader knows. */
         PENDING,
+        /** An attempt is or may be on a machine. */
         ON_MACHINE,
+        /** An attempt completed; the result is not stored yet. */
         FINISHED,
+        /** The result is stored. */
         DONE
     }
 
@@ -17,8 +18,8 @@
     private final int index;
     private State state;
     private Attempt attempt;
-    /** Seen by this leader on a machine that no earlier leader can command any more: so it is nowhere else. */
-    private boolean accounted;
+    /** True once this leader has seen the task on a fenced machine: no attempt of an earlier leader is elsewhere. */
+    private boolean accountedFor;
 
     Task(ActiveJob job, int index, State state) {
         this.job = job;
@@ -26,68 +27,69 @@
         this.state = state;
     }
 
-    /** Where it stands. */
+    /** Returns the state of the task. */
     public State state() {
         return state;
     }
 
-    /** The attempt that is or may be on a machine; null in every other state. */
+    /** Returns the attempt that is or may be on a machine, or null in any state but {@link State#ON_MACHINE}. */
     public Attempt attempt() {
         return attempt;
     }
 
-    /** Its job. */
+    /** Returns the job of the task. */
     public ActiveJob job() {
         return job;
     }
 
-    /** Its number in the job. */
+    /** Returns the index of the task in its job, from 0. */
     public int index() {
         return index;
     }
 
-    boolean accounted() {
-        return accounted;
+    boolean accountedFor() {
+        return accountedFor;
     }
 
-    /** This leader has seen it on a fenced machine. */
-    void account() {
-        accounted = true;
+    /** Records that this leader has seen the task on a fenced machine. */
+    void markAccountedFor() {
+        accountedFor = true;
     }
 
-    /** It is on a machine by that attempt. */
-    void placed(Attempt by) {
-        to(State.ON_MACHINE, by);
+    /** Records that an attempt puts the task on a machine. */
+    void markOnMachine(Attempt newAttempt) {
+        transitionTo(State.ON_MACHINE, newAttempt);
     }
 
-    /** It is on no machine any more, and waits. */
+    /** Makes the task pending again: it is on no machine any more. */
     void requeue() {
-        to(State.PENDING, null);
+        transitionTo(State.PENDING, null);
     }
 
-    /** It has reported its end. */
-    void finish() {
-        to(State.FINISHED, null);
+    /** Records that an attempt completed; the result is not stored yet. */
+    void markFinished() {
+        transitionTo(State.FINISHED, null);
     }
 
-    /** Its end is stored. */
+    /** Records that the result is stored. */
     void done() {
-        to(State.DONE, null);
+        transitionTo(State.DONE, null);
     }
 
-    /** The only place where a task changes its state. */
-    private void to(State next, Attempt by) {
-        boolean legal = switch (state) {
+    /** Changes the state; every state change goes through here. */
+    private void transitionTo(State next, Attempt newAttempt) {
+        boolean isAllowed = switch (state) {
             case PENDING -> next != State.PENDING;
             case ON_MACHINE -> next == State.PENDING || next == State.FINISHED || next == State.DONE;
             case FINISHED -> next == State.DONE;
             case DONE -> false;
         };
-        if (!legal) {
-            throw new IllegalStateException(job.id() + "/" + index + ": " + state + " -> " + next);
+        if (!isAllowed) {
+            throw new IllegalStateException(
+                    "task " + job.id() + "/" + index + ": transition " + state + " -> " + next + " is not allowed");
         }
-        job.moved(this, state, next);
+        job.countTransition(this, state, next);
         state = next;
-        attempt = by;
+        attempt = newAttempt;
     }
 }
