--- a/controller/src/main/java/org/landingridge/controller/recovery/Action.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Action.java
@@ -1,23 +1,23 @@
 package org.landingridge.controller.recovery;
 
-/** What is to be done about a machine, a heartbeat, an entry of one, or a task. The names are shown in the status. */
+/** The action to take on a machine, a heartbeat, a heartbeat entry or a task. The names are shown in the status. */
 public enum Action {
-    /** It is what the stored state says, or fits into it: it is taken as it is. */
+    /** Accept the report: it agrees with the stored state or extends it. */
     ADOPT,
-    /** Nothing is done until something more is known; the reason says what. */
+    /** Do nothing until more is known; the reason says what is missing. */
     WAIT,
-    /** The task, or all that could run on the machine, certainly runs nowhere and may be started. */
+    /** The task, or every task that could run on the machine, certainly runs nowhere and may be started. */
     PLACE,
-    /** It runs and may not: it is stopped. */
+    /** Stop an attempt that must not run. */
     STOP,
-    /** It is over and nobody needs it any more: the worker may forget it. */
+    /** The attempt has ended and is no longer needed: the worker may forget it. */
     CLEAR,
-    /** The worker has not seen this leader's fencing token yet: it is sent the token before anything else. */
+    /** The worker has not seen this leader's fencing token yet: send the token before any other command. */
     FENCE,
-    /** The machine is returned to the cloud, whose answer proves that nothing runs on it any more. */
+    /** Return the machine to the cloud, whose answer proves that nothing runs on it any more. */
     GIVE_BACK,
-    /** Whoever knows is asked: the machine itself, or the state service. */
+    /** Ask the machine itself, or the state service. */
     ASK,
-    /** What it says is older than what is known. */
+    /** Ignore the report: it is out of date. */
     IGNORE
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
@@ -1,14 +1,14 @@
 package org.landingridge.controller.recovery;
 
 /**
- * What is to be done, and why.
+ * An action and the reason for it.
  *
  * @param reason one of a fixed set, the reason column of the tables in {@code docs/recovery.md}
  */
 public record Decision(Action action, Reason reason) {
-    /** Why; the names and texts are shown in the status, and the texts in incidents. */
+    /** The reason; names and texts are shown in the status, and the texts also in incidents. */
     public enum Reason {
-        // Machines.
+        // Reasons for machines.
         RETURNING("the cloud has been asked to take it back"),
         STOPPED("the cloud lists it as failed"),
         LEASE_OVER("its lease is over, so it holds nothing"),
@@ -25,12 +25,12 @@
         CUT_OFF("its lease; so many fall silent at once where a network is cut"),
         LEASE("its lease"),
 
-        // Heartbeats as a whole.
+        // Reasons for whole heartbeats.
         GIVEN_BACK("it was given back: the report is an old one"),
         OLDER("something newer is known"),
         HIGHER_TOKEN("somebody may lead after us"),
 
-        // Entries of a heartbeat.
+        // Reasons for entries of a heartbeat.
         JOB_OVER("its job is over"),
         NO_SUCH_JOB("no such job is stored"),
         NO_SUCH_TASK("the job has no task of this number"),
@@ -42,7 +42,7 @@
         UNSTORED("its result is not stored yet"),
         ENDED("it has ended without a result"),
 
-        // Tasks that are on no machine as far as is known.
+        // Reasons for tasks that no machine has reported.
         OWN("no earlier leader knew the job"),
         SEEN("this leader has seen it on a fenced machine, and lost it"),
         NOBODY_HOLDS("every machine that could hold it is accounted for"),
@@ -54,13 +54,13 @@
             this.text = text;
         }
 
-        /** The reason in plain words, as the end of a sentence about the machine or the task. */
+        /** Returns the reason as text that can end a sentence about the machine or the task. */
         public String text() {
             return text;
         }
     }
 
-    /** True where this action is to be taken. */
+    /** Returns true if the decision is to take this action. */
     public boolean is(Action other) {
         return action == other;
     }
--- a/controller/src/main/java/org/landingridge/controller/recovery/EntryEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/EntryEvidence.java
@@ -1,46 +1,46 @@
 package org.landingridge.controller.recovery;
 
 /**
- * What is known of one entry of a heartbeat.
+ * The evidence about one entry of a heartbeat.
  *
- * @param job   what is stored of its job
- * @param task  what this leader has concluded of its task so far; {@code NONE} where the job has no such task
- * @param entry what the worker reports of the attempt
+ * @param job   the stored state of its job
+ * @param task  what this leader knows about its task; {@code NONE} if the job has no such task
+ * @param entry the state of the attempt that the worker reports
  */
 public record EntryEvidence(StoredJob job, KnownTask task, ReportedAttempt entry) {
-    /** What is stored of a job. */
+    /** The stored state of a job. */
     public enum StoredJob {
-        /** It is neither done nor cancelled. */
+        /** The job is neither done nor cancelled. */
         ACTIVE,
-        /** It ended lately. */
+        /** The job ended recently. */
         ENDED,
-        /** It ended long ago, or was never accepted. */
+        /** The job ended long ago or was never accepted. */
         ABSENT
     }
 
-    /** What this leader has concluded of a task. */
+    /** What this leader knows about a task. */
     public enum KnownTask {
         /** The job has no such task. */
         NONE,
-        /** It is on no machine. */
+        /** The task is on no machine. */
         PENDING,
-        /** It is on a machine, by a later attempt than the one reported. */
+        /** A later attempt than the reported one is on a machine. */
         LATER_ATTEMPT,
-        /** It is on a machine, by an attempt before the one reported. */
+        /** An earlier attempt than the reported one is on a machine. */
         EARLIER_ATTEMPT,
-        /** It has finished, and its result is not stored yet. */
+        /** The task has finished, and its result is not stored yet. */
         FINISHED,
-        /** Its result is stored. */
+        /** The result of the task is stored. */
         STORED
     }
 
-    /** What a worker reports of an attempt. */
+    /** The state of an attempt that a worker reports. */
     public enum ReportedAttempt {
-        /** It fetches, runs or saves. */
+        /** The attempt is fetching its image, running or saving. */
         LIVE,
-        /** It ended with a result. */
+        /** The attempt ended with a result. */
         COMPLETED,
-        /** It ended without one. */
+        /** The attempt ended without a result. */
         ENDED
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/HeartbeatEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/HeartbeatEvidence.java
@@ -1,20 +1,20 @@
 package org.landingridge.controller.recovery;
 
 /**
- * What is known of a heartbeat as a whole.
+ * The evidence about a heartbeat as a whole.
  *
  * @param returned the cloud has confirmed that the machine is gone
- * @param newer    by session and sequence number newer than all that was heard of the machine
+ * @param newer    its session and sequence number are newer than those of any earlier heartbeat of the machine
  * @param token    the highest fencing token that the worker has seen, compared with this leader's
  */
 public record HeartbeatEvidence(boolean returned, boolean newer, Token token) {
-    /** A fencing token compared with this leader's. */
+    /** The result of comparing a fencing token with this leader's token. */
     public enum Token {
-        /** Of an earlier leader. */
+        /** The token of an earlier leader. */
         LOWER,
-        /** This leader's. */
+        /** This leader's token. */
         EQUAL,
-        /** Of a leader that may follow this one. */
+        /** The token of a leader that may have replaced this one. */
         HIGHER;
 
         /** Compares a token that a worker has seen with this leader's. */
--- a/controller/src/main/java/org/landingridge/controller/recovery/MachineEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/MachineEvidence.java
@@ -1,20 +1,20 @@
 package org.landingridge.controller.recovery;
 
 /**
- * What is known of one machine.
+ * The evidence about one machine.
  *
- * @param registryRow      what the machine registry says of it
+ * @param registryRow      its row in the machine registry
  * @param tokenSeen        the fencing token of its newest heartbeat in this leader term
  * @param failedInCloud    the cloud lists it as failed: it stopped on its own
- * @param returning        the cloud has been asked to take it back and has not answered
- * @param leaseExpired     nobody can have answered one of its heartbeats for longer than its lease
- * @param heartbeatOverdue it has not been heard of for longer than its heartbeats may take
- * @param unresponsive     it was called directly, often enough, and did not answer
+ * @param returning        its return to the cloud has been requested and not yet answered
+ * @param leaseExpired     no controller can have answered one of its heartbeats within the last lease period
+ * @param heartbeatOverdue its next heartbeat is overdue
+ * @param unresponsive     it did not answer enough direct calls
  * @param bootOverdue      its boot, or its return after its lease expired, takes longer than usual, margin included
- * @param failsTasks       it fails one task after the other and runs none
- * @param partitionLikely  heartbeats of so many machines of its zone are overdue that a partition is likelier than losses
- * @param returnSaves      what runs there, or waits for it, would wait noticeably longer for the lease than for the cloud's
- *                         answer to a return
+ * @param failsTasks       its tasks fail one after the other and none runs
+ * @param partitionLikely  heartbeats of many machines of its zone are overdue, so a network partition is likelier than losses
+ * @param returnSaves      tasks that run there or wait for it would wait noticeably longer for the lease to expire than for
+ *                         the cloud to confirm a return
  */
 public record MachineEvidence(
         RegistryRow registryRow,
@@ -29,23 +29,23 @@
         boolean partitionLikely,
         boolean returnSaves) {
 
-    /** What the machine registry says of a machine. */
+    /** The state of a machine's row in the machine registry. */
     public enum RegistryRow {
         /** The machine has no address yet, or its lease has expired: nothing can run on it. */
         NO_ADDRESS,
-        /** It has sent a heartbeat, and its row with the address is not stored yet. */
+        /** The machine has sent a heartbeat, and its row with the address is not stored yet. */
         ADDRESS_UNSTORED,
-        /** Its row is stored with its address: it may run tasks. */
+        /** The row is stored with the address, so the machine may run tasks. */
         ADDRESS_STORED
     }
 
-    /** The fencing token that a worker has seen. */
+    /** The fencing token that a worker has seen, compared with this leader's. */
     public enum TokenSeen {
-        /** The machine has not been heard of in this leader term. */
+        /** The machine has sent no heartbeat in this leader term. */
         NONE,
-        /** It has not seen this leader's token. */
+        /** The worker has not seen this leader's token. */
         OLDER,
-        /** It has, so no earlier leader can reach it. */
+        /** The worker has seen this leader's token, so it accepts no commands of earlier leaders. */
         CURRENT
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -1,19 +1,19 @@
 package org.landingridge.controller.recovery;
 
 /**
- * Whether a new leader knows enough of what is there to scale out. Right after an election machines turn up that no list
- * names yet: what is rented in their place is returned unused.
+ * Tracks whether a new leader knows enough about existing machines to scale out. Right after an election, machines report
+ * that no list of the cloud contains yet; machines rented in their place would be returned unused.
  */
 public final class ObservationWindow {
-    /** How much is known. */
+    /** How complete the leader's view of the machines is. */
     public enum State {
-        /** Machines still turn up, or no list was read. */
+        /** Unknown machines still report, or no list of the cloud has been read. */
         GATHERING,
-        /** What is up or on its way is known, mostly; it stays so. */
+        /** Nearly all machines that are up or starting are known. This state is final. */
         COMPLETE
     }
 
-    /** For so long no unknown machine may have turned up, in milliseconds. */
+    /** Time without a new unknown machine after which the view counts as complete, in milliseconds. */
     private static final long QUIET_MS = 1_000;
 
     private final long beganAt;
@@ -22,24 +22,29 @@
     private boolean listRead;
     private long newestAt;
 
-    /** @param mostMs how long nothing is decided at most, whatever is still missing */
+    /**
+     * Starts the window.
+     *
+     * @param beganAt start of the window, in milliseconds
+     * @param mostMs  longest duration of the window, in milliseconds; then it is complete in any case
+     */
     public ObservationWindow(long beganAt, long mostMs) {
         this.beganAt = beganAt;
         this.newestAt = beganAt;
         this.mostMs = mostMs;
     }
 
-    /** A machine has sent a heartbeat that nobody knew of. */
+    /** Records a heartbeat of a machine that was unknown so far. */
     public void newcomer(long now) {
         newestAt = now;
     }
 
-    /** A list of the cloud has been read. */
+    /** Records that a list of the cloud's machines has been read. */
     public void listed() {
         listRead = true;
     }
 
-    /** How much is known at this time. */
+    /** Returns how complete the view is at the given time, in milliseconds. */
     public State state(long now) {
         if (state == State.GATHERING && (observed(now) || now - beganAt >= mostMs)) {
             state = State.COMPLETE;
--- a/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
@@ -8,8 +8,9 @@
 import org.landingridge.controller.recovery.MachineEvidence.TokenSeen;
 
 /**
- * Reconciles what workers and cloud report with what is stored: from evidence to a {@link Decision}, with no state of its
- * own. The tables in {@code docs/recovery.md} state the same line by line, and a test holds every combination against them.
+ * Reconciles reports of workers and the cloud with the stored state. Each function derives a {@link Decision} from evidence
+ * and has no state. The tables in {@code docs/recovery.md} list the same rules, and a test checks every combination of
+ * evidence against them.
  */
 public final class Reconciliation {
     private Reconciliation() {}
@@ -54,7 +55,7 @@
         };
     }
 
-    /** It may run tasks, and nobody knows whether it still does: a heartbeat that does not come proves nothing. */
+    /** Decides about a machine that may still run tasks: a missing heartbeat alone does not prove that it has stopped. */
     private static Decision overdue(MachineEvidence evidence) {
         if (!evidence.unresponsive()) {
             return new Decision(Action.ASK, Reason.UNHEARD);
@@ -116,7 +117,7 @@
         };
     }
 
-    /** Decides about a task that is on no machine as far as anybody has reported. */
+    /** Decides about a task that no machine has reported. */
     public static Decision task(TaskEvidence evidence) {
         if (evidence.acceptedThisTerm()) {
             return new Decision(Action.PLACE, Reason.OWN);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
@@ -4,25 +4,28 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Finds nodes that have room for a task now, the best first: with its image, else the fullest on which it still fits. */
+/**
+ * Finds nodes on which a task fits now, best first: nodes that already have its image, then the fullest node on which it
+ * still fits.
+ */
 final class BinPacking {
-    /** A node that is not a spot instance, for work that may run on one. */
+    /** Score penalty of an on-demand node for a task that may run on a spot instance. */
     private static final double ORDINARY = 2;
-    /** A node that is being drained: only where there is no other room. */
+    /** Score penalty of a draining node: it is used only if no other node has room. */
     private static final double DRAINING = 4;
-    /** A service whose image must be fetched; each task that fetches there already makes it later. */
+    /** Score penalty of a service whose image must be fetched; each fetch already in progress on the node adds 1. */
     private static final double SERVICE_FETCH = 4;
-    /** Any other task whose image must be fetched. */
+    /** Score penalty of any other task whose image must be fetched. */
     private static final double FETCH = 0.5;
-    /** Each replica of a service on the node: one machine's loss should hurt little. */
+    /** Score penalty per service replica already on the node: losing one machine should stop few replicas. */
     private static final double REPLICA = 0.3;
-    /** Of the time within which a task should start, so much may pass while its image is fetched. */
+    /** Largest share of a task's start time target that an image fetch may use. */
     private static final double FETCH_SHARE = 0.6;
 
     private final SchedulingPlan plan;
-    /** Nodes that may still take tasks now: full ones need not be searched for every group. */
+    /** Nodes that are up and have free room; full nodes are removed so that they are not searched for every group. */
     private final List<CandidateNode> withRoom = new ArrayList<>();
-    /** Nodes from which a new leader has had no heartbeat yet. */
+    /** Nodes that have not yet sent a heartbeat to a new leader. */
     private final List<CandidateNode> awaitingHeartbeat = new ArrayList<>();
 
     BinPacking(List<CandidateNode> nodes, SchedulingPlan plan) {
@@ -37,7 +40,7 @@
         }
     }
 
-    /** The nodes on which a task of the group fits now, best first. */
+    /** Returns the nodes on which a task of the group fits now, best first. */
     PriorityQueue<Candidate> candidates(TaskGroup group) {
         withRoom.removeIf(node -> !node.hasRoom());
         plan.steps += withRoom.size();
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Takes the best candidate left, or null. What earlier tasks of the group made forbidden (one zone, spread) is passed
-     * over for good.
+     * Removes and returns the best remaining candidate, or null if there is none. Candidates that the group's zone rules
+     * forbid since earlier tasks were placed (one zone, spread) are discarded.
      */
     static Candidate next(TaskGroup group, PriorityQueue<Candidate> candidates) {
         Candidate candidate = candidates.poll();
@@ -63,7 +66,7 @@
         return candidate;
     }
 
-    /** Takes room for a task on the candidate's node, which stays a candidate where another one fits. */
+    /** Takes room for a task on the chosen node, and adds the node to the candidates again if another task still fits. */
     static void take(TaskGroup group, Candidate chosen, PriorityQueue<Candidate> candidates) {
         CandidateNode node = chosen.node();
         node.take(group.spec);
@@ -73,8 +76,8 @@
     }
 
     /**
-     * Keeps room for blocked tasks from work of lower priority, which would be preempted for them a few seconds after its
-     * start. What machines that sent no heartbeat yet can hold is most likely there, and needs no room elsewhere.
+     * Reserves room for blocked tasks, so that no work of lower priority is started there and preempted a few seconds
+     * later. Tasks that fit on machines without a heartbeat so far are most likely running there and need no room elsewhere.
      */
     void reserve(TaskGroup group) {
         int blocked = group.blocked;
@@ -109,7 +112,7 @@
         return score;
     }
 
-    /** False if the task would start late there, since its image must be fetched first. */
+    /** Returns false if the image fetch would make the task start later than its target on this node. */
     static boolean startsInTime(TaskGroup group, CandidateNode node) {
         return group.startWithinS <= 0
                 || group.spec.image() == null
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Candidate.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Candidate.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * A node for the next task of a group. The lowest score goes first, then the first in the input.
+ * A node that can take the next task of a group. Candidates are ordered by score, lowest first, then by index.
  *
- * @param index      place of the node in the list that was searched
- * @param preemptions what has to be stopped there to make room; empty where the task fits already
+ * @param score       placement score or preemption cost; lower is better
+ * @param index       position of the node in the searched list
+ * @param preemptions tasks to stop on the node to make room; empty if the task already fits
  */
 record Candidate(double score, int index, CandidateNode node, List<CandidateNode.Running> preemptions)
         implements Comparable<Candidate> {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -7,33 +7,33 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * A machine in one scheduling cycle. The leader fills it and adds what runs on it; from then on the cycle counts down its
- * room. All CPUs are processors, all memory is GB.
+ * A machine as seen by one scheduling cycle. The leader creates it and adds the tasks that occupy it; the cycle then
+ * deducts the room that it assigns. CPU amounts are in processors, memory is in GB.
  */
 public final class CandidateNode {
-    /** What is missing to a fit by rounding alone does not count. */
+    /** Tolerance for floating-point rounding when a task is checked against free room. */
     private static final double ROUNDING = 1e-6;
 
-    /** Something that takes room on the node. */
+    /** A task that occupies room on the node. */
     public static final class Running {
-        /** The job; null where nothing is known of it. */
+        /** Specification of the task's job; null if unknown. */
         public final JobSpec spec;
-        /** Index of its team in the cycle's input. */
+        /** Index of the job's team in the cycle's list of teams. */
         public final int team;
         /** The attempt, opaque to the scheduler. */
         public final Object attempt;
-        /** When it was sent, by the event loop's clock. */
+        /** When the task was sent to the machine, in milliseconds of the event loop's clock. */
         public final long startedAt;
-        /** Commanded to stop already: its room comes free by itself. */
+        /** True if the task has already been told to stop, so its room becomes free without preemption. */
         public boolean stopping;
-        /** Stopped for work that cannot wait until it has saved: what it did since its last checkpoint is done again. */
+        /** True if the task is stopped without saving because other work cannot wait; it redoes work since its last checkpoint. */
         public boolean withoutSave;
-        /** How long it has run, in seconds; 0 until it runs. */
+        /** How long the task has run, in seconds; 0 until it runs. */
         public double ranS;
-        /** How much longer it is expected to run, in seconds. */
+        /** Expected remaining run time, in seconds. */
         public double leftS;
 
-        /** Something that takes room; see the fields. */
+        /** Creates a task that occupies room; see the fields. */
         public Running(JobSpec spec, int team, Object attempt, long startedAt, boolean stopping) {
             this.spec = spec;
             this.team = team;
@@ -47,36 +47,36 @@
     public final MachineType type;
     /** The machine's zone. */
     public final String zone;
-    /** True for a spot instance: it takes only tasks that allow it. */
+    /** True for a spot instance, which takes only tasks that allow spot instances. */
     public final boolean spot;
-    /** The machine, opaque to the scheduler; null for one that is still asked for. */
+    /** The machine, opaque to the scheduler; null for a machine that this cycle requests. */
     public final Object machine;
-    /** Nodes that are up take tasks now; the others are on their way and only count against scaling out. */
+    /** True if the node takes tasks now; a node that is still starting only reduces the number of machines to rent. */
     public final boolean up;
-    /** Images that the machine has; not copied. */
+    /** Images on the machine; the set is not copied. */
     public final Set<String> images;
-    /** What takes room on the node; add with {@link #add} only. */
+    /** Tasks that occupy room on the node; call {@link #add} to change it. */
     public final List<Running> running = new ArrayList<>();
     /** How long the machine has been idle, in milliseconds. */
     public long idleMs;
-    /** Tasks that wait for their image there: fetches share the machine's rate. */
+    /** Number of tasks whose image is being fetched to the machine; fetches share the machine's bandwidth. */
     public int fetching;
-    /** A new leader has had no heartbeat from it, though one is due soon: blocked tasks are most likely there. */
+    /** True if a new leader is still waiting for the machine's first heartbeat: blocked tasks are most likely running there. */
     public boolean awaitingHeartbeat;
-    /** Vacated a short while ago, to be returned. */
+    /** True if the machine was recently drained so that it can be returned. */
     public boolean draining;
 
     private double cpus;
     private double gpus;
     private double memory;
     private int services;
-    /** Room once what is stopping has stopped. */
+    /** Free CPUs after all stopping tasks have stopped; GPUs and memory follow. */
     private double soonCpus;
 
     private double soonGpus;
     private double soonMemory;
 
-    /** An empty machine. */
+    /** Creates a machine without tasks. */
     public CandidateNode(MachineType type, String zone, boolean spot, Object machine, boolean up, Set<String> images) {
         this.type = type;
         this.zone = zone;
@@ -92,7 +92,7 @@
         this.soonMemory = memory;
     }
 
-    /** Adds something that runs there; what nothing is known of may take the whole machine. */
+    /** Adds a task that occupies room on the machine; a task without a known specification takes all of it. */
     public void add(Running added) {
         running.add(added);
         if (added.spec == null) {
@@ -114,7 +114,7 @@
         soonMemory = 0;
     }
 
-    /** Takes room for a task that is placed now and stays. */
+    /** Deducts the room of a task that is placed now, from the current and the later free room. */
     void take(JobSpec spec) {
         takeNow(spec);
         takeSoon(spec);
@@ -127,14 +127,14 @@
         services += spec.service() ? 1 : 0;
     }
 
-    /** Takes room that comes free, for a task that is placed in a later cycle. */
+    /** Deducts room that becomes free after stops, for a task that a later cycle will place. */
     void takeSoon(JobSpec spec) {
         soonCpus -= spec.cpus();
         soonGpus -= spec.gpus();
         soonMemory -= spec.memoryGb();
     }
 
-    /** Frees the room of a task that is stopped in this cycle. */
+    /** Adds the room of a task that is stopped in this cycle to the room that becomes free after stops. */
     void freeSoon(JobSpec spec) {
         soonCpus += spec.cpus();
         soonGpus += spec.gpus();
@@ -148,7 +148,7 @@
                 && group.zoneAllowed(zone);
     }
 
-    /** True while anything at all may fit. */
+    /** Returns true if the node has any free room. */
     boolean hasRoom() {
         return memory > ROUNDING && (cpus > ROUNDING || gpus > ROUNDING);
     }
@@ -165,7 +165,7 @@
         return spec.cpus() <= cpus + ROUNDING && spec.gpus() <= gpus + ROUNDING && spec.memoryGb() <= memory + ROUNDING;
     }
 
-    /** Tasks of this size that the node could take at once, counting what they may preempt; at most 1000. */
+    /** Returns how many tasks of this size the node could take, including room from preemption; at most 1000. */
     int roomFor(JobSpec spec) {
         double roomCpus = soonCpus;
         double roomMemory = soonMemory;
@@ -180,7 +180,7 @@
         return (int) Math.max(0, Math.min(byCpu, byMemory));
     }
 
-    /** Free processors now, as a share of the machine's. */
+    /** Returns the share of the machine's CPUs that is free now. */
     double freeShare() {
         return cpus / type.cpus();
     }
@@ -189,12 +189,12 @@
         return type.cpus() - cpus;
     }
 
-    /** True if no processor of it is in use. */
+    /** Returns true if the machine has no tasks and no room on it is taken. */
     boolean unused() {
         return running.isEmpty() && cpus >= type.cpus() - 1e-9;
     }
 
-    /** Replicas of services on the node. */
+    /** Returns the number of service replicas on the node. */
     int services() {
         return services;
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * Enforces a quota that was lowered below what runs. Work is stopped in steps, least priority first, and what began last
- * first among equals; a step takes a quarter of what is left, so that no team loses all at once to a mistake that is soon
- * corrected.
+ * Enforces a quota that was lowered below a team's current use. Tasks are stopped in steps: lowest priority first, and the
+ * most recently started first within a priority. Each step stops a quarter of the remaining excess, so that a mistaken
+ * quota that is soon corrected does not stop all of a team's work.
  */
 public final class ExcessWork {
-    /** Between two steps, in milliseconds. */
+    /** Interval between two steps, in milliseconds. */
     public static final long STEP_MS = 1_000;
-    /** A step takes this share of the excess. */
+    /** Share of the excess that one step stops. */
     private static final double SHARE = 0.25;
-    /** A step takes so many processors at least, so that the last of the excess goes too. */
+    /** Minimum number of CPUs per step, so that the excess reaches zero. */
     private static final double LEAST_CPUS = 16;
-    /** The same for GPUs. */
+    /** Minimum number of GPUs per step. */
     private static final double LEAST_GPUS = 1;
 
     private static final double ROUNDING = 1e-6;
@@ -28,7 +28,7 @@
 
     private ExcessWork() {}
 
-    /** What to stop in one step; empty where every team is within its limit. */
+    /** Returns the tasks to stop in one step; empty if every team is within its limit. */
     public static List<CandidateNode.Running> step(List<CandidateNode> nodes, List<Team> teams) {
         List<CandidateNode.Running> stops = new ArrayList<>();
         for (int index = 0; index < teams.size(); index++) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 
 /**
- * The order in which groups are served: by priority, and among equals first come, first served as long as that makes no
- * job late; otherwise by deadline.
+ * The order in which groups are served: by priority, and within a priority first come, first served as long as every job
+ * can meet its deadline, otherwise by deadline.
  */
 final class GroupOrder {
     private static final Comparator<TaskGroup> FIRST_COME = Comparator.comparing(
@@ -15,7 +15,7 @@
             .reversed()
             .thenComparingLong(group -> group.order);
 
-    /** By priority, then by when a job must begin; those that gave way come after all others of their priority. */
+    /** By priority, then by latest start time; deferred jobs come after all others of their priority. */
     static final Comparator<TaskGroup> BY_DEADLINE = Comparator.comparing((TaskGroup group) -> group.spec.priority())
             .reversed()
             .thenComparingInt(group -> group.yielded)
@@ -27,11 +27,11 @@
             .thenComparing(
                     Comparator.comparingLong((TaskGroup group) -> group.order).reversed());
 
-    /** A job is late against its deadline, then against the time until which it still counts. */
+    /** Lateness is checked in two rounds: against {@link TaskGroup#due}, then against {@link TaskGroup#lastDue}. */
     private static final int DEADLINES = 2;
 
     private final long now;
-    /** Milliseconds that all processors together take for a processor second. */
+    /** Milliseconds that all CPUs together need for one CPU second of work. */
     private final double millisPerProcessorSecond;
 
     private GroupOrder(Scheduler.Input input) {
@@ -39,7 +39,7 @@
         millisPerProcessorSecond = 1000 / Math.max(1, processors(input.nodes()));
     }
 
-    /** The groups that wait for anything, in the order in which they are served. */
+    /** Returns the groups with waiting or blocked tasks, in the order in which they are served. */
     static List<TaskGroup> of(Scheduler.Input input) {
         List<TaskGroup> groups = new ArrayList<>();
         for (TaskGroup group : input.groups()) {
@@ -57,7 +57,7 @@
         return groups;
     }
 
-    /** Processors for work that ends: those of the nodes without what services use. */
+    /** Returns the CPUs available to work that ends: all CPUs of the nodes minus those that services use. */
     static double processors(List<CandidateNode> nodes) {
         double processors = 0;
         for (CandidateNode node : nodes) {
@@ -71,12 +71,12 @@
         return processors;
     }
 
-    /** True for a group with a known run time and a time by which it should be over. */
+    /** Returns true for a group with a known run time and a deadline. */
     static boolean hasDeadline(TaskGroup group) {
         return group.runS > 0 && group.lastDue != Long.MAX_VALUE;
     }
 
-    /** True if each job begins in time once the work before it has been taken up. */
+    /** Returns true if each job can start in time after all work before it in the list. */
     private boolean allInTime(List<TaskGroup> groups) {
         double work = 0;
         for (TaskGroup group : groups) {
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Lets jobs yield where not all can be in time. The one that must begin first comes first; where a job is late even
-     * so, the largest so far yields, so that as few as possible are late (Moore and Hodgson's rule). Work spent on a job
-     * that is late all the same makes the next ones late too, until in a burst hardly any is in time.
+     * Defers jobs if not all can meet their deadlines. Jobs are taken by latest start time; when one would be late, the
+     * largest job so far is deferred, which minimizes the number of late jobs (Moore-Hodgson algorithm). Otherwise work on
+     * jobs that are late anyway would delay the next ones, until almost no job of a burst is in time.
      */
     private void yieldLate(List<TaskGroup> groups) {
         for (int round = 0; round < DEADLINES; round++) {
@@ -101,7 +101,7 @@
 
     private void yieldLate(List<TaskGroup> groups, int round) {
         PriorityQueue<TaskGroup> largest = new PriorityQueue<>(MOST_WORK);
-        // Those that yielded wait for all that did not.
+        // Deferred jobs wait for all jobs that are not deferred.
         double work = 0;
         for (TaskGroup group : groups) {
             work += group.yielded < round ? work(group) : 0;
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Processor seconds of the tasks that wait. */
+    /** Returns the CPU seconds that the group's waiting tasks need. */
     private static double work(TaskGroup group) {
         return group.waiting * group.runS * group.spec.cpus();
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -9,31 +9,31 @@
 import org.landingridge.wire.Priority;
 
 /**
- * Makes room for a group by stopping other work: work of lower priority, or what another team has borrowed beyond its
- * guarantee. Room that comes free by itself is used first.
+ * Makes room for a group by stopping other tasks: those of lower priority, or those that another team runs beyond its
+ * guarantee. Room of tasks that are already stopping is used first.
  */
 final class Preemption {
-    /** Of the time within which a task should start, so much may pass while another one saves. */
+    /** Largest share of a task's start time target that may pass while a preempted task saves. */
     private static final double WAIT_FOR_SAVE = 0.4;
-    /** More work than this, in seconds of its run, is not thrown away for a task that starts in time. */
+    /** A preempted task that would lose at least this much work, in seconds of run time, may always save first. */
     private static final double MOST_LOST_S = 60;
-    /** Added to the cost of a node on which the task would start late. */
+    /** Cost added to a node on which the task would start later than its target. */
     private static final double LATE_COST = 1e9;
-    /** Stopping a task costs so many milliseconds beside what it has run. */
+    /** Fixed cost of stopping a task, in milliseconds, added to the time since its start. */
     private static final long STOP_COST_MS = 1_000;
 
-    /** Least priority first, and least work lost: what started last. */
+    /** Lowest priority first, then the most recently started task, which loses the least work. */
     private static final Comparator<CandidateNode.Running> FIRST_TO_STOP = Comparator.comparing(
                     (CandidateNode.Running running) -> running.spec.priority())
             .thenComparing(running -> -running.startedAt);
 
     private final Scheduler.Input input;
     private final SchedulingPlan plan;
-    /** Nodes on which room comes free, since something is stopping there. */
+    /** Nodes on which tasks are stopping, so that room becomes free. */
     private final Set<CandidateNode> freeing = new LinkedHashSet<>();
-    /** Nodes on which anything could be stopped at all. */
+    /** Nodes with at least one task that could be stopped. */
     private final List<CandidateNode> stoppable = new ArrayList<>();
-    /** The least priority of work that could be stopped, or null: nothing is sought for groups that may not stop it. */
+    /** Lowest priority among the tasks on the nodes, or null if there are none; used to skip a search that cannot succeed. */
     private Priority least;
 
     Preemption(Scheduler.Input input, SchedulingPlan plan) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** What may be stopped for the group's tasks, or null where there is certainly nothing on any node. */
+    /** Returns the tasks that may be stopped for the group, or null if no node can have any. */
     Victims victims(TaskGroup group, boolean guaranteed) {
         return mayStopAny(group, guaranteed) ? new Victims(group, guaranteed) : null;
     }
@@ -85,11 +85,11 @@
     }
 
     /**
-     * Finds a node on which room for one task comes free, and stops work where none does by itself.
+     * Finds a node on which room for one task becomes free, and stops other tasks if there is no such node.
      *
-     * @param onlyInTime true if only nodes count on which the task starts in time
-     * @param victims    what may be stopped, or null
-     * @return the node, or null where no room can be made
+     * @param onlyInTime true to consider only nodes on which the task starts within its target
+     * @param victims    tasks that may be stopped, or null for none
+     * @return the node, or null if no room can be made
      */
     CandidateNode makeRoom(TaskGroup group, boolean onlyInTime, Victims victims) {
         CandidateNode node = comingFree(group, onlyInTime);
@@ -110,8 +110,8 @@
     }
 
     /**
-     * No team is brought below its own guarantee for another's: it would take the room back at once, and both would lose
-     * their work again and again.
+     * Returns true if the task may be stopped for the group. No team is brought below its guarantee for another team's:
+     * it would preempt in return at once, and both teams would lose work repeatedly.
      */
     private boolean mayStop(TaskGroup group, boolean guaranteed, CandidateNode.Running running) {
         int order = running.spec.priority().compareTo(group.spec.priority());
@@ -126,8 +126,8 @@
     }
 
     /**
-     * What may be stopped for a group's tasks. They are alike: each node is evaluated once, and again only when its turn
-     * comes, since what a team can spare shrinks with every stop.
+     * The tasks that may be stopped for one group. The group's tasks are identical, so each node is evaluated once, and
+     * again only when it becomes the cheapest, because every stop reduces what a team can spare.
      */
     final class Victims {
         private final TaskGroup group;
@@ -142,7 +142,7 @@
             this.guaranteed = guaranteed;
         }
 
-        /** Stops what costs least; the node on which that makes room for one task, or null. */
+        /** Stops the cheapest set of tasks that makes room for one task, and returns its node, or null if there is none. */
         private CandidateNode stop(boolean onlyInTime) {
             search();
             while (!choices.isEmpty()) {
@@ -168,8 +168,9 @@
 
         private void search() {
             if (stoppedLast != null) {
-                // Evaluated only now: until the task that it was for has taken its room, nothing more seems needed
-                // there.
+                // This node is evaluated again only now: before the previous task took its room, the node seemed to
+                // need
+                // no further stops.
                 add(stoppedLast.index(), stoppedLast.node());
                 stoppedLast = null;
             }
@@ -189,7 +190,7 @@
             }
         }
 
-        /** What would have to be stopped on the node for one task, at what cost; null where that makes no room. */
+        /** Returns the tasks to stop on the node for one task and their cost, or null if stopping cannot make room. */
         private Candidate evaluate(int index, CandidateNode node) {
             if (!node.allows(group)) {
                 return null;
@@ -209,7 +210,7 @@
                     break;
                 }
                 if (!mayStop(group, guaranteed, running)) {
-                    // The ones before it are all that its team can spare.
+                    // Its team can spare no more than the tasks chosen before.
                     continue;
                 }
                 stops.add(running);
@@ -226,7 +227,7 @@
         }
 
         private List<CandidateNode.Running> stoppableOn(CandidateNode node) {
-            // Most nodes have nothing to be stopped: no list is made for them.
+            // Most nodes have no stoppable task, so the list is created only when needed.
             List<CandidateNode.Running> found = List.of();
             for (CandidateNode.Running running : node.running) {
                 if (!running.stopping && running.spec != null && mayStop(group, guaranteed, running)) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Prices.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Prices.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import org.landingridge.wire.MachineType;
 
-/** Which machines are expensive, by the cloud's current prices. */
+/** Decides which machines are expensive at the cloud's current prices. */
 final class Prices {
-    /** A machine whose processors cost so many times the cheapest there are counts as expensive. */
+    /** A machine is expensive if its price per CPU exceeds the lowest price per CPU by this factor. */
     private static final double EXPENSIVE = 1.5;
 
     private final double cheapest;
@@ -19,7 +19,7 @@
         cheapest = least;
     }
 
-    /** A price of 0 says that there are none. */
+    /** Returns the lower price; a price of 0 means that no such machine is offered. */
     private static double lesser(double least, double price) {
         return price > 0 ? Math.min(least, price) : least;
     }
@@ -28,7 +28,7 @@
         return perProcessor(type, spot) > cheapest * EXPENSIVE;
     }
 
-    /** Price of a machine. */
+    /** Returns the price of a machine. */
     static double of(MachineType type, boolean spot) {
         return spot ? type.spotPrice() : type.price();
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -4,29 +4,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** How many processors the queue needs beside what is there, so that jobs that can wait are still in time. */
+/** Computes how many more CPUs the queue needs so that jobs that can wait still meet their deadlines. */
 final class QueueDemand {
-    /** Of the time that a job can wait, the queue may take so much before expensive machines are rented. */
+    /** Share of a job's allowed wait that the queue may use before expensive machines are rented. */
     private static final double WAIT_SHARE = 0.8;
-    /** Work that is late all the same is to be taken up within so many seconds of a machine's boot. */
+    /** Start target for work that will be late in any case, in seconds after the boot of a newly rented machine. */
     private static final double LATE_S = 60;
-    /** Work without a deadline is to have been taken up within so many seconds. */
+    /** Start target for work without a deadline, in seconds. */
     private static final double WITHOUT_DEADLINE_S = 1_800;
-    /** A job without a deadline of which nothing runs so long after it came gets room for some of its tasks all the same. */
+    /** A job without a deadline counts as starved this many seconds after its latest start if none of its tasks runs. */
     private static final double FLOOR_S = 60;
 
+    /** Maximum number of tasks of a starved job that get room in any case. */
     private static final int FLOOR_TASKS = 4;
-    /** No sum is made over less time than this, in seconds: it would ask for a fleet for one job. */
+    /** Shortest period over which demand is spread, in seconds: a shorter one would request a whole fleet for one job. */
     private static final double LEAST_S = 15;
 
     private final Scheduler.Input input;
     private final double bootS;
-    /** Processors of machines that are up or on their way. */
+    /** CPUs of machines that are up or starting, without those that services use. */
     private final double processors;
 
     /**
-     * @param coming machines on their way, those of this round among them
-     * @param bootS  how long a boot takes, in seconds
+     * @param coming machines that are starting, including those added in this cycle
+     * @param bootS  assumed boot time, in seconds
      */
     QueueDemand(Scheduler.Input input, List<CandidateNode> coming, double bootS) {
         this.input = input;
@@ -41,14 +42,14 @@
     }
 
     /**
-     * Processors that the queue needs beside what is there: where a job cannot begin within its share of the time it may
-     * wait, so many that it can, from when they are up.
+     * Returns the number of additional CPUs that the queue needs: enough, once their machines have booted, for each job to
+     * start within the permitted share of its allowed wait.
      *
-     * @param within tasks that found no room within their team's guarantee
-     * @param beyond the same beyond it
+     * @param within number of unplaced tasks within their team's guarantee, by group
+     * @param beyond number of unplaced tasks beyond their team's guarantee, by group
      */
     double processors(Map<TaskGroup, Integer> within, Map<TaskGroup, Integer> beyond) {
-        // All that waits takes its turn, also what its team's limit keeps from running now.
+        // All waiting work counts, including tasks that their team's limit keeps from running now.
         List<TaskGroup> order = new ArrayList<>(input.groups());
         order.sort(GroupOrder.BY_DEADLINE);
         double most = 0;
@@ -73,12 +74,12 @@
         return group.withoutDeadline && untilStartS(group) < -FLOOR_S && group.perZone.isEmpty();
     }
 
-    /** Seconds until the group's last task should begin; less than 0 where it is late. */
+    /** Returns the seconds until the group's last task should start; negative if it is late. */
     private double untilStartS(TaskGroup group) {
         return (group.startBy - input.now()) / 1000.0;
     }
 
-    /** Seconds that the group may wait, as far as a machine that is rented now can still help it. */
+    /** Returns the seconds that the group may wait, no shorter than a machine rented now needs to help it. */
     private double leftS(TaskGroup group) {
         double untilStartS = untilStartS(group);
         if (group.withoutDeadline) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -6,31 +6,30 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * Returns machines that are idle. Where nothing waits, machines are also vacated on purpose, expensive ones first: at the
- * end of a peak each would otherwise be occupied for minutes by one long task, although cheaper or fuller machines have
- * room for it.
+ * Selects idle machines to return. If no task is waiting, it also drains machines, expensive ones first: otherwise, at the
+ * end of a peak, a single long task could occupy each of them for minutes although cheaper or fuller machines have room.
  */
 final class ScaleIn {
-    /** How long a machine that is not needed stays idle, in milliseconds: the next task may be one heartbeat away. */
+    /** Idle time before an unneeded machine is returned, in milliseconds: the next task may be one heartbeat away. */
     private static final long NEEDLESS_MS = 3_000;
-    /** Room kept beside what is in use, as a share of it: tasks end and begin all the time. */
+    /** Spare room as a share of the CPUs in use, because tasks end and start continually. */
     private static final double HEADROOM = 0.05;
-    /** A task is not moved before it has run for so long, in seconds: each move costs a save and a start. */
+    /** Minimum run time before a task is moved, in seconds: each move costs a save and a start. */
     private static final double MOVABLE_AFTER_S = 30;
-    /** A move costs a save, a fetch and about so many seconds for the commands. */
+    /** Time that the commands of a move take, in seconds, in addition to the save and the image fetch. */
     private static final double COMMANDS_S = 2;
-    /** A machine is vacated if it becomes free sooner by so many seconds, beside what the moves cost. */
+    /** A machine is drained only if it becomes free at least this many seconds sooner, after the cost of the moves. */
     private static final double GAIN_S = 10;
 
     private final Scheduler.Input input;
     private final SchedulingPlan plan;
     private final Prices prices;
-    /** Machines that are up, those first that are least needed: the expensive ones, and of these the emptiest. */
+    /** Machines that are up, least needed first: expensive before cheap, then by CPUs in use, fewest first. */
     private final List<CandidateNode> up = new ArrayList<>();
 
     private final double usedCpus;
     private final double neededCpus;
-    /** Processors of the machines that stay. */
+    /** CPUs of the machines that are kept. */
     private double keptCpus;
 
     ScaleIn(Scheduler.Input input, SchedulingPlan plan) {
@@ -87,7 +86,7 @@
         }
     }
 
-    /** True for a machine without work that has been idle for long, or sooner for one that is not needed. */
+    /** Returns true for a machine without tasks whose idle time is over; the idle time of an unneeded machine is shorter. */
     private boolean returnable(CandidateNode node) {
         if (!node.unused()) {
             return false;
@@ -101,8 +100,8 @@
     }
 
     /**
-     * Stops tasks that can save where that empties a machine soon and others have room: expensive machines first, then the
-     * emptiest.
+     * Drains machines, expensive and then emptiest first: stops tasks that can save their state if that empties the machine
+     * soon and other machines have room.
      */
     private void vacate() {
         double freeCpus = -usedCpus * HEADROOM;
@@ -126,7 +125,7 @@
         }
     }
 
-    /** Finds room for the tasks on the fullest machines where they fit, and stops them; false where there is none. */
+    /** Reserves room for the tasks on the fullest machines that fit them and stops them; returns false if there is no room. */
     private boolean move(List<CandidateNode.Running> tasks, List<CandidateNode> targets) {
         for (CandidateNode.Running task : tasks) {
             CandidateNode target = fullest(task.spec, targets);
@@ -153,7 +152,7 @@
         return fullest;
     }
 
-    /** The tasks whose move frees the machine sooner: none where something else occupies it as long anyway. */
+    /** Returns the tasks whose move frees the machine sooner; empty if other tasks would occupy it about as long anyway. */
     private static List<CandidateNode.Running> worthMoving(CandidateNode node) {
         double occupiedS = 0;
         for (CandidateNode.Running task : node.running) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -9,18 +9,18 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * A round of scaling out: what waits is packed onto machines that are on their way, then onto cheap ones, for as long as
- * there are any. Expensive ones are rented for work within a guarantee and work with a near deadline; for what can wait,
- * only as many as {@link QueueDemand} says.
+ * Scales out in one scheduling cycle. Waiting tasks are packed onto machines that are starting, then onto new cheap
+ * machines while the cloud has capacity. Expensive machines are rented for work within a guarantee and for work that cannot
+ * wait for boots; for work that can wait, no more are rented than {@link QueueDemand} computes.
  */
 final class ScaleOut {
-    /** Estimates err by half: what looks like two rounds may be three. */
+    /** Factor on expected run times, whose estimates can be off by half: two consecutive runs may take as long as three. */
     private static final double ROUND_MARGIN = 1.3;
-    /** Machines of one request to the cloud; the next round asks for more. */
+    /** Maximum number of machines per request to the cloud; the next cycle can request more. */
     private static final int MAX_RENT = 50;
-    /** A boot may take so many times what the cloud says. */
+    /** Factor on the boot time that the cloud states. */
     private static final double BOOT_MARGIN = 1.3;
-    /** Of equal prices, the zone with the fewest machines is taken, so that a zone's loss hurts little. */
+    /** Relative cost per machine in a zone: at equal prices the zone with the fewest machines wins, to limit a zone's loss. */
     private static final double ZONE_COST = 1e-3;
 
     private static final boolean[] SPOT_FIRST = {true, false};
@@ -37,13 +37,13 @@
     private final SchedulingPlan plan;
     private final Prices prices;
     private final Map<String, Integer> machinesByZone = new HashMap<>();
-    /** Machines that are on their way, and those that this round adds. */
+    /** Machines that are starting, including those that this cycle adds. */
     private final List<CandidateNode> coming = new ArrayList<>();
-    /** Machines to be rented, by pool key, in the order in which they were first wanted. */
+    /** Machines to rent, by pool key, in the order of first demand. */
     private final Map<String, SchedulingPlan.Rent> rents = new LinkedHashMap<>();
 
     private final double bootS;
-    /** Processors of expensive machines that may still be rented in this round. */
+    /** CPUs of expensive machines that this cycle may still rent. */
     private double expensiveBudget = Double.MAX_VALUE;
 
     ScaleOut(Scheduler.Input input, SchedulingPlan plan) {
@@ -63,7 +63,7 @@
         bootS = longestBootS;
     }
 
-    /** Rents for tasks that found no room: those within their team's guarantee, and those beyond. */
+    /** Rents machines for unplaced tasks, given by group: those within their team's guarantee, and those beyond it. */
     void run(Map<TaskGroup, Integer> within, Map<TaskGroup, Integer> beyond) {
         Map<TaskGroup, Integer> left = new LinkedHashMap<>();
         Map<TaskGroup, Integer> mayWait = new LinkedHashMap<>();
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Slots worth renting for so many waiting tasks: where there is time before the job is due, one slot serves several
-     * tasks in turn, and the slots that its tasks have already serve on.
+     * Returns the number of slots worth renting for this many waiting tasks. If there is time before the job is due, one
+     * slot runs several tasks in turn, and slots of the job's running tasks are reused.
      */
     private int slots(TaskGroup group, int count) {
         if (group.due == Long.MAX_VALUE || group.runS <= 0) {
@@ -132,9 +132,11 @@
     }
 
     /**
-     * Packs so many tasks of a group onto machines on their way, then onto new ones for as long as there are any.
+     * Packs tasks of a group onto starting machines, then onto new ones while the cloud has capacity.
      *
-     * @return tasks that found no room
+     * @param tasks     number of tasks to pack
+     * @param expensive whether expensive machines may be rented
+     * @return number of tasks that found no room
      */
     private int pack(TaskGroup group, int tasks, boolean expensive) {
         int next = 0;
@@ -173,7 +175,7 @@
         return rent == null ? 0 : rent.count();
     }
 
-    /** Where to rent a machine for a task of the group, or null where there is none to be had in this round. */
+    /** Returns the cheapest pool for a task of the group, or null if this cycle can rent no suitable machine. */
     private Pool cheapest(TaskGroup group, boolean expensive) {
         for (boolean spot : group.spec.spot() ? SPOT_FIRST : ORDINARY_ONLY) {
             Pool pool = cheapest(group, spot, expensive && expensiveBudget > 0);
@@ -207,7 +209,7 @@
         return best;
     }
 
-    /** The share of a machine that one task takes. */
+    /** Returns the share of a machine that one task takes. */
     private static double shareOf(MachineType type, TaskGroup group) {
         double ofMemory = type.memoryGb() > 0 ? group.spec.memoryGb() / type.memoryGb() : 0;
         return Math.max(group.spec.cpus() / type.cpus(), ofMemory);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -10,21 +10,21 @@
 import org.landingridge.wire.Priority;
 
 /**
- * One scheduling cycle: groups in the order of {@link GroupOrder}, first within the teams' guarantees and then beyond, are
- * placed by {@link BinPacking}, with room made by {@link Preemption}; {@link ScaleOut} rents for what found none, and
- * {@link ScaleIn} returns what is not needed. A pure function of its input: the same input gives the same plan.
+ * One scheduling cycle. {@link GroupOrder} sorts the task groups; {@link BinPacking} places their tasks, first within the
+ * teams' guarantees and then beyond, and {@link Preemption} makes room. {@link ScaleOut} rents machines for unplaced tasks,
+ * and {@link ScaleIn} returns unneeded ones. The plan is a pure function of the input: the same input gives the same plan.
  */
 public final class Scheduler {
     /**
-     * Everything that one cycle is decided from. Nodes, groups and teams are consumed: the cycle counts down in them.
+     * The input of one cycle. The cycle modifies the nodes, groups and teams, so they cannot be reused.
      *
-     * @param now             milliseconds of the event loop's clock
-     * @param teams           in the order to which the groups' and the tasks' team indexes refer
+     * @param now             current time, in milliseconds of the event loop's clock
+     * @param teams           the teams' quotas; team indexes of groups and tasks refer to this list
      * @param types           the cloud's machine types
-     * @param noCapacityUntil by {@link #pool}: until when the cloud is not asked there
-     * @param spare           standing room for services, or null where there are none
-     * @param idleMs          how long an idle machine is kept
-     * @param standing        processors that were asked for lately within the teams' guarantees: so many are kept up
+     * @param noCapacityUntil time until which the cloud is not asked for machines of a pool, by {@link #pool} key
+     * @param spare           room to keep free for services, or null if there are none
+     * @param idleMs          how long an idle machine is kept, in milliseconds
+     * @param standing        CPUs to keep up, from the recent demand within the teams' guarantees; Double.MAX_VALUE keeps all
      */
     public record Input(
             long now,
@@ -37,7 +37,7 @@
             long idleMs,
             double standing) {}
 
-    /** Standing room for services: so many more tasks of this size are to find room at once. */
+    /** Room kept free for services, as a number of additional tasks of the given size. */
     public record Spare(JobSpec like, int tasks) {}
 
     private final Input input;
@@ -51,12 +51,12 @@
         this.preemption = new Preemption(input, plan);
     }
 
-    /** Decides one cycle. */
+    /** Computes the plan of one cycle. */
     public static SchedulingPlan plan(Input input) {
         return new Scheduler(input).run();
     }
 
-    /** The key under which a lack of capacity is remembered. */
+    /** Returns the key of a machine pool, under which a lack of capacity is recorded. */
     public static String pool(String type, String zone, boolean spot) {
         return type + '/' + zone + (spot ? "/spot" : "/ordinary");
     }
@@ -73,7 +73,7 @@
         return plan;
     }
 
-    /** Places what lies within the teams' guarantees; the groups of which tasks beyond them wait, in the same order. */
+    /** Places tasks within the teams' guarantees; returns the groups with tasks beyond the guarantee, in the same order. */
     private List<TaskGroup> placeGuaranteed(List<TaskGroup> order, Map<TaskGroup, Integer> unplaced) {
         List<TaskGroup> borrowing = new ArrayList<>();
         Priority least =
@@ -89,17 +89,17 @@
         return borrowing;
     }
 
-    /** Placing the waiting tasks of one group, one after the other. */
+    /** Places the waiting tasks of one group, one after the other. */
     private final class Placing {
         private final TaskGroup group;
         private final boolean guaranteed;
         private final Map<TaskGroup, Integer> unplaced;
         private final Team team;
         private final Preemption.Victims victims;
-        /** Null until a task may be placed at all. */
+        /** Null until the quota permits a first task. */
         private PriorityQueue<Candidate> candidates;
 
-        /** @param unplaced is given the tasks for which there is no room now */
+        /** @param unplaced receives the number of tasks without room, by group */
         Placing(TaskGroup group, boolean guaranteed, Map<TaskGroup, Integer> unplaced) {
             this.group = group;
             this.guaranteed = guaranteed;
@@ -108,7 +108,7 @@
             victims = preemption.victims(group, guaranteed);
         }
 
-        /** Places what it can; true if tasks wait that lie beyond the team's guarantee but within its limit. */
+        /** Places tasks; returns true if others wait that are beyond the team's guarantee but within its limit. */
         boolean run() {
             while (group.waiting > 0) {
                 int within = team.more(group.spec, guaranteed, group.waiting);
@@ -130,12 +130,11 @@
             return false;
         }
 
-        /** Places a task, or makes room for it; the node, or null. */
+        /** Places a task or makes room for it; returns the node, or null if there is no room. */
         private CandidateNode placeOne() {
             Candidate best = BinPacking.next(group, candidates);
             boolean late = best != null && !BinPacking.startsInTime(group, best.node());
-            // A free machine that must fetch the image first is too slow where a start is expected sooner: then room
-            // is made on one that has it.
+            // If every node with free room must fetch the image for too long, make room on a node that has the image.
             if ((best == null || late) && !group.probing) {
                 CandidateNode freed = preemption.makeRoom(group, late, victims);
                 if (freed != null) {
@@ -155,8 +154,8 @@
         }
 
         /**
-         * The tasks of a group are alike: where one finds no room, the others find none either. Room on machines that are
-         * still to come is sought by {@link ScaleOut}, for all at once.
+         * Records tasks without room as unplaced. The tasks of a group are identical, so if one finds no room, the others
+         * find none either. {@link ScaleOut} later finds machines for all of them at once.
          */
         private void giveUp(int tasks) {
             if (!group.probing) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
@@ -3,26 +3,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the scheduler decided in one cycle, in the order in which it is carried out. */
+/** The decisions of one scheduling cycle, in the order in which they are carried out. */
 public final class SchedulingPlan {
-    /** One task of the group goes to the node. */
+    /** Places one task of the group on the node. */
     public record Placement(TaskGroup group, CandidateNode node) {}
 
-    /** Machines to be rented, of one type in one zone. */
+    /** A number of machines to rent, of one type in one zone. */
     public record Rent(String type, String zone, boolean spot, int count) {}
 
-    /** Tasks that start now. */
+    /** Tasks to start now. */
     public final List<Placement> placements = new ArrayList<>();
-    /** Tasks that are preempted, or moved off a machine that is vacated. */
+    /** Tasks to stop: preempted, or moved off a machine that is drained. */
     public final List<CandidateNode.Running> stops = new ArrayList<>();
-    /** Machines to be rented. */
+    /** Machines to rent. */
     public final List<Rent> rents = new ArrayList<>();
-    /** Nodes without work that nothing waits for, to be returned. */
+    /** Idle nodes to return. */
     public final List<CandidateNode> idle = new ArrayList<>();
-    /** Nodes whose tasks were stopped to vacate them: they take new ones only where there is no other room. */
+    /** Nodes to drain: they take new tasks only if no other node has room. */
     public final List<CandidateNode> vacated = new ArrayList<>();
-    /** Tasks within their team's limit for which there was no room. */
+    /** Number of tasks within their team's limit that found no room. */
     public int unplaced;
-    /** Nodes, and machines to be rented, that were evaluated: what the cycle cost, whatever the processor. */
+    /** Number of evaluated nodes and machines to rent: the cycle's cost, independent of the hardware. */
     public long steps;
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -4,47 +4,47 @@
 import java.util.Map;
 import org.landingridge.wire.JobSpec;
 
-/** The waiting tasks of one job, all alike. The leader fills it; the cycle counts {@link #waiting} down. */
+/** The identical waiting tasks of one job. The leader fills it; the scheduling cycle decrements {@link #waiting}. */
 public final class TaskGroup {
-    /** The job's specification, with the priority that it has now. */
+    /** The job's specification, with its current priority. */
     public final JobSpec spec;
     /** The job, opaque to the scheduler. */
     public final Object job;
-    /** Place in the order of arrival. */
+    /** Position in the order of arrival. */
     public final long order;
-    /** Index of the job's team in the cycle's input. */
+    /** Index of the job's team in the cycle's list of teams. */
     public final int team;
-    /** Tasks that may be placed now. */
+    /** Number of tasks that may be placed now. */
     public int waiting;
-    /** Tasks that wait too, and are blocked until it is known that no machine runs them. */
+    /** Number of tasks that may not be placed until it is certain that no machine runs them. */
     public int blocked;
-    /** Expected run time of one task, in seconds; 0 where nothing is known or the task stays. */
+    /** Expected run time of one task, in seconds; 0 if unknown, or if the task is a service replica and does not end. */
     public double runS;
-    /** Expected run time of its longest task, which decides when the job is over, in seconds. */
+    /** Expected run time of the longest task, which determines when the job ends, in seconds. */
     public double longestRunS;
-    /** When the job should be over, by the clock of the cycle; Long.MAX_VALUE where nothing is expected. */
+    /** Deadline of the job, in milliseconds of the cycle's clock; Long.MAX_VALUE if it has none. */
     public long due = Long.MAX_VALUE;
-    /** Until when being over still counts for something, where the due time is missed. */
+    /** Time until which finishing is still useful if the deadline is missed, in milliseconds. */
     public long lastDue = Long.MAX_VALUE;
-    /** By when the last task should have begun to be over in time; work for which nothing is expected is first come. */
+    /** Latest start of the last task to meet the deadline, in milliseconds; the arrival time for work without a deadline. */
     public long startBy;
-    /** True if jobs of this class could mostly wait for some boots and still be in time. */
+    /** True if jobs of this class can usually wait for several machine boots and still meet their deadline. */
     public boolean mayWaitForBoots;
-    /** True for a job that fails wherever it is tried: it takes what room there is for a task, and asks for none. */
+    /** True for a job whose tasks fail on every machine: it uses free room only, without preemption or scaling out. */
     public boolean probing;
-    /** True for a job that ends and for which no objective says by when. */
+    /** True for a job that ends but has no objective that sets a deadline. */
     public boolean withoutDeadline;
-    /** How soon a task should run, in seconds; 0 where nothing is expected. */
+    /** Target time within which a task should start, in seconds; 0 if there is none. */
     public double startWithinS;
-    /** Tasks of the job on machines, by zone, for oneZone and spread. */
+    /** Number of the job's tasks on machines, by zone, for the rules oneZone and spread. */
     public final Map<String, Integer> perZone = new HashMap<>();
     /**
-     * 0 while the job can still be over in time; more if it cannot and yields to those that can. Among equals the first come
-     * is served first.
+     * 0 if the job can meet its deadline; 1 if it cannot, 2 if it also misses {@link #lastDue}. Groups with a lower value are
+     * served first.
      */
     int yielded;
 
-    /** The tasks of a job of which {@code waiting} may be placed now. */
+    /** Creates the group of a job, of which {@code waiting} tasks may be placed now. */
     public TaskGroup(JobSpec spec, Object job, long order, int team, int waiting) {
         this.spec = spec;
         this.job = job;
@@ -57,8 +57,8 @@
         if (spec.zone() != null && !spec.zone().equals(zone)) {
             return false;
         }
-        // Blocked tasks may be in any zone, on a machine that sent no heartbeat yet: without counting them, one of a
-        // job that has to be together is started apart from them, and one of a spread job beside too many.
+        // Blocked tasks may be running in any zone, on a machine that has not sent a heartbeat yet. If they were not
+        // counted, a oneZone job could be split over zones and a spread job could get too many tasks in one zone.
         if (spec.oneZone() && (perZone.isEmpty() ? blocked > 0 : !perZone.containsKey(zone))) {
             return false;
         }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
@@ -3,8 +3,8 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * A team's quota in one cycle: its guarantee and limit, and what its work uses now. CPUs are processors; 0 as a limit means
- * none.
+ * A team's quota in one scheduling cycle: its guarantee, its limit and its current use, in CPUs and GPUs. A limit of 0 means
+ * that there is no limit.
  */
 public final class Team {
     private static final double ROUNDING = 1e-6;
@@ -13,19 +13,19 @@
     final double cpusMax;
     final double gpus;
     final double gpusMax;
-    /** Processors of its tasks on machines, those that are stopping too. */
+    /** CPUs of the team's tasks on machines, including stopping tasks. */
     public double usedCpus;
-    /** GPUs of its tasks on machines, those that are stopping too. */
+    /** GPUs of the team's tasks on machines, including stopping tasks. */
     public double usedGpus;
 
     private double stoppingCpus;
     private double stoppingGpus;
-    /** What unverified machines may use besides: it counts within the limit only. */
+    /** CPUs that the team may also use on unverified machines; they count against the limit but not the guarantee. */
     private double unverifiedCpus;
 
     private double unverifiedGpus;
 
-    /** A team that uses nothing yet. */
+    /** Creates the quota of a team without current use. */
     public Team(double cpus, double cpusMax, double gpus, double gpusMax) {
         this.cpus = cpus;
         this.cpusMax = cpusMax;
@@ -33,19 +33,19 @@
         this.gpusMax = gpusMax;
     }
 
-    /** Counts what the team may use on a machine whose tasks are not known, against its limit. */
+    /** Adds CPUs and GPUs that the team may use on a machine with unknown tasks; they count against the limit. */
     public void addUnverified(double moreCpus, double moreGpus) {
         unverifiedCpus += moreCpus;
         unverifiedGpus += moreGpus;
     }
 
-    /** Counts a task as stopping: it still counts as used, but the team cannot spare it any more. */
+    /** Marks a task as stopping: it still counts as used, but no longer as something the team can spare. */
     public void stopping(JobSpec spec) {
         stoppingCpus += spec.cpus();
         stoppingGpus += spec.gpus();
     }
 
-    /** Takes {@link #stopping} back, for a task that is left running after all. */
+    /** Reverts {@link #stopping} for a task that is not stopped. */
     void notStopping(JobSpec spec) {
         stoppingCpus -= spec.cpus();
         stoppingGpus -= spec.gpus();
@@ -56,7 +56,7 @@
         usedGpus += tasks * spec.gpus();
     }
 
-    /** Tasks like this that still fit within the guarantee, or within the limit, {@code most} at most. */
+    /** Returns how many more tasks of this size fit within the guarantee, or else the limit; {@code most} at most. */
     int more(JobSpec spec, boolean guaranteed, int most) {
         int tasks = most;
         if (guaranteed || cpusMax > 0) {
@@ -77,19 +77,23 @@
         return each <= 0 ? most : (int) Math.max(0, Math.min(most, Math.floor((room + ROUNDING) / each)));
     }
 
-    /** Processors of what it uses and of what waits that lie within its guarantee; all where it has none. */
+    /**
+     * Returns the CPUs in use or waited for that lie within the limit and the guarantee; a guarantee of 0 sets no bound.
+     *
+     * @param waiting CPUs of waiting tasks
+     */
     public double guaranteed(double waiting) {
         double wanted = usedCpus + waiting;
         double within = cpusMax > 0 ? Math.min(wanted, cpusMax) : wanted;
         return cpus > 0 ? Math.min(within, cpus) : within;
     }
 
-    /** True while the team uses more than it is guaranteed, and will go on to. */
+    /** Returns true if the team uses more than its guarantee, even after all stopping tasks have stopped. */
     boolean borrows() {
         return usedCpus - stoppingCpus > cpus + ROUNDING || usedGpus - stoppingGpus > gpus + ROUNDING;
     }
 
-    /** True if the team keeps its guarantee without this task. */
+    /** Returns true if the team's use stays at or above its guarantee without this task. */
     boolean canSpare(JobSpec spec) {
         return usedCpus - stoppingCpus - spec.cpus() >= cpus - ROUNDING
                 && usedGpus - stoppingGpus - spec.gpus() >= gpus - ROUNDING;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/WindowedMaximum.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/WindowedMaximum.java
@@ -3,18 +3,19 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The largest value that was recorded within a window of time. */
+/** The largest value recorded within a sliding time window. */
 public final class WindowedMaximum {
     private record Sample(long at, double value) {}
 
-    /** Falling values: each could still become the largest. */
+    /** Samples with decreasing values: each can still become the maximum once the earlier ones expire. */
     private final Deque<Sample> samples = new ArrayDeque<>();
 
     /**
-     * Records a value.
+     * Records a value and returns the current maximum.
      *
-     * @param now milliseconds; never less than in an earlier call
-     * @return the largest value of the last {@code windowMs}, this one among them
+     * @param now      current time, in milliseconds; must not decrease between calls
+     * @param windowMs length of the window, in milliseconds
+     * @return the largest value in the window, including this one
      */
     public double record(long now, double value, long windowMs) {
         while (!samples.isEmpty() && samples.peekLast().value <= value) {
--- a/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Checks when a new leader's view of the machines counts as complete. */
 class ObservationWindowTest {
     private final ObservationWindow observationWindow = new ObservationWindow(10_000, 7_000);
 
--- a/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 
-/** Every combination of evidence, held against the tables that operators read. */
+/** Checks the decision for every combination of evidence against the documented tables that operators read. */
 class ReconciliationTest {
     private static final Path PAGE = Path.of("..", "docs", "recovery.md");
 
-    /** The lines of the table under this heading, cell by cell, without its head. */
+    /** Returns the cells of each row of the table under this heading, without the table's header. */
     private static List<String[]> table(String heading) throws IOException {
         List<String[]> lines = new ArrayList<>();
         boolean within = false;
@@ -42,7 +42,7 @@
         return type == boolean.class ? List.of(true, false) : List.of(type.getEnumConstants());
     }
 
-    /** All values of a record of booleans and enums. */
+    /** Returns all possible values of a record whose components are booleans and enums. */
     private static <R extends Record> List<R> all(Class<R> type) throws ReflectiveOperationException {
         RecordComponent[] parts = type.getRecordComponents();
         List<Object[]> made = new ArrayList<>();
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -18,7 +18,7 @@
 import org.landingridge.wire.MachineType;
 import org.landingridge.wire.Priority;
 
-/** The scheduler against a slow plain model of what a plan may and must do. */
+/** Checks plans against a simple, slow model of what a plan may and must do, and single rules by examples. */
 class SchedulerTest {
     private static final MachineType T4 = new MachineType("t4", 4, 0, 8, 30, 1, 1.0, 0.3, 30, List.of("a", "b"));
 
@@ -47,7 +47,7 @@
                 null);
     }
 
-    /** A random world; the same seed gives the same. */
+    /** Returns a random input; the same seed gives the same input. */
     private static Scheduler.Input world(long seed) {
         Random r = new Random(seed);
         List<Team> teams = List.of(new Team(8, r.nextBoolean() ? 16 : 0, 0, 0), new Team(4, 12, 0, 0));
@@ -97,7 +97,7 @@
         return n.type.cpus() - used;
     }
 
-    /** The model: everything is recounted from scratch, nothing is kept up to date. */
+    /** The model: recounts all room and quotas from scratch and checks the plan against them. */
     private static void check(Scheduler.Input before, Scheduler.Input in, SchedulingPlan plan) {
         Map<CandidateNode, Double> taken = new LinkedHashMap<>();
         Map<TaskGroup, Map<String, Integer>> zones = new LinkedHashMap<>();
@@ -122,7 +122,7 @@
             double max = in.teams().get(t).cpusMax;
             assertTrue(max <= 0 || team[t] <= Math.max(max, before.teams().get(t).usedCpus) + 1e-6, "team limit");
         }
-        // Nothing is left waiting beside room that it may use at once.
+        // No task is left waiting if a node has free room that the task may use now.
         Map<TaskGroup, Integer> placed = new HashMap<>();
         plan.placements.forEach(p -> placed.merge(p.group(), 1, Integer::sum));
         if (plan.stops.isEmpty() && plan.unplaced > 0) {
@@ -256,7 +256,7 @@
     void firstComeWhereNobodyIsLateElseWhoMustBeginFirst() {
         assertEquals(List.of("j1"), first(due(1, 1, 30, 300), due(2, 1, 30, 200)));
         assertEquals(List.of("j7"), first(due(1, 2, 30, 300), due(7, 1, 30, 65)), "late if it waited for two others");
-        // Not both can be in time: the larger one gives way, although it came first.
+        // Not both jobs can meet their deadlines: the larger one is deferred, although it arrived first.
         assertEquals(List.of("j2"), first(due(1, 3, 30, 100), due(2, 1, 30, 62)));
     }
 
@@ -279,7 +279,7 @@
         assertEquals(1, plan.unplaced);
     }
 
-    /** A task of one processor on a node, {@code ranS} seconds old, that can save if {@code saves}. */
+    /** Returns a running task of one CPU that has run for {@code ranS} seconds and can save its state if {@code saves}. */
     private static CandidateNode.Running old(int n, double ranS, double leftS, boolean saves) {
         JobSpec s = spec(n, false, Priority.NORMAL, 1, 1, true, false, false);
         JobSpec saving = new JobSpec(
@@ -330,7 +330,7 @@
                 .toList();
     }
 
-    /** A node on which something was stopped for one task may be the only one that has more to stop for the next. */
+    /** A node on which tasks were stopped for one waiting task may be the only one with more tasks to stop for the next. */
     @Test
     void oneNodeMakesRoomForSeveralTasks() {
         List<Team> teams = List.of(new Team(8, 0, 0, 0), new Team(0, 0, 0, 0));
@@ -381,7 +381,11 @@
         }
     }
 
-    /** Machines rented for a queue of 20 jobs that can wait, the cheap pool being full or not. */
+    /**
+     * Returns how many machines are rented for a queue of 20 jobs that can wait, by whether they are spot instances.
+     *
+     * @param cheapFull whether the cloud has no capacity in the cheap pools
+     */
     private static Map<Boolean, Integer> rented(double dueS, boolean cheapFull) {
         List<TaskGroup> queue = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -424,7 +428,7 @@
         assertTrue(dear > 0 && dear < 20, dear + " dear machines: some are needed, not one a task");
     }
 
-    /** Looks at nodes in a pass over a full fleet, with this many tasks waiting in each of ten jobs. */
+    /** Returns the evaluations of one cycle over a fleet with a tenth of its nodes free, with ten jobs of this many tasks. */
     private static long steps(int machines, int tasks) {
         List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
@@ -455,7 +459,11 @@
         assertTrue(many <= 1.2 * few, many + " steps for a thousand times as many, " + few + " before");
     }
 
-    /** One free node, or two, a service's task that a census holds up, and an array that would take all of the room. */
+    /**
+     * Plans with a free node, a blocked task of a service, and a job whose tasks would take all the room.
+     *
+     * @param unheard whether there is also a node without a heartbeat that has room for the blocked task
+     */
     private static SchedulingPlan besideHeld(boolean unheard, Priority arrays) {
         List<CandidateNode> nodes = new ArrayList<>(List.of(new CandidateNode(T4, "a", false, "up", true, Set.of())));
         if (unheard) {
@@ -478,7 +486,10 @@
                 0));
     }
 
-    /** Guards the room of services after a loss of all controllers: 562 tasks were started and stopped within 4 s. */
+    /**
+     * After a loss of all controllers, tasks of lower priority were started in the room of blocked service tasks and
+     * preempted for them: 562 were started and stopped within 4 s.
+     */
     @Test
     void whatACensusHoldsUpKeepsRoomFromLowerPriorities() {
         assertEquals(1, besideHeld(false, Priority.NORMAL).placements.size(), "three processors are kept");
