--- a/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns true if the decision is to take this action. */
-    public boolean is(Action other) {
-        return action == other;
+    public boolean is(Action expected) {
+        return action == expected;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/HeartbeatEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/HeartbeatEvidence.java
@@ -18,11 +18,11 @@
         HIGHER;
 
         /** Compares a token that a worker has seen with this leader's. */
-        public static Token of(long seen, long ours) {
-            if (seen == ours) {
+        public static Token of(long seenToken, long ownToken) {
+            if (seenToken == ownToken) {
                 return EQUAL;
             }
-            return seen < ours ? LOWER : HIGHER;
+            return seenToken < ownToken ? LOWER : HIGHER;
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -14,29 +14,29 @@
     }
 
     /** Time without a new unknown machine after which the view counts as complete, in milliseconds. */
-    private static final long QUIET_MS = 1_000;
+    private static final long QUIET_PERIOD_MS = 1_000;
 
-    private final long beganAt;
-    private final long mostMs;
+    private final long startedAtMs;
+    private final long maxDurationMs;
     private State state = State.GATHERING;
     private boolean listRead;
-    private long newestAt;
+    private long newestMachineAtMs;
 
     /**
      * Starts the window.
      *
-     * @param beganAt start of the window, in milliseconds
-     * @param mostMs  longest duration of the window, in milliseconds; then it is complete in any case
+     * @param startedAtMs   start of the window, in milliseconds
+     * @param maxDurationMs longest duration of the window, in milliseconds; then it is complete in any case
      */
-    public ObservationWindow(long beganAt, long mostMs) {
-        this.beganAt = beganAt;
-        this.newestAt = beganAt;
-        this.mostMs = mostMs;
+    public ObservationWindow(long startedAtMs, long maxDurationMs) {
+        this.startedAtMs = startedAtMs;
+        this.newestMachineAtMs = startedAtMs;
+        this.maxDurationMs = maxDurationMs;
     }
 
     /** Records a heartbeat of a machine that was unknown so far. */
-    public void newcomer(long now) {
-        newestAt = now;
+    public void newcomer(long nowMs) {
+        newestMachineAtMs = nowMs;
     }
 
     /** Records that a list of the cloud's machines has been read. */
@@ -45,14 +45,14 @@
     }
 
     /** Returns how complete the view is at the given time, in milliseconds. */
-    public State state(long now) {
-        if (state == State.GATHERING && (observed(now) || now - beganAt >= mostMs)) {
+    public State state(long nowMs) {
+        if (state == State.GATHERING && (hasSettled(nowMs) || nowMs - startedAtMs >= maxDurationMs)) {
             state = State.COMPLETE;
         }
         return state;
     }
 
-    private boolean observed(long now) {
-        return listRead && now - newestAt >= QUIET_MS;
+    private boolean hasSettled(long nowMs) {
+        return listRead && nowMs - newestMachineAtMs >= QUIET_PERIOD_MS;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
@@ -28,23 +28,23 @@
             return new Decision(Action.GIVE_BACK, Reason.STOPPED);
         }
         if (!mayRunTasks) {
-            return withoutAddress(evidence);
+            return decideWithoutAddress(evidence);
         }
         if (evidence.failsTasks()) {
             return new Decision(Action.GIVE_BACK, Reason.FAULTY);
         }
-        return evidence.heartbeatOverdue() ? overdue(evidence) : punctual(evidence);
+        return evidence.heartbeatOverdue() ? decideOverdue(evidence) : decideOnTime(evidence);
     }
 
-    private static Decision withoutAddress(MachineEvidence evidence) {
-        boolean heard = evidence.tokenSeen() != TokenSeen.NONE;
+    private static Decision decideWithoutAddress(MachineEvidence evidence) {
+        boolean hasSentHeartbeat = evidence.tokenSeen() != TokenSeen.NONE;
         if (evidence.bootOverdue()) {
-            return new Decision(Action.GIVE_BACK, heard ? Reason.SILENT_FOR_LONG : Reason.NEVER_UP);
+            return new Decision(Action.GIVE_BACK, hasSentHeartbeat ? Reason.SILENT_FOR_LONG : Reason.NEVER_UP);
         }
-        return new Decision(Action.WAIT, heard ? Reason.LEASE_OVER : Reason.BOOTING);
+        return new Decision(Action.WAIT, hasSentHeartbeat ? Reason.LEASE_OVER : Reason.BOOTING);
     }
 
-    private static Decision punctual(MachineEvidence evidence) {
+    private static Decision decideOnTime(MachineEvidence evidence) {
         return switch (evidence.tokenSeen()) {
             case NONE -> new Decision(Action.WAIT, Reason.REPORT_DUE);
             case OLDER -> new Decision(Action.FENCE, Reason.OLD_TOKEN);
@@ -56,7 +56,7 @@
     }
 
     /** Decides about a machine that may still run tasks: a missing heartbeat alone does not prove that it has stopped. */
-    private static Decision overdue(MachineEvidence evidence) {
+    private static Decision decideOverdue(MachineEvidence evidence) {
         if (!evidence.unresponsive()) {
             return new Decision(Action.ASK, Reason.UNHEARD);
         }
@@ -86,21 +86,22 @@
 
     /** Decides about one entry of a heartbeat. */
     public static Decision entry(EntryEvidence evidence) {
-        Action unwanted = evidence.entry() == ReportedAttempt.LIVE ? Action.STOP : Action.CLEAR;
+        Action discardAction = evidence.entry() == ReportedAttempt.LIVE ? Action.STOP : Action.CLEAR;
         if (evidence.job() != StoredJob.ACTIVE) {
-            return new Decision(unwanted, evidence.job() == StoredJob.ENDED ? Reason.JOB_OVER : Reason.NO_SUCH_JOB);
+            return new Decision(
+                    discardAction, evidence.job() == StoredJob.ENDED ? Reason.JOB_OVER : Reason.NO_SUCH_JOB);
         }
         if (evidence.task() == KnownTask.NONE) {
-            return new Decision(unwanted, Reason.NO_SUCH_TASK);
+            return new Decision(discardAction, Reason.NO_SUCH_TASK);
         }
         return switch (evidence.entry()) {
-            case LIVE -> live(evidence.task());
-            case COMPLETED -> completed(evidence.task());
+            case LIVE -> decideLive(evidence.task());
+            case COMPLETED -> decideCompleted(evidence.task());
             case ENDED -> new Decision(Action.CLEAR, Reason.ENDED);
         };
     }
 
-    private static Decision live(KnownTask task) {
+    private static Decision decideLive(KnownTask task) {
         return switch (task) {
             case PENDING -> new Decision(Action.ADOPT, Reason.RUNS);
             case EARLIER_ATTEMPT -> new Decision(Action.ADOPT, Reason.LATER);
@@ -109,7 +110,7 @@
         };
     }
 
-    private static Decision completed(KnownTask task) {
+    private static Decision decideCompleted(KnownTask task) {
         return switch (task) {
             case PENDING, LATER_ATTEMPT, EARLIER_ATTEMPT -> new Decision(Action.ADOPT, Reason.RESULT);
             case FINISHED -> new Decision(Action.WAIT, Reason.UNSTORED);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
@@ -10,45 +10,45 @@
  */
 final class BinPacking {
     /** Score penalty of an on-demand node for a task that may run on a spot instance. */
-    private static final double ORDINARY = 2;
+    private static final double ON_DEMAND_PENALTY = 2;
     /** Score penalty of a draining node: it is used only if no other node has room. */
-    private static final double DRAINING = 4;
+    private static final double DRAINING_PENALTY = 4;
     /** Score penalty of a service whose image must be fetched; each fetch already in progress on the node adds 1. */
-    private static final double SERVICE_FETCH = 4;
+    private static final double SERVICE_FETCH_PENALTY = 4;
     /** Score penalty of any other task whose image must be fetched. */
-    private static final double FETCH = 0.5;
+    private static final double FETCH_PENALTY = 0.5;
     /** Score penalty per service replica already on the node: losing one machine should stop few replicas. */
-    private static final double REPLICA = 0.3;
+    private static final double REPLICA_PENALTY = 0.3;
     /** Largest share of a task's start time target that an image fetch may use. */
-    private static final double FETCH_SHARE = 0.6;
+    private static final double MAX_FETCH_SHARE = 0.6;
 
     private final SchedulingPlan plan;
     /** Nodes that are up and have free room; full nodes are removed so that they are not searched for every group. */
-    private final List<CandidateNode> withRoom = new ArrayList<>();
+    private final List<CandidateNode> nodesWithRoom = new ArrayList<>();
     /** Nodes that have not yet sent a heartbeat to a new leader. */
-    private final List<CandidateNode> awaitingHeartbeat = new ArrayList<>();
+    private final List<CandidateNode> nodesAwaitingHeartbeat = new ArrayList<>();
 
     BinPacking(List<CandidateNode> nodes, SchedulingPlan plan) {
         this.plan = plan;
         for (CandidateNode node : nodes) {
             if (node.up && node.hasRoom()) {
-                withRoom.add(node);
+                nodesWithRoom.add(node);
             }
             if (node.awaitingHeartbeat) {
-                awaitingHeartbeat.add(node);
+                nodesAwaitingHeartbeat.add(node);
             }
         }
     }
 
     /** Returns the nodes on which a task of the group fits now, best first. */
-    PriorityQueue<Candidate> candidates(TaskGroup group) {
-        withRoom.removeIf(node -> !node.hasRoom());
-        plan.steps += withRoom.size();
+    PriorityQueue<Candidate> findCandidates(TaskGroup group) {
+        nodesWithRoom.removeIf(node -> !node.hasRoom());
+        plan.evaluations += nodesWithRoom.size();
         PriorityQueue<Candidate> candidates = new PriorityQueue<>();
-        for (int i = 0; i < withRoom.size(); i++) {
-            CandidateNode node = withRoom.get(i);
+        for (int index = 0; index < nodesWithRoom.size(); index++) {
+            CandidateNode node = nodesWithRoom.get(index);
             if (node.fits(group.spec) && node.allows(group)) {
-                candidates.add(new Candidate(score(group, node), i, node));
+                candidates.add(new Candidate(score(group, node), index, node));
             }
         }
         return candidates;
@@ -58,7 +58,7 @@
      * Removes and returns the best remaining candidate, or null if there is none. Candidates that the group's zone rules
      * forbid since earlier tasks were placed (one zone, spread) are discarded.
      */
-    static Candidate next(TaskGroup group, PriorityQueue<Candidate> candidates) {
+    static Candidate pollAllowed(TaskGroup group, PriorityQueue<Candidate> candidates) {
         Candidate candidate = candidates.poll();
         while (candidate != null && !candidate.node().allows(group)) {
             candidate = candidates.poll();
@@ -67,9 +67,9 @@
     }
 
     /** Takes room for a task on the chosen node, and adds the node to the candidates again if another task still fits. */
-    static void take(TaskGroup group, Candidate chosen, PriorityQueue<Candidate> candidates) {
+    static void takeRoom(TaskGroup group, Candidate chosen, PriorityQueue<Candidate> candidates) {
         CandidateNode node = chosen.node();
-        node.take(group.spec);
+        node.takeRoom(group.spec);
         if (node.fits(group.spec)) {
             candidates.add(new Candidate(score(group, node), chosen.index(), node));
         }
@@ -79,35 +79,36 @@
      * Reserves room for blocked tasks, so that no work of lower priority is started there and preempted a few seconds
      * later. Tasks that fit on machines without a heartbeat so far are most likely running there and need no room elsewhere.
      */
-    void reserve(TaskGroup group) {
-        int blocked = group.blocked;
-        for (CandidateNode node : awaitingHeartbeat) {
-            while (blocked > 0 && node.allows(group) && node.fits(group.spec)) {
-                node.take(group.spec);
-                blocked--;
+    void reserveRoom(TaskGroup group) {
+        int remaining = group.blocked;
+        for (CandidateNode node : nodesAwaitingHeartbeat) {
+            while (remaining > 0 && node.allows(group) && node.fits(group.spec)) {
+                node.takeRoom(group.spec);
+                remaining--;
             }
         }
-        if (blocked == 0) {
+        if (remaining == 0) {
             return;
         }
-        PriorityQueue<Candidate> candidates = candidates(group);
-        for (; blocked > 0; blocked--) {
-            Candidate candidate = next(group, candidates);
+        PriorityQueue<Candidate> candidates = findCandidates(group);
+        for (; remaining > 0; remaining--) {
+            Candidate candidate = pollAllowed(group, candidates);
             if (candidate == null) {
                 return;
             }
-            take(group, candidate, candidates);
+            takeRoom(group, candidate, candidates);
         }
     }
 
     private static double score(TaskGroup group, CandidateNode node) {
-        double score =
-                node.freeShare() + (node.spot || !group.spec.spot() ? 0 : ORDINARY) + (node.draining ? DRAINING : 0);
+        double score = node.freeCpuShare()
+                + (node.spot || !group.spec.spot() ? 0 : ON_DEMAND_PENALTY)
+                + (node.draining ? DRAINING_PENALTY : 0);
         if (group.spec.image() != null && !node.images.contains(group.spec.image())) {
-            score += group.spec.service() ? SERVICE_FETCH + node.fetching : FETCH;
+            score += group.spec.service() ? SERVICE_FETCH_PENALTY + node.fetching : FETCH_PENALTY;
         }
         if (group.spec.service()) {
-            score += REPLICA * node.services();
+            score += REPLICA_PENALTY * node.serviceReplicas();
         }
         return score;
     }
@@ -117,6 +118,7 @@
         return group.startWithinS <= 0
                 || group.spec.image() == null
                 || node.images.contains(group.spec.image())
-                || group.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS()) < group.startWithinS * FETCH_SHARE;
+                || group.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS())
+                        < group.startWithinS * MAX_FETCH_SHARE;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -12,7 +12,7 @@
  */
 public final class CandidateNode {
     /** Tolerance for floating-point rounding when a task is checked against free room. */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /** A task that occupies room on the node. */
     public static final class Running {
@@ -66,15 +66,15 @@
     /** True if the machine was recently drained so that it can be returned. */
     public boolean draining;
 
-    private double cpus;
-    private double gpus;
-    private double memory;
-    private int services;
+    private double freeCpus;
+    private double freeGpus;
+    private double freeMemoryGb;
+    private int serviceReplicas;
     /** Free CPUs after all stopping tasks have stopped; GPUs and memory follow. */
-    private double soonCpus;
+    private double freeCpusAfterStops;
 
-    private double soonGpus;
-    private double soonMemory;
+    private double freeGpusAfterStops;
+    private double freeMemoryGbAfterStops;
 
     /** Creates a machine without tasks. */
     public CandidateNode(MachineType type, String zone, boolean spot, Object machine, boolean up, Set<String> images) {
@@ -84,130 +84,132 @@
         this.machine = machine;
         this.up = up;
         this.images = images;
-        this.cpus = type.cpus();
-        this.gpus = type.gpus();
-        this.memory = type.memoryGb();
-        this.soonCpus = cpus;
-        this.soonGpus = gpus;
-        this.soonMemory = memory;
+        this.freeCpus = type.cpus();
+        this.freeGpus = type.gpus();
+        this.freeMemoryGb = type.memoryGb();
+        this.freeCpusAfterStops = freeCpus;
+        this.freeGpusAfterStops = freeGpus;
+        this.freeMemoryGbAfterStops = freeMemoryGb;
     }
 
     /** Adds a task that occupies room on the machine; a task without a known specification takes all of it. */
-    public void add(Running added) {
-        running.add(added);
-        if (added.spec == null) {
-            takeAll();
+    public void add(Running task) {
+        running.add(task);
+        if (task.spec == null) {
+            takeAllRoom();
             return;
         }
-        takeNow(added.spec);
-        if (!added.stopping) {
-            takeSoon(added.spec);
+        takeRoomNow(task.spec);
+        if (!task.stopping) {
+            takeRoomAfterStops(task.spec);
         }
     }
 
-    private void takeAll() {
-        cpus = 0;
-        gpus = 0;
-        memory = 0;
-        soonCpus = 0;
-        soonGpus = 0;
-        soonMemory = 0;
+    private void takeAllRoom() {
+        freeCpus = 0;
+        freeGpus = 0;
+        freeMemoryGb = 0;
+        freeCpusAfterStops = 0;
+        freeGpusAfterStops = 0;
+        freeMemoryGbAfterStops = 0;
     }
 
     /** Deducts the room of a task that is placed now, from the current and the later free room. */
-    void take(JobSpec spec) {
-        takeNow(spec);
-        takeSoon(spec);
+    void takeRoom(JobSpec spec) {
+        takeRoomNow(spec);
+        takeRoomAfterStops(spec);
     }
 
-    private void takeNow(JobSpec spec) {
-        cpus -= spec.cpus();
-        gpus -= spec.gpus();
-        memory -= spec.memoryGb();
-        services += spec.service() ? 1 : 0;
+    private void takeRoomNow(JobSpec spec) {
+        freeCpus -= spec.cpus();
+        freeGpus -= spec.gpus();
+        freeMemoryGb -= spec.memoryGb();
+        serviceReplicas += spec.service() ? 1 : 0;
     }
 
     /** Deducts room that becomes free after stops, for a task that a later cycle will place. */
-    void takeSoon(JobSpec spec) {
-        soonCpus -= spec.cpus();
-        soonGpus -= spec.gpus();
-        soonMemory -= spec.memoryGb();
+    void takeRoomAfterStops(JobSpec spec) {
+        freeCpusAfterStops -= spec.cpus();
+        freeGpusAfterStops -= spec.gpus();
+        freeMemoryGbAfterStops -= spec.memoryGb();
     }
 
     /** Adds the room of a task that is stopped in this cycle to the room that becomes free after stops. */
-    void freeSoon(JobSpec spec) {
-        soonCpus += spec.cpus();
-        soonGpus += spec.gpus();
-        soonMemory += spec.memoryGb();
+    void addRoomAfterStops(JobSpec spec) {
+        freeCpusAfterStops += spec.cpus();
+        freeGpusAfterStops += spec.gpus();
+        freeMemoryGbAfterStops += spec.memoryGb();
     }
 
     boolean allows(TaskGroup group) {
         JobSpec spec = group.spec;
         return (!spot || spec.spot())
                 && (spec.types() == null || spec.types().contains(type.name()))
-                && group.zoneAllowed(zone);
+                && group.allowsZone(zone);
     }
 
     /** Returns true if the node has any free room. */
     boolean hasRoom() {
-        return memory > ROUNDING && (cpus > ROUNDING || gpus > ROUNDING);
+        return freeMemoryGb > ROUNDING_TOLERANCE && (freeCpus > ROUNDING_TOLERANCE || freeGpus > ROUNDING_TOLERANCE);
     }
 
     boolean fits(JobSpec spec) {
-        return fits(spec, cpus, gpus, memory);
+        return fits(spec, freeCpus, freeGpus, freeMemoryGb);
     }
 
-    boolean fitsSoon(JobSpec spec) {
-        return fits(spec, soonCpus, soonGpus, soonMemory);
+    boolean fitsAfterStops(JobSpec spec) {
+        return fits(spec, freeCpusAfterStops, freeGpusAfterStops, freeMemoryGbAfterStops);
     }
 
-    static boolean fits(JobSpec spec, double cpus, double gpus, double memory) {
-        return spec.cpus() <= cpus + ROUNDING && spec.gpus() <= gpus + ROUNDING && spec.memoryGb() <= memory + ROUNDING;
+    static boolean fits(JobSpec spec, double cpus, double gpus, double memoryGb) {
+        return spec.cpus() <= cpus + ROUNDING_TOLERANCE
+                && spec.gpus() <= gpus + ROUNDING_TOLERANCE
+                && spec.memoryGb() <= memoryGb + ROUNDING_TOLERANCE;
     }
 
     /** Returns how many tasks of this size the node could take, including room from preemption; at most 1000. */
-    int roomFor(JobSpec spec) {
-        double roomCpus = soonCpus;
-        double roomMemory = soonMemory;
-        for (Running other : running) {
-            if (other.spec != null && !other.stopping && other.spec.priority().compareTo(spec.priority()) < 0) {
-                roomCpus += other.spec.cpus();
-                roomMemory += other.spec.memoryGb();
+    int taskCapacity(JobSpec spec) {
+        double availableCpus = freeCpusAfterStops;
+        double availableMemoryGb = freeMemoryGbAfterStops;
+        for (Running task : running) {
+            if (task.spec != null && !task.stopping && task.spec.priority().compareTo(spec.priority()) < 0) {
+                availableCpus += task.spec.cpus();
+                availableMemoryGb += task.spec.memoryGb();
             }
         }
-        double byCpu = spec.cpus() > 0 ? (roomCpus + ROUNDING) / spec.cpus() : 1000;
-        double byMemory = spec.memoryGb() > 0 ? (roomMemory + ROUNDING) / spec.memoryGb() : 1000;
-        return (int) Math.max(0, Math.min(byCpu, byMemory));
+        double maxByCpus = spec.cpus() > 0 ? (availableCpus + ROUNDING_TOLERANCE) / spec.cpus() : 1000;
+        double maxByMemory = spec.memoryGb() > 0 ? (availableMemoryGb + ROUNDING_TOLERANCE) / spec.memoryGb() : 1000;
+        return (int) Math.max(0, Math.min(maxByCpus, maxByMemory));
     }
 
     /** Returns the share of the machine's CPUs that is free now. */
-    double freeShare() {
-        return cpus / type.cpus();
+    double freeCpuShare() {
+        return freeCpus / type.cpus();
     }
 
     double usedCpus() {
-        return type.cpus() - cpus;
+        return type.cpus() - freeCpus;
     }
 
     /** Returns true if the machine has no tasks and no room on it is taken. */
-    boolean unused() {
-        return running.isEmpty() && cpus >= type.cpus() - 1e-9;
+    boolean isUnused() {
+        return running.isEmpty() && freeCpus >= type.cpus() - 1e-9;
     }
 
     /** Returns the number of service replicas on the node. */
-    int services() {
-        return services;
+    int serviceReplicas() {
+        return serviceReplicas;
     }
 
-    double soonCpus() {
-        return soonCpus;
+    double freeCpusAfterStops() {
+        return freeCpusAfterStops;
     }
 
-    double soonGpus() {
-        return soonGpus;
+    double freeGpusAfterStops() {
+        return freeGpusAfterStops;
     }
 
-    double soonMemory() {
-        return soonMemory;
+    double freeMemoryGbAfterStops() {
+        return freeMemoryGbAfterStops;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -13,71 +13,78 @@
     /** Interval between two steps, in milliseconds. */
     public static final long STEP_MS = 1_000;
     /** Share of the excess that one step stops. */
-    private static final double SHARE = 0.25;
+    private static final double STEP_SHARE = 0.25;
     /** Minimum number of CPUs per step, so that the excess reaches zero. */
-    private static final double LEAST_CPUS = 16;
+    private static final double MIN_STEP_CPUS = 16;
     /** Minimum number of GPUs per step. */
-    private static final double LEAST_GPUS = 1;
+    private static final double MIN_STEP_GPUS = 1;
 
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    private static final Comparator<CandidateNode.Running> FIRST_TO_STOP = Comparator.comparing(
-                    (CandidateNode.Running running) -> running.spec.priority())
-            .thenComparing(Comparator.comparingLong((CandidateNode.Running running) -> running.startedAt)
+    private static final Comparator<CandidateNode.Running> STOP_ORDER = Comparator.comparing(
+                    (CandidateNode.Running task) -> task.spec.priority())
+            .thenComparing(Comparator.comparingLong((CandidateNode.Running task) -> task.startedAt)
                     .reversed());
 
     private ExcessWork() {}
 
     /** Returns the tasks to stop in one step; empty if every team is within its limit. */
     public static List<CandidateNode.Running> step(List<CandidateNode> nodes, List<Team> teams) {
-        List<CandidateNode.Running> stops = new ArrayList<>();
-        for (int index = 0; index < teams.size(); index++) {
-            Team team = teams.get(index);
-            List<CandidateNode.Running> running = running(nodes, index);
-            double cpus = team.cpusMax > 0
-                    ? running.stream().mapToDouble(task -> task.spec.cpus()).sum() - team.cpusMax
+        List<CandidateNode.Running> tasksToStop = new ArrayList<>();
+        for (int teamIndex = 0; teamIndex < teams.size(); teamIndex++) {
+            Team team = teams.get(teamIndex);
+            List<CandidateNode.Running> teamTasks = runningTasks(nodes, teamIndex);
+            double excessCpus = team.cpuLimit > 0
+                    ? teamTasks.stream().mapToDouble(task -> task.spec.cpus()).sum() - team.cpuLimit
                     : 0;
-            double gpus = team.gpusMax > 0
-                    ? running.stream().mapToDouble(task -> task.spec.gpus()).sum() - team.gpusMax
+            double excessGpus = team.gpuLimit > 0
+                    ? teamTasks.stream().mapToDouble(task -> task.spec.gpus()).sum() - team.gpuLimit
                     : 0;
-            if (cpus > ROUNDING || gpus > ROUNDING) {
-                running.sort(FIRST_TO_STOP);
-                stop(running, share(cpus, LEAST_CPUS), share(gpus, LEAST_GPUS), stops);
+            if (excessCpus > ROUNDING_TOLERANCE || excessGpus > ROUNDING_TOLERANCE) {
+                teamTasks.sort(STOP_ORDER);
+                selectTasks(
+                        teamTasks,
+                        stepAmount(excessCpus, MIN_STEP_CPUS),
+                        stepAmount(excessGpus, MIN_STEP_GPUS),
+                        tasksToStop);
             }
         }
-        return stops;
+        return tasksToStop;
     }
 
-    private static double share(double excess, double least) {
-        return Math.max(excess * SHARE, Math.min(excess, least));
+    private static double stepAmount(double excess, double minimum) {
+        return Math.max(excess * STEP_SHARE, Math.min(excess, minimum));
     }
 
-    private static List<CandidateNode.Running> running(List<CandidateNode> nodes, int team) {
-        List<CandidateNode.Running> found = new ArrayList<>();
+    private static List<CandidateNode.Running> runningTasks(List<CandidateNode> nodes, int teamIndex) {
+        List<CandidateNode.Running> tasks = new ArrayList<>();
         for (CandidateNode node : nodes) {
-            for (CandidateNode.Running running : node.running) {
-                if (running.team == team && running.spec != null && !running.stopping) {
-                    found.add(running);
+            for (CandidateNode.Running task : node.running) {
+                if (task.team == teamIndex && task.spec != null && !task.stopping) {
+                    tasks.add(task);
                 }
             }
         }
-        return found;
+        return tasks;
     }
 
-    private static void stop(
-            List<CandidateNode.Running> candidates, double cpus, double gpus, List<CandidateNode.Running> stops) {
+    private static void selectTasks(
+            List<CandidateNode.Running> candidates,
+            double cpusToFree,
+            double gpusToFree,
+            List<CandidateNode.Running> tasksToStop) {
         double freedCpus = 0;
         double freedGpus = 0;
-        for (CandidateNode.Running running : candidates) {
-            boolean moreCpus = freedCpus < cpus - ROUNDING;
-            boolean moreGpus = freedGpus < gpus - ROUNDING;
-            if (!moreCpus && !moreGpus) {
+        for (CandidateNode.Running task : candidates) {
+            boolean needsCpus = freedCpus < cpusToFree - ROUNDING_TOLERANCE;
+            boolean needsGpus = freedGpus < gpusToFree - ROUNDING_TOLERANCE;
+            if (!needsCpus && !needsGpus) {
                 return;
             }
-            if ((moreCpus && running.spec.cpus() > 0) || (moreGpus && running.spec.gpus() > 0)) {
-                stops.add(running);
-                freedCpus += running.spec.cpus();
-                freedGpus += running.spec.gpus();
+            if ((needsCpus && task.spec.cpus() > 0) || (needsGpus && task.spec.gpus() > 0)) {
+                tasksToStop.add(task);
+                freedCpus += task.spec.cpus();
+                freedGpus += task.spec.gpus();
             }
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -10,65 +10,66 @@
  * can meet its deadline, otherwise by deadline.
  */
 final class GroupOrder {
-    private static final Comparator<TaskGroup> FIRST_COME = Comparator.comparing(
+    private static final Comparator<TaskGroup> BY_ARRIVAL = Comparator.comparing(
                     (TaskGroup group) -> group.spec.priority())
             .reversed()
-            .thenComparingLong(group -> group.order);
+            .thenComparingLong(group -> group.arrivalOrder);
 
     /** By priority, then by latest start time; deferred jobs come after all others of their priority. */
     static final Comparator<TaskGroup> BY_DEADLINE = Comparator.comparing((TaskGroup group) -> group.spec.priority())
             .reversed()
-            .thenComparingInt(group -> group.yielded)
+            .thenComparingInt(group -> group.deferralLevel)
             .thenComparingLong(group -> group.startBy)
-            .thenComparingLong(group -> group.order);
+            .thenComparingLong(group -> group.arrivalOrder);
 
-    private static final Comparator<TaskGroup> MOST_WORK = Comparator.comparingDouble(GroupOrder::work)
+    private static final Comparator<TaskGroup> MOST_WORK_FIRST = Comparator.comparingDouble(
+                    GroupOrder::waitingCpuSeconds)
             .reversed()
-            .thenComparing(
-                    Comparator.comparingLong((TaskGroup group) -> group.order).reversed());
+            .thenComparing(Comparator.comparingLong((TaskGroup group) -> group.arrivalOrder)
+                    .reversed());
 
     /** Lateness is checked in two rounds: against {@link TaskGroup#due}, then against {@link TaskGroup#lastDue}. */
-    private static final int DEADLINES = 2;
+    private static final int DEADLINE_ROUNDS = 2;
 
     private final long now;
     /** Milliseconds that all CPUs together need for one CPU second of work. */
-    private final double millisPerProcessorSecond;
+    private final double millisPerCpuSecond;
 
     private GroupOrder(Scheduler.Input input) {
         now = input.now();
-        millisPerProcessorSecond = 1000 / Math.max(1, processors(input.nodes()));
+        millisPerCpuSecond = 1000 / Math.max(1, batchCpus(input.nodes()));
     }
 
     /** Returns the groups with waiting or blocked tasks, in the order in which they are served. */
-    static List<TaskGroup> of(Scheduler.Input input) {
+    static List<TaskGroup> sortedGroups(Scheduler.Input input) {
         List<TaskGroup> groups = new ArrayList<>();
         for (TaskGroup group : input.groups()) {
             if (group.waiting > 0 || group.blocked > 0) {
                 groups.add(group);
             }
         }
-        groups.sort(FIRST_COME);
-        GroupOrder order = new GroupOrder(input);
-        if (!order.allInTime(groups)) {
+        groups.sort(BY_ARRIVAL);
+        GroupOrder groupOrder = new GroupOrder(input);
+        if (!groupOrder.allCanStartInTime(groups)) {
             groups.sort(BY_DEADLINE);
-            order.yieldLate(groups);
+            groupOrder.deferLateJobs(groups);
             groups.sort(BY_DEADLINE);
         }
         return groups;
     }
 
     /** Returns the CPUs available to work that ends: all CPUs of the nodes minus those that services use. */
-    static double processors(List<CandidateNode> nodes) {
-        double processors = 0;
+    static double batchCpus(List<CandidateNode> nodes) {
+        double cpus = 0;
         for (CandidateNode node : nodes) {
-            processors += node.type.cpus();
-            for (CandidateNode.Running running : node.running) {
-                if (running.spec != null && running.spec.service()) {
-                    processors -= running.spec.cpus();
+            cpus += node.type.cpus();
+            for (CandidateNode.Running task : node.running) {
+                if (task.spec != null && task.spec.service()) {
+                    cpus -= task.spec.cpus();
                 }
             }
         }
-        return processors;
+        return cpus;
     }
 
     /** Returns true for a group with a known run time and a deadline. */
@@ -77,11 +78,11 @@
     }
 
     /** Returns true if each job can start in time after all work before it in the list. */
-    private boolean allInTime(List<TaskGroup> groups) {
-        double work = 0;
+    private boolean allCanStartInTime(List<TaskGroup> groups) {
+        double cpuSeconds = 0;
         for (TaskGroup group : groups) {
-            work += work(group);
-            if (hasDeadline(group) && work * millisPerProcessorSecond > group.startBy - now) {
+            cpuSeconds += waitingCpuSeconds(group);
+            if (hasDeadline(group) && cpuSeconds * millisPerCpuSecond > group.startBy - now) {
                 return false;
             }
         }
@@ -93,40 +94,41 @@
      * largest job so far is deferred, which minimizes the number of late jobs (Moore-Hodgson algorithm). Otherwise work on
      * jobs that are late anyway would delay the next ones, until almost no job of a burst is in time.
      */
-    private void yieldLate(List<TaskGroup> groups) {
-        for (int round = 0; round < DEADLINES; round++) {
-            yieldLate(groups, round);
+    private void deferLateJobs(List<TaskGroup> groups) {
+        for (int round = 0; round < DEADLINE_ROUNDS; round++) {
+            deferLateJobs(groups, round);
         }
     }
 
-    private void yieldLate(List<TaskGroup> groups, int round) {
-        PriorityQueue<TaskGroup> largest = new PriorityQueue<>(MOST_WORK);
+    private void deferLateJobs(List<TaskGroup> groups, int round) {
+        PriorityQueue<TaskGroup> largestFirst = new PriorityQueue<>(MOST_WORK_FIRST);
         // Deferred jobs wait for all jobs that are not deferred.
-        double work = 0;
+        double cpuSeconds = 0;
         for (TaskGroup group : groups) {
-            work += group.yielded < round ? work(group) : 0;
+            cpuSeconds += group.deferralLevel < round ? waitingCpuSeconds(group) : 0;
         }
         for (TaskGroup group : groups) {
-            if (group.yielded != round || !hasDeadline(group)) {
-                work += group.yielded == round ? work(group) : 0;
+            if (group.deferralLevel != round || !hasDeadline(group)) {
+                cpuSeconds += group.deferralLevel == round ? waitingCpuSeconds(group) : 0;
                 continue;
             }
-            double left = (round == 0 ? group.due : group.lastDue) - now - 1000 * group.longestRunS;
-            largest.add(group);
-            work += work(group);
-            while (group.yielded == round && work * millisPerProcessorSecond > left) {
-                TaskGroup out = work(group) * millisPerProcessorSecond > left ? group : largest.poll();
-                if (out == group) {
-                    largest.remove(group);
+            double availableMs = (round == 0 ? group.due : group.lastDue) - now - 1000 * group.longestRunS;
+            largestFirst.add(group);
+            cpuSeconds += waitingCpuSeconds(group);
+            while (group.deferralLevel == round && cpuSeconds * millisPerCpuSecond > availableMs) {
+                TaskGroup deferred =
+                        waitingCpuSeconds(group) * millisPerCpuSecond > availableMs ? group : largestFirst.poll();
+                if (deferred == group) {
+                    largestFirst.remove(group);
                 }
-                work -= work(out);
-                out.yielded = round + 1;
+                cpuSeconds -= waitingCpuSeconds(deferred);
+                deferred.deferralLevel = round + 1;
             }
         }
     }
 
     /** Returns the CPU seconds that the group's waiting tasks need. */
-    private static double work(TaskGroup group) {
+    private static double waitingCpuSeconds(TaskGroup group) {
         return group.waiting * group.runS * group.spec.cpus();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -14,70 +14,70 @@
  */
 final class Preemption {
     /** Largest share of a task's start time target that may pass while a preempted task saves. */
-    private static final double WAIT_FOR_SAVE = 0.4;
+    private static final double MAX_SAVE_SHARE = 0.4;
     /** A preempted task that would lose at least this much work, in seconds of run time, may always save first. */
-    private static final double MOST_LOST_S = 60;
+    private static final double MAX_LOST_WORK_S = 60;
     /** Cost added to a node on which the task would start later than its target. */
-    private static final double LATE_COST = 1e9;
+    private static final double LATE_START_COST = 1e9;
     /** Fixed cost of stopping a task, in milliseconds, added to the time since its start. */
     private static final long STOP_COST_MS = 1_000;
 
     /** Lowest priority first, then the most recently started task, which loses the least work. */
-    private static final Comparator<CandidateNode.Running> FIRST_TO_STOP = Comparator.comparing(
-                    (CandidateNode.Running running) -> running.spec.priority())
-            .thenComparing(running -> -running.startedAt);
+    private static final Comparator<CandidateNode.Running> STOP_ORDER = Comparator.comparing(
+                    (CandidateNode.Running task) -> task.spec.priority())
+            .thenComparing(task -> -task.startedAt);
 
     private final Scheduler.Input input;
     private final SchedulingPlan plan;
     /** Nodes on which tasks are stopping, so that room becomes free. */
-    private final Set<CandidateNode> freeing = new LinkedHashSet<>();
+    private final Set<CandidateNode> nodesBeingFreed = new LinkedHashSet<>();
     /** Nodes with at least one task that could be stopped. */
-    private final List<CandidateNode> stoppable = new ArrayList<>();
+    private final List<CandidateNode> nodesWithStoppableTasks = new ArrayList<>();
     /** Lowest priority among the tasks on the nodes, or null if there are none; used to skip a search that cannot succeed. */
-    private Priority least;
+    private Priority lowestPriority;
 
     Preemption(Scheduler.Input input, SchedulingPlan plan) {
         this.input = input;
         this.plan = plan;
         for (CandidateNode node : input.nodes()) {
             if (node.up) {
-                index(node);
+                indexNode(node);
             }
         }
     }
 
-    private void index(CandidateNode node) {
-        boolean anyStoppable = false;
-        for (CandidateNode.Running running : node.running) {
-            if (running.spec != null
-                    && (least == null || running.spec.priority().compareTo(least) < 0)) {
-                least = running.spec.priority();
+    private void indexNode(CandidateNode node) {
+        boolean hasStoppableTask = false;
+        for (CandidateNode.Running task : node.running) {
+            if (task.spec != null
+                    && (lowestPriority == null || task.spec.priority().compareTo(lowestPriority) < 0)) {
+                lowestPriority = task.spec.priority();
             }
-            if (running.stopping) {
-                freeing.add(node);
+            if (task.stopping) {
+                nodesBeingFreed.add(node);
             }
-            anyStoppable |= !running.stopping && running.spec != null;
+            hasStoppableTask |= !task.stopping && task.spec != null;
         }
-        if (anyStoppable) {
-            stoppable.add(node);
+        if (hasStoppableTask) {
+            nodesWithStoppableTasks.add(node);
         }
     }
 
     /** Returns the tasks that may be stopped for the group, or null if no node can have any. */
-    Victims victims(TaskGroup group, boolean guaranteed) {
-        return mayStopAny(group, guaranteed) ? new Victims(group, guaranteed) : null;
+    Victims victims(TaskGroup group, boolean withinGuarantee) {
+        return mayStopAnyTask(group, withinGuarantee) ? new Victims(group, withinGuarantee) : null;
     }
 
-    private boolean mayStopAny(TaskGroup group, boolean guaranteed) {
-        if (least == null) {
+    private boolean mayStopAnyTask(TaskGroup group, boolean withinGuarantee) {
+        if (lowestPriority == null) {
             return false;
         }
-        int order = least.compareTo(group.spec.priority());
-        if (order != 0 || !guaranteed) {
-            return order < 0;
+        int priorityOrder = lowestPriority.compareTo(group.spec.priority());
+        if (priorityOrder != 0 || !withinGuarantee) {
+            return priorityOrder < 0;
         }
-        for (int team = 0; team < input.teams().size(); team++) {
-            if (team != group.team && input.teams().get(team).borrows()) {
+        for (int teamIndex = 0; teamIndex < input.teams().size(); teamIndex++) {
+            if (teamIndex != group.team && input.teams().get(teamIndex).isBorrowing()) {
                 return true;
             }
         }
@@ -92,14 +92,14 @@
      * @return the node, or null if no room can be made
      */
     CandidateNode makeRoom(TaskGroup group, boolean onlyInTime, Victims victims) {
-        CandidateNode node = comingFree(group, onlyInTime);
-        return node != null || victims == null ? node : victims.stop(onlyInTime);
+        CandidateNode node = findNodeBeingFreed(group, onlyInTime);
+        return node != null || victims == null ? node : victims.preemptCheapest(onlyInTime);
     }
 
-    private CandidateNode comingFree(TaskGroup group, boolean onlyInTime) {
-        plan.steps += freeing.size();
-        for (CandidateNode node : freeing) {
-            if (node.fitsSoon(group.spec)
+    private CandidateNode findNodeBeingFreed(TaskGroup group, boolean onlyInTime) {
+        plan.evaluations += nodesBeingFreed.size();
+        for (CandidateNode node : nodesBeingFreed) {
+            if (node.fitsAfterStops(group.spec)
                     && !node.fits(group.spec)
                     && node.allows(group)
                     && (!onlyInTime || BinPacking.startsInTime(group, node))) {
@@ -113,16 +113,16 @@
      * Returns true if the task may be stopped for the group. No team is brought below its guarantee for another team's:
      * it would preempt in return at once, and both teams would lose work repeatedly.
      */
-    private boolean mayStop(TaskGroup group, boolean guaranteed, CandidateNode.Running running) {
-        int order = running.spec.priority().compareTo(group.spec.priority());
-        if (order < 0 && running.team == group.team) {
+    private boolean mayStop(TaskGroup group, boolean withinGuarantee, CandidateNode.Running task) {
+        int priorityOrder = task.spec.priority().compareTo(group.spec.priority());
+        if (priorityOrder < 0 && task.team == group.team) {
             return true;
         }
-        boolean spare = input.teams().get(running.team).canSpare(running.spec);
-        if (order < 0) {
-            return guaranteed || spare;
+        boolean teamCanSpare = input.teams().get(task.team).canSpare(task.spec);
+        if (priorityOrder < 0) {
+            return withinGuarantee || teamCanSpare;
         }
-        return order == 0 && guaranteed && spare && running.team != group.team && !running.spec.service();
+        return priorityOrder == 0 && withinGuarantee && teamCanSpare && task.team != group.team && !task.spec.service();
     }
 
     /**
@@ -131,62 +131,61 @@
      */
     final class Victims {
         private final TaskGroup group;
-        private final boolean guaranteed;
+        private final boolean withinGuarantee;
         /** Null until the first search. */
-        private PriorityQueue<Candidate> choices;
+        private PriorityQueue<Candidate> candidates;
 
-        private Candidate stoppedLast;
+        private Candidate lastPreempted;
 
-        private Victims(TaskGroup group, boolean guaranteed) {
+        private Victims(TaskGroup group, boolean withinGuarantee) {
             this.group = group;
-            this.guaranteed = guaranteed;
+            this.withinGuarantee = withinGuarantee;
         }
 
         /** Stops the cheapest set of tasks that makes room for one task, and returns its node, or null if there is none. */
-        private CandidateNode stop(boolean onlyInTime) {
-            search();
-            while (!choices.isEmpty()) {
-                if (onlyInTime && choices.peek().score() >= LATE_COST) {
+        private CandidateNode preemptCheapest(boolean onlyInTime) {
+            updateCandidates();
+            while (!candidates.isEmpty()) {
+                if (onlyInTime && candidates.peek().score() >= LATE_START_COST) {
                     return null;
                 }
-                Candidate known = choices.poll();
-                plan.steps++;
-                Candidate current = evaluate(known.index(), known.node());
+                Candidate queued = candidates.poll();
+                plan.evaluations++;
+                Candidate current = evaluate(queued.index(), queued.node());
                 if (current == null) {
                     continue;
                 }
-                if (current.score() > known.score()) {
-                    choices.add(current);
+                if (current.score() > queued.score()) {
+                    candidates.add(current);
                     continue;
                 }
-                carryOut(current);
-                stoppedLast = current;
+                preempt(current);
+                lastPreempted = current;
                 return current.node();
             }
             return null;
         }
 
-        private void search() {
-            if (stoppedLast != null) {
-                // This node is evaluated again only now: before the previous task took its room, the node seemed to
-                // need
-                // no further stops.
-                add(stoppedLast.index(), stoppedLast.node());
-                stoppedLast = null;
+        private void updateCandidates() {
+            if (lastPreempted != null) {
+                // This node is evaluated again only now: before the previous task took its room, the node seemed
+                // to need no further stops.
+                addCandidate(lastPreempted.index(), lastPreempted.node());
+                lastPreempted = null;
             }
-            if (choices == null) {
-                choices = new PriorityQueue<>();
-                plan.steps += stoppable.size();
-                for (int i = 0; i < stoppable.size(); i++) {
-                    add(i, stoppable.get(i));
+            if (candidates == null) {
+                candidates = new PriorityQueue<>();
+                plan.evaluations += nodesWithStoppableTasks.size();
+                for (int index = 0; index < nodesWithStoppableTasks.size(); index++) {
+                    addCandidate(index, nodesWithStoppableTasks.get(index));
                 }
             }
         }
 
-        private void add(int index, CandidateNode node) {
-            Candidate choice = evaluate(index, node);
-            if (choice != null) {
-                choices.add(choice);
+        private void addCandidate(int index, CandidateNode node) {
+            Candidate candidate = evaluate(index, node);
+            if (candidate != null) {
+                candidates.add(candidate);
             }
         }
 
@@ -195,62 +194,66 @@
             if (!node.allows(group)) {
                 return null;
             }
-            List<CandidateNode.Running> stoppableHere = stoppableOn(node);
-            if (stoppableHere.isEmpty()) {
+            List<CandidateNode.Running> stoppableTasks = stoppableTasks(node);
+            if (stoppableTasks.isEmpty()) {
                 return null;
             }
-            stoppableHere.sort(FIRST_TO_STOP);
-            List<CandidateNode.Running> stops = new ArrayList<>();
-            double cpus = node.soonCpus();
-            double gpus = node.soonGpus();
-            double memory = node.soonMemory();
+            stoppableTasks.sort(STOP_ORDER);
+            List<CandidateNode.Running> tasksToStop = new ArrayList<>();
+            double freeCpus = node.freeCpusAfterStops();
+            double freeGpus = node.freeGpusAfterStops();
+            double freeMemoryGb = node.freeMemoryGbAfterStops();
             double cost = 0;
-            for (CandidateNode.Running running : stoppableHere) {
-                if (CandidateNode.fits(group.spec, cpus, gpus, memory)) {
+            for (CandidateNode.Running task : stoppableTasks) {
+                if (CandidateNode.fits(group.spec, freeCpus, freeGpus, freeMemoryGb)) {
                     break;
                 }
-                if (!mayStop(group, guaranteed, running)) {
+                if (!mayStop(group, withinGuarantee, task)) {
                     // Its team can spare no more than the tasks chosen before.
                     continue;
                 }
-                stops.add(running);
-                input.teams().get(running.team).stopping(running.spec);
-                cpus += running.spec.cpus();
-                gpus += running.spec.gpus();
-                memory += running.spec.memoryGb();
-                cost += running.spec.cpus() * (input.now() - running.startedAt + STOP_COST_MS);
+                tasksToStop.add(task);
+                input.teams().get(task.team).stopping(task.spec);
+                freeCpus += task.spec.cpus();
+                freeGpus += task.spec.gpus();
+                freeMemoryGb += task.spec.memoryGb();
+                cost += task.spec.cpus() * (input.now() - task.startedAt + STOP_COST_MS);
             }
-            stops.forEach(running -> input.teams().get(running.team).notStopping(running.spec));
-            return CandidateNode.fits(group.spec, cpus, gpus, memory) && !stops.isEmpty()
-                    ? new Candidate(cost + (BinPacking.startsInTime(group, node) ? 0 : LATE_COST), index, node, stops)
+            tasksToStop.forEach(task -> input.teams().get(task.team).unmarkStopping(task.spec));
+            return CandidateNode.fits(group.spec, freeCpus, freeGpus, freeMemoryGb) && !tasksToStop.isEmpty()
+                    ? new Candidate(
+                            cost + (BinPacking.startsInTime(group, node) ? 0 : LATE_START_COST),
+                            index,
+                            node,
+                            tasksToStop)
                     : null;
         }
 
-        private List<CandidateNode.Running> stoppableOn(CandidateNode node) {
+        private List<CandidateNode.Running> stoppableTasks(CandidateNode node) {
             // Most nodes have no stoppable task, so the list is created only when needed.
-            List<CandidateNode.Running> found = List.of();
-            for (CandidateNode.Running running : node.running) {
-                if (!running.stopping && running.spec != null && mayStop(group, guaranteed, running)) {
-                    if (found.isEmpty()) {
-                        found = new ArrayList<>();
+            List<CandidateNode.Running> tasks = List.of();
+            for (CandidateNode.Running task : node.running) {
+                if (!task.stopping && task.spec != null && mayStop(group, withinGuarantee, task)) {
+                    if (tasks.isEmpty()) {
+                        tasks = new ArrayList<>();
                     }
-                    found.add(running);
+                    tasks.add(task);
                 }
             }
-            return found;
+            return tasks;
         }
 
-        private void carryOut(Candidate choice) {
-            for (CandidateNode.Running running : choice.preemptions()) {
-                running.stopping = true;
-                running.withoutSave = group.startWithinS > 0
-                        && running.spec.saveS() > group.startWithinS * WAIT_FOR_SAVE
-                        && Math.min(running.ranS, running.spec.checkpointS()) < MOST_LOST_S;
-                input.teams().get(running.team).stopping(running.spec);
-                choice.node().freeSoon(running.spec);
-                plan.stops.add(running);
+        private void preempt(Candidate candidate) {
+            for (CandidateNode.Running task : candidate.preemptions()) {
+                task.stopping = true;
+                task.withoutSave = group.startWithinS > 0
+                        && task.spec.saveS() > group.startWithinS * MAX_SAVE_SHARE
+                        && Math.min(task.ranS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
+                input.teams().get(task.team).stopping(task.spec);
+                candidate.node().addRoomAfterStops(task.spec);
+                plan.stops.add(task);
             }
-            freeing.add(choice.node());
+            nodesBeingFreed.add(candidate.node());
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -11,21 +11,21 @@
  */
 final class ScaleIn {
     /** Idle time before an unneeded machine is returned, in milliseconds: the next task may be one heartbeat away. */
-    private static final long NEEDLESS_MS = 3_000;
+    private static final long UNNEEDED_IDLE_MS = 3_000;
     /** Spare room as a share of the CPUs in use, because tasks end and start continually. */
-    private static final double HEADROOM = 0.05;
+    private static final double HEADROOM_SHARE = 0.05;
     /** Minimum run time before a task is moved, in seconds: each move costs a save and a start. */
-    private static final double MOVABLE_AFTER_S = 30;
+    private static final double MIN_RUN_BEFORE_MOVE_S = 30;
     /** Time that the commands of a move take, in seconds, in addition to the save and the image fetch. */
-    private static final double COMMANDS_S = 2;
+    private static final double MOVE_COMMANDS_S = 2;
     /** A machine is drained only if it becomes free at least this many seconds sooner, after the cost of the moves. */
-    private static final double GAIN_S = 10;
+    private static final double MIN_GAIN_S = 10;
 
     private final Scheduler.Input input;
     private final SchedulingPlan plan;
     private final Prices prices;
     /** Machines that are up, least needed first: expensive before cheap, then by CPUs in use, fewest first. */
-    private final List<CandidateNode> up = new ArrayList<>();
+    private final List<CandidateNode> upNodes = new ArrayList<>();
 
     private final double usedCpus;
     private final double neededCpus;
@@ -35,51 +35,52 @@
     ScaleIn(Scheduler.Input input, SchedulingPlan plan) {
         this.input = input;
         this.plan = plan;
-        prices = new Prices(input.types());
+        prices = new Prices(input.machineTypes());
         double used = 0;
         for (CandidateNode node : input.nodes()) {
             if (node.up) {
-                up.add(node);
+                upNodes.add(node);
                 keptCpus += node.type.cpus();
                 used += node.usedCpus();
             }
         }
         usedCpus = used;
-        neededCpus = Math.max(input.standing(), usedCpus * (1 + HEADROOM));
-        up.sort(Comparator.comparing((CandidateNode node) -> !expensive(node))
+        neededCpus = Math.max(input.cpusToKeep(), usedCpus * (1 + HEADROOM_SHARE));
+        upNodes.sort(Comparator.comparing((CandidateNode node) -> !isExpensive(node))
                 .thenComparingDouble(CandidateNode::usedCpus));
     }
 
-    private boolean expensive(CandidateNode node) {
-        return prices.expensive(node.type, node.spot);
+    private boolean isExpensive(CandidateNode node) {
+        return prices.isExpensive(node.type, node.spot);
     }
 
     void run() {
-        if (plan.unplaced > 0) {
+        if (plan.unplacedTasks > 0) {
             return;
         }
-        returnIdle();
+        returnIdleNodes();
         if (plan.stops.isEmpty()) {
-            vacate();
+            drainNodes();
         }
     }
 
-    private void returnIdle() {
-        JobSpec service = input.spare() == null ? null : input.spare().like();
-        int spareRoom = 0;
-        for (CandidateNode node : up) {
-            spareRoom += service != null && !node.spot ? node.roomFor(service) : 0;
+    private void returnIdleNodes() {
+        JobSpec serviceSpec =
+                input.serviceReserve() == null ? null : input.serviceReserve().taskSpec();
+        int serviceCapacity = 0;
+        for (CandidateNode node : upNodes) {
+            serviceCapacity += serviceSpec != null && !node.spot ? node.taskCapacity(serviceSpec) : 0;
         }
-        for (CandidateNode node : up) {
-            if (!returnable(node)) {
+        for (CandidateNode node : upNodes) {
+            if (!isReturnable(node)) {
                 continue;
             }
-            if (service != null && !node.spot) {
-                int roomHere = node.roomFor(service);
-                if (spareRoom - roomHere < input.spare().tasks()) {
+            if (serviceSpec != null && !node.spot) {
+                int nodeCapacity = node.taskCapacity(serviceSpec);
+                if (serviceCapacity - nodeCapacity < input.serviceReserve().tasks()) {
                     continue;
                 }
-                spareRoom -= roomHere;
+                serviceCapacity -= nodeCapacity;
             }
             keptCpus -= node.type.cpus();
             plan.idle.add(node);
@@ -87,15 +88,16 @@
     }
 
     /** Returns true for a machine without tasks whose idle time is over; the idle time of an unneeded machine is shorter. */
-    private boolean returnable(CandidateNode node) {
-        if (!node.unused()) {
+    private boolean isReturnable(CandidateNode node) {
+        if (!node.isUnused()) {
             return false;
         }
-        boolean needless = (expensive(node) || node.draining) && node.idleMs >= NEEDLESS_MS && dispensable(node);
-        return needless || node.idleMs >= input.idleMs();
+        boolean unneeded =
+                (isExpensive(node) || node.draining) && node.idleMs >= UNNEEDED_IDLE_MS && isDispensable(node);
+        return unneeded || node.idleMs >= input.idleTimeoutMs();
     }
 
-    private boolean dispensable(CandidateNode node) {
+    private boolean isDispensable(CandidateNode node) {
         return keptCpus - node.type.cpus() >= neededCpus;
     }
 
@@ -103,36 +105,37 @@
      * Drains machines, expensive and then emptiest first: stops tasks that can save their state if that empties the machine
      * soon and other machines have room.
      */
-    private void vacate() {
-        double freeCpus = -usedCpus * HEADROOM;
-        for (CandidateNode node : up) {
-            freeCpus += node.soonCpus();
+    private void drainNodes() {
+        double freeCpus = -usedCpus * HEADROOM_SHARE;
+        for (CandidateNode node : upNodes) {
+            freeCpus += node.freeCpusAfterStops();
         }
-        for (int i = 0; i < up.size() && dispensable(up.get(i)); i++) {
-            CandidateNode node = up.get(i);
-            freeCpus -= node.soonCpus();
-            List<CandidateNode.Running> moves = worthMoving(node);
-            if (moves.isEmpty() || node.draining) {
+        for (int index = 0; index < upNodes.size() && isDispensable(upNodes.get(index)); index++) {
+            CandidateNode node = upNodes.get(index);
+            freeCpus -= node.freeCpusAfterStops();
+            List<CandidateNode.Running> tasksToMove = tasksWorthMoving(node);
+            if (tasksToMove.isEmpty() || node.draining) {
                 continue;
             }
-            double cpus = moves.stream().mapToDouble(task -> task.spec.cpus()).sum();
-            if (cpus > freeCpus || !move(moves, up.subList(i + 1, up.size()))) {
+            double movedCpus =
+                    tasksToMove.stream().mapToDouble(task -> task.spec.cpus()).sum();
+            if (movedCpus > freeCpus || !moveTasks(tasksToMove, upNodes.subList(index + 1, upNodes.size()))) {
                 return;
             }
-            freeCpus -= cpus;
+            freeCpus -= movedCpus;
             keptCpus -= node.type.cpus();
             plan.vacated.add(node);
         }
     }
 
     /** Reserves room for the tasks on the fullest machines that fit them and stops them; returns false if there is no room. */
-    private boolean move(List<CandidateNode.Running> tasks, List<CandidateNode> targets) {
+    private boolean moveTasks(List<CandidateNode.Running> tasks, List<CandidateNode> targets) {
         for (CandidateNode.Running task : tasks) {
-            CandidateNode target = fullest(task.spec, targets);
+            CandidateNode target = fullestNode(task.spec, targets);
             if (target == null) {
                 return false;
             }
-            target.takeSoon(task.spec);
+            target.takeRoomAfterStops(task.spec);
         }
         for (CandidateNode.Running task : tasks) {
             task.stopping = true;
@@ -141,11 +144,13 @@
         return true;
     }
 
-    private CandidateNode fullest(JobSpec spec, List<CandidateNode> nodes) {
+    private CandidateNode fullestNode(JobSpec spec, List<CandidateNode> nodes) {
         CandidateNode fullest = null;
         for (CandidateNode node : nodes) {
-            plan.steps++;
-            if (!node.draining && node.fitsSoon(spec) && (fullest == null || node.soonCpus() < fullest.soonCpus())) {
+            plan.evaluations++;
+            if (!node.draining
+                    && node.fitsAfterStops(spec)
+                    && (fullest == null || node.freeCpusAfterStops() < fullest.freeCpusAfterStops())) {
                 fullest = node;
             }
         }
@@ -153,34 +158,34 @@
     }
 
     /** Returns the tasks whose move frees the machine sooner; empty if other tasks would occupy it about as long anyway. */
-    private static List<CandidateNode.Running> worthMoving(CandidateNode node) {
+    private static List<CandidateNode.Running> tasksWorthMoving(CandidateNode node) {
         double occupiedS = 0;
         for (CandidateNode.Running task : node.running) {
-            if (!movable(task)) {
+            if (!isMovable(task)) {
                 occupiedS =
                         Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.leftS);
             }
         }
-        List<CandidateNode.Running> moves = new ArrayList<>();
+        List<CandidateNode.Running> tasksToMove = new ArrayList<>();
         double gainS = 0;
         for (CandidateNode.Running task : node.running) {
-            if (!movable(task)) {
+            if (!isMovable(task)) {
                 continue;
             }
             double costS = moveCostS(task, node);
             if (task.leftS > Math.max(occupiedS, costS)) {
-                moves.add(task);
+                tasksToMove.add(task);
                 gainS = Math.max(gainS, task.leftS - costS);
             }
         }
-        return gainS > occupiedS + GAIN_S ? moves : List.of();
+        return gainS > occupiedS + MIN_GAIN_S ? tasksToMove : List.of();
     }
 
     private static double moveCostS(CandidateNode.Running task, CandidateNode node) {
-        return task.spec.saveS() + COMMANDS_S + task.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS());
+        return task.spec.saveS() + MOVE_COMMANDS_S + task.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS());
     }
 
-    private static boolean movable(CandidateNode.Running task) {
+    private static boolean isMovable(CandidateNode.Running task) {
         return !task.stopping
                 && task.spec != null
                 && task.spec.checkpointS() > 0
@@ -188,6 +193,6 @@
                 && task.spec.zone() == null
                 && !task.spec.oneZone()
                 && !task.spec.spread()
-                && task.ranS >= MOVABLE_AFTER_S;
+                && task.ranS >= MIN_RUN_BEFORE_MOVE_S;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -18,27 +18,27 @@
     /**
      * The input of one cycle. The cycle modifies the nodes, groups and teams, so they cannot be reused.
      *
-     * @param now             current time, in milliseconds of the event loop's clock
-     * @param teams           the teams' quotas; team indexes of groups and tasks refer to this list
-     * @param types           the cloud's machine types
-     * @param noCapacityUntil time until which the cloud is not asked for machines of a pool, by {@link #pool} key
-     * @param spare           room to keep free for services, or null if there are none
-     * @param idleMs          how long an idle machine is kept, in milliseconds
-     * @param standing        CPUs to keep up, from the recent demand within the teams' guarantees; Double.MAX_VALUE keeps all
+     * @param now                   current time, in milliseconds of the event loop's clock
+     * @param teams                 the teams' quotas; team indexes of groups and tasks refer to this list
+     * @param machineTypes          the cloud's machine types
+     * @param noCapacityUntilByPool time until which the cloud is not asked for machines of a pool, by {@link #pool} key
+     * @param serviceReserve        room to keep free for services, or null if there are none
+     * @param idleTimeoutMs         how long an idle machine is kept, in milliseconds
+     * @param cpusToKeep            CPUs to keep up, from recent demand within the guarantees; Double.MAX_VALUE keeps all
      */
     public record Input(
             long now,
             List<CandidateNode> nodes,
             List<TaskGroup> groups,
             List<Team> teams,
-            List<MachineType> types,
-            Map<String, Long> noCapacityUntil,
-            Spare spare,
-            long idleMs,
-            double standing) {}
+            List<MachineType> machineTypes,
+            Map<String, Long> noCapacityUntilByPool,
+            Spare serviceReserve,
+            long idleTimeoutMs,
+            double cpusToKeep) {}
 
     /** Room kept free for services, as a number of additional tasks of the given size. */
-    public record Spare(JobSpec like, int tasks) {}
+    public record Spare(JobSpec taskSpec, int tasks) {}
 
     private final Input input;
     private final SchedulingPlan plan = new SchedulingPlan();
@@ -62,37 +62,38 @@
     }
 
     private SchedulingPlan run() {
-        List<TaskGroup> order = GroupOrder.of(input);
-        Map<TaskGroup, Integer> within = new LinkedHashMap<>();
-        Map<TaskGroup, Integer> beyond = new LinkedHashMap<>();
-        for (TaskGroup group : placeGuaranteed(order, within)) {
-            new Placing(group, false, beyond).run();
+        List<TaskGroup> sortedGroups = GroupOrder.sortedGroups(input);
+        Map<TaskGroup, Integer> unplacedWithinGuarantee = new LinkedHashMap<>();
+        Map<TaskGroup, Integer> unplacedBeyondGuarantee = new LinkedHashMap<>();
+        for (TaskGroup group : placeWithinGuarantees(sortedGroups, unplacedWithinGuarantee)) {
+            new GroupPlacement(group, false, unplacedBeyondGuarantee).placeTasks();
         }
-        new ScaleOut(input, plan).run(within, beyond);
+        new ScaleOut(input, plan).run(unplacedWithinGuarantee, unplacedBeyondGuarantee);
         new ScaleIn(input, plan).run();
         return plan;
     }
 
     /** Places tasks within the teams' guarantees; returns the groups with tasks beyond the guarantee, in the same order. */
-    private List<TaskGroup> placeGuaranteed(List<TaskGroup> order, Map<TaskGroup, Integer> unplaced) {
-        List<TaskGroup> borrowing = new ArrayList<>();
-        Priority least =
-                order.isEmpty() ? null : order.get(order.size() - 1).spec.priority();
-        for (TaskGroup group : order) {
-            if (group.blocked > 0 && group.spec.priority().compareTo(least) > 0) {
-                packing.reserve(group);
+    private List<TaskGroup> placeWithinGuarantees(List<TaskGroup> sortedGroups, Map<TaskGroup, Integer> unplaced) {
+        List<TaskGroup> groupsBeyondGuarantee = new ArrayList<>();
+        Priority lowestPriority = sortedGroups.isEmpty()
+                ? null
+                : sortedGroups.get(sortedGroups.size() - 1).spec.priority();
+        for (TaskGroup group : sortedGroups) {
+            if (group.blocked > 0 && group.spec.priority().compareTo(lowestPriority) > 0) {
+                packing.reserveRoom(group);
             }
-            if (group.waiting > 0 && new Placing(group, true, unplaced).run()) {
-                borrowing.add(group);
+            if (group.waiting > 0 && new GroupPlacement(group, true, unplaced).placeTasks()) {
+                groupsBeyondGuarantee.add(group);
             }
         }
-        return borrowing;
+        return groupsBeyondGuarantee;
     }
 
     /** Places the waiting tasks of one group, one after the other. */
-    private final class Placing {
+    private final class GroupPlacement {
         private final TaskGroup group;
-        private final boolean guaranteed;
+        private final boolean withinGuarantee;
         private final Map<TaskGroup, Integer> unplaced;
         private final Team team;
         private final Preemption.Victims victims;
@@ -100,27 +101,27 @@
         private PriorityQueue<Candidate> candidates;
 
         /** @param unplaced receives the number of tasks without room, by group */
-        Placing(TaskGroup group, boolean guaranteed, Map<TaskGroup, Integer> unplaced) {
+        GroupPlacement(TaskGroup group, boolean withinGuarantee, Map<TaskGroup, Integer> unplaced) {
             this.group = group;
-            this.guaranteed = guaranteed;
+            this.withinGuarantee = withinGuarantee;
             this.unplaced = unplaced;
             team = input.teams.get(group.team);
-            victims = preemption.victims(group, guaranteed);
+            victims = preemption.victims(group, withinGuarantee);
         }
 
         /** Places tasks; returns true if others wait that are beyond the team's guarantee but within its limit. */
-        boolean run() {
+        boolean placeTasks() {
             while (group.waiting > 0) {
-                int within = team.more(group.spec, guaranteed, group.waiting);
-                if (within == 0) {
-                    return guaranteed && team.more(group.spec, false, 1) > 0;
+                int allowedTasks = team.additionalTasks(group.spec, withinGuarantee, group.waiting);
+                if (allowedTasks == 0) {
+                    return withinGuarantee && team.additionalTasks(group.spec, false, 1) > 0;
                 }
                 if (candidates == null) {
-                    candidates = packing.candidates(group);
+                    candidates = packing.findCandidates(group);
                 }
-                CandidateNode node = placeOne();
+                CandidateNode node = placeTask();
                 if (node == null) {
-                    giveUp(within);
+                    recordUnplaced(allowedTasks);
                 } else {
                     group.perZone.merge(node.zone, 1, Integer::sum);
                     team.add(group.spec, 1);
@@ -131,14 +132,15 @@
         }
 
         /** Places a task or makes room for it; returns the node, or null if there is no room. */
-        private CandidateNode placeOne() {
-            Candidate best = BinPacking.next(group, candidates);
-            boolean late = best != null && !BinPacking.startsInTime(group, best.node());
-            // If every node with free room must fetch the image for too long, make room on a node that has the image.
-            if ((best == null || late) && !group.probing) {
-                CandidateNode freed = preemption.makeRoom(group, late, victims);
+        private CandidateNode placeTask() {
+            Candidate best = BinPacking.pollAllowed(group, candidates);
+            boolean startsLate = best != null && !BinPacking.startsInTime(group, best.node());
+            // If the best free node would start the task late because it must fetch the image, make room on a node that
+            // has the image.
+            if ((best == null || startsLate) && !group.probing) {
+                CandidateNode freed = preemption.makeRoom(group, startsLate, victims);
                 if (freed != null) {
-                    freed.takeSoon(group.spec);
+                    freed.takeRoomAfterStops(group.spec);
                     if (best != null) {
                         candidates.add(best);
                     }
@@ -149,7 +151,7 @@
                 return null;
             }
             plan.placements.add(new SchedulingPlan.Placement(group, best.node()));
-            BinPacking.take(group, best, candidates);
+            BinPacking.takeRoom(group, best, candidates);
             return best.node();
         }
 
@@ -157,10 +159,10 @@
          * Records tasks without room as unplaced. The tasks of a group are identical, so if one finds no room, the others
          * find none either. {@link ScaleOut} later finds machines for all of them at once.
          */
-        private void giveUp(int tasks) {
+        private void recordUnplaced(int tasks) {
             if (!group.probing) {
                 unplaced.merge(group, tasks, Integer::sum);
-                plan.unplaced += tasks;
+                plan.unplacedTasks += tasks;
             }
             team.add(group.spec, tasks);
             group.waiting -= tasks;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
@@ -22,7 +22,7 @@
     /** Nodes to drain: they take new tasks only if no other node has room. */
     public final List<CandidateNode> vacated = new ArrayList<>();
     /** Number of tasks within their team's limit that found no room. */
-    public int unplaced;
+    public int unplacedTasks;
     /** Number of evaluated nodes and machines to rent: the cycle's cost, independent of the hardware. */
-    public long steps;
+    public long evaluations;
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -11,7 +11,7 @@
     /** The job, opaque to the scheduler. */
     public final Object job;
     /** Position in the order of arrival. */
-    public final long order;
+    public final long arrivalOrder;
     /** Index of the job's team in the cycle's list of teams. */
     public final int team;
     /** Number of tasks that may be placed now. */
@@ -42,18 +42,18 @@
      * 0 if the job can meet its deadline; 1 if it cannot, 2 if it also misses {@link #lastDue}. Groups with a lower value are
      * served first.
      */
-    int yielded;
+    int deferralLevel;
 
     /** Creates the group of a job, of which {@code waiting} tasks may be placed now. */
-    public TaskGroup(JobSpec spec, Object job, long order, int team, int waiting) {
+    public TaskGroup(JobSpec spec, Object job, long arrivalOrder, int team, int waiting) {
         this.spec = spec;
         this.job = job;
-        this.order = order;
+        this.arrivalOrder = arrivalOrder;
         this.team = team;
         this.waiting = waiting;
     }
 
-    boolean zoneAllowed(String zone) {
+    boolean allowsZone(String zone) {
         if (spec.zone() != null && !spec.zone().equals(zone)) {
             return false;
         }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
@@ -7,12 +7,12 @@
  * that there is no limit.
  */
 public final class Team {
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    final double cpus;
-    final double cpusMax;
-    final double gpus;
-    final double gpusMax;
+    final double guaranteedCpus;
+    final double cpuLimit;
+    final double guaranteedGpus;
+    final double gpuLimit;
     /** CPUs of the team's tasks on machines, including stopping tasks. */
     public double usedCpus;
     /** GPUs of the team's tasks on machines, including stopping tasks. */
@@ -26,17 +26,17 @@
     private double unverifiedGpus;
 
     /** Creates the quota of a team without current use. */
-    public Team(double cpus, double cpusMax, double gpus, double gpusMax) {
-        this.cpus = cpus;
-        this.cpusMax = cpusMax;
-        this.gpus = gpus;
-        this.gpusMax = gpusMax;
+    public Team(double guaranteedCpus, double cpuLimit, double guaranteedGpus, double gpuLimit) {
+        this.guaranteedCpus = guaranteedCpus;
+        this.cpuLimit = cpuLimit;
+        this.guaranteedGpus = guaranteedGpus;
+        this.gpuLimit = gpuLimit;
     }
 
     /** Adds CPUs and GPUs that the team may use on a machine with unknown tasks; they count against the limit. */
-    public void addUnverified(double moreCpus, double moreGpus) {
-        unverifiedCpus += moreCpus;
-        unverifiedGpus += moreGpus;
+    public void addUnverified(double cpus, double gpus) {
+        unverifiedCpus += cpus;
+        unverifiedGpus += gpus;
     }
 
     /** Marks a task as stopping: it still counts as used, but no longer as something the team can spare. */
@@ -46,7 +46,7 @@
     }
 
     /** Reverts {@link #stopping} for a task that is not stopped. */
-    void notStopping(JobSpec spec) {
+    void unmarkStopping(JobSpec spec) {
         stoppingCpus -= spec.cpus();
         stoppingGpus -= spec.gpus();
     }
@@ -56,46 +56,56 @@
         usedGpus += tasks * spec.gpus();
     }
 
-    /** Returns how many more tasks of this size fit within the guarantee, or else the limit; {@code most} at most. */
-    int more(JobSpec spec, boolean guaranteed, int most) {
-        int tasks = most;
-        if (guaranteed || cpusMax > 0) {
-            tasks = fit(tasks, spec.cpus(), room(guaranteed, cpus, cpusMax, usedCpus, unverifiedCpus));
+    /** Returns how many more tasks of this size fit within the guarantee, or else the limit; {@code maxTasks} at most. */
+    int additionalTasks(JobSpec spec, boolean withinGuarantee, int maxTasks) {
+        int tasks = maxTasks;
+        if (withinGuarantee || cpuLimit > 0) {
+            tasks = tasksThatFit(
+                    tasks,
+                    spec.cpus(),
+                    remainingQuota(withinGuarantee, guaranteedCpus, cpuLimit, usedCpus, unverifiedCpus));
         }
-        if (guaranteed || gpusMax > 0) {
-            tasks = fit(tasks, spec.gpus(), room(guaranteed, gpus, gpusMax, usedGpus, unverifiedGpus));
+        if (withinGuarantee || gpuLimit > 0) {
+            tasks = tasksThatFit(
+                    tasks,
+                    spec.gpus(),
+                    remainingQuota(withinGuarantee, guaranteedGpus, gpuLimit, usedGpus, unverifiedGpus));
         }
         return tasks;
     }
 
-    private static double room(boolean guaranteed, double guarantee, double limit, double used, double unverified) {
-        double within = limit > 0 ? limit - used - unverified : Double.MAX_VALUE;
-        return guaranteed ? Math.min(within, guarantee - used) : within;
+    private static double remainingQuota(
+            boolean withinGuarantee, double guarantee, double limit, double used, double unverified) {
+        double withinLimit = limit > 0 ? limit - used - unverified : Double.MAX_VALUE;
+        return withinGuarantee ? Math.min(withinLimit, guarantee - used) : withinLimit;
     }
 
-    private static int fit(int most, double each, double room) {
-        return each <= 0 ? most : (int) Math.max(0, Math.min(most, Math.floor((room + ROUNDING) / each)));
+    private static int tasksThatFit(int maxTasks, double perTask, double room) {
+        return perTask <= 0
+                ? maxTasks
+                : (int) Math.max(0, Math.min(maxTasks, Math.floor((room + ROUNDING_TOLERANCE) / perTask)));
     }
 
     /**
      * Returns the CPUs in use or waited for that lie within the limit and the guarantee; a guarantee of 0 sets no bound.
      *
-     * @param waiting CPUs of waiting tasks
+     * @param waitingCpus CPUs of waiting tasks
      */
-    public double guaranteed(double waiting) {
-        double wanted = usedCpus + waiting;
-        double within = cpusMax > 0 ? Math.min(wanted, cpusMax) : wanted;
-        return cpus > 0 ? Math.min(within, cpus) : within;
+    public double guaranteed(double waitingCpus) {
+        double demand = usedCpus + waitingCpus;
+        double withinLimit = cpuLimit > 0 ? Math.min(demand, cpuLimit) : demand;
+        return guaranteedCpus > 0 ? Math.min(withinLimit, guaranteedCpus) : withinLimit;
     }
 
     /** Returns true if the team uses more than its guarantee, even after all stopping tasks have stopped. */
-    boolean borrows() {
-        return usedCpus - stoppingCpus > cpus + ROUNDING || usedGpus - stoppingGpus > gpus + ROUNDING;
+    boolean isBorrowing() {
+        return usedCpus - stoppingCpus > guaranteedCpus + ROUNDING_TOLERANCE
+                || usedGpus - stoppingGpus > guaranteedGpus + ROUNDING_TOLERANCE;
     }
 
     /** Returns true if the team's use stays at or above its guarantee without this task. */
     boolean canSpare(JobSpec spec) {
-        return usedCpus - stoppingCpus - spec.cpus() >= cpus - ROUNDING
-                && usedGpus - stoppingGpus - spec.gpus() >= gpus - ROUNDING;
+        return usedCpus - stoppingCpus - spec.cpus() >= guaranteedCpus - ROUNDING_TOLERANCE
+                && usedGpus - stoppingGpus - spec.gpus() >= guaranteedGpus - ROUNDING_TOLERANCE;
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -119,17 +119,17 @@
                     "spread over zones");
         });
         for (int t = 0; t < 2; t++) {
-            double max = in.teams().get(t).cpusMax;
+            double max = in.teams().get(t).cpuLimit;
             assertTrue(max <= 0 || team[t] <= Math.max(max, before.teams().get(t).usedCpus) + 1e-6, "team limit");
         }
         // No task is left waiting if a node has free room that the task may use now.
         Map<TaskGroup, Integer> placed = new HashMap<>();
         plan.placements.forEach(p -> placed.merge(p.group(), 1, Integer::sum));
-        if (plan.stops.isEmpty() && plan.unplaced > 0) {
+        if (plan.stops.isEmpty() && plan.unplacedTasks > 0) {
             for (int i = 0; i < in.groups().size(); i++) {
                 TaskGroup g = in.groups().get(i);
                 int left = before.groups().get(i).waiting - placed.getOrDefault(g, 0);
-                double max = in.teams().get(g.team).cpusMax;
+                double max = in.teams().get(g.team).cpuLimit;
                 boolean limited = max > 0 && in.teams().get(g.team).usedCpus + g.spec.cpus() > max + 1e-6;
                 if (left == 0 || limited || g.spec.oneZone() || g.spec.spread()) {
                     continue;
@@ -276,7 +276,7 @@
         SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 2_000, nodes, List.of(g), List.of(lender, owner), List.of(T4), new HashMap<>(), null, 60_000, 0));
         assertEquals(1, plan.stops.size(), "twelve processors in use, eight guaranteed: four are borrowed");
-        assertEquals(1, plan.unplaced);
+        assertEquals(1, plan.unplacedTasks);
     }
 
     /** Returns a running task of one CPU that has run for {@code ranS} seconds and can save its state if {@code saves}. */
@@ -344,7 +344,7 @@
         SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 2_000, List.of(n), List.of(g), teams, List.of(T4), new HashMap<>(), null, 1_000, 0));
         assertEquals(4, plan.stops.size());
-        assertEquals(0, plan.unplaced);
+        assertEquals(0, plan.unplacedTasks);
     }
 
     @Test
@@ -391,7 +391,7 @@
         for (int i = 0; i < 20; i++) {
             TaskGroup g = due(10 * i + 1, 4, 20, dueS);
             JobSpec s = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
-            TaskGroup spot = new TaskGroup(s, g.job, g.order, 0, 4);
+            TaskGroup spot = new TaskGroup(s, g.job, g.arrivalOrder, 0, 4);
             spot.runS = g.runS;
             spot.longestRunS = g.longestRunS;
             spot.due = g.due;
@@ -448,7 +448,7 @@
                 0, nodes, groups, List.of(new Team(0, 0, 0, 0)), List.of(T4), new HashMap<>(), null, 60_000, 0));
         assertEquals(Math.min(10 * tasks, machines / 10), plan.placements.size());
         assertTrue(plan.rents.stream().allMatch(r -> r.count() <= 50), "a request asks for 50 machines at most");
-        return plan.steps;
+        return plan.evaluations;
     }
 
     @Test
