--- a/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -11,7 +11,7 @@
     private final ObservationWindow observationWindow = new ObservationWindow(10_000, 7_000);
 
     @Test
-    void isCompleteOnceAListWasReadAndNobodyUnknownTurnedUpForASecond() {
+    void isCompleteOnceListIsReadAndNoUnknownMachineReportedForOneSecond() {
         observationWindow.newcomer(10_800);
         assertEquals(GATHERING, observationWindow.state(11_900), "no list yet");
         observationWindow.listed();
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void waitsWhileMachinesTurnUpButNotForEver() {
+    void staysGatheringWhileUnknownMachinesReportUntilMaxDuration() {
         observationWindow.listed();
         for (long at = 10_000; at < 16_000; at += 900) {
             observationWindow.newcomer(at);
--- a/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
@@ -20,107 +20,108 @@
 
 /** Checks the decision for every combination of evidence against the documented tables that operators read. */
 class ReconciliationTest {
-    private static final Path PAGE = Path.of("..", "docs", "recovery.md");
+    private static final Path TABLES_PAGE = Path.of("..", "docs", "recovery.md");
 
     /** Returns the cells of each row of the table under this heading, without the table's header. */
-    private static List<String[]> table(String heading) throws IOException {
-        List<String[]> lines = new ArrayList<>();
-        boolean within = false;
-        for (String line : Files.readAllLines(PAGE, StandardCharsets.UTF_8)) {
+    private static List<String[]> tableRows(String heading) throws IOException {
+        List<String[]> rows = new ArrayList<>();
+        boolean inTable = false;
+        for (String line : Files.readAllLines(TABLES_PAGE, StandardCharsets.UTF_8)) {
             if (line.startsWith("#")) {
-                within = line.equals("### " + heading);
-            } else if (within && line.startsWith("|")) {
+                inTable = line.equals("### " + heading);
+            } else if (inTable && line.startsWith("|")) {
                 String[] cells = line.substring(1).split("\\|");
-                lines.add(Arrays.stream(cells).map(String::trim).toArray(String[]::new));
+                rows.add(Arrays.stream(cells).map(String::trim).toArray(String[]::new));
             }
         }
-        assertTrue(lines.size() > 2, "the page has a table under " + heading);
-        return lines.subList(2, lines.size());
+        assertTrue(rows.size() > 2, "the page has a table under " + heading);
+        return rows.subList(2, rows.size());
     }
 
-    private static List<Object> values(Class<?> type) {
+    private static List<Object> valuesOf(Class<?> type) {
         return type == boolean.class ? List.of(true, false) : List.of(type.getEnumConstants());
     }
 
     /** Returns all possible values of a record whose components are booleans and enums. */
-    private static <R extends Record> List<R> all(Class<R> type) throws ReflectiveOperationException {
-        RecordComponent[] parts = type.getRecordComponents();
-        List<Object[]> made = new ArrayList<>();
-        made.add(new Object[0]);
-        for (RecordComponent part : parts) {
-            List<Object[]> longer = new ArrayList<>();
-            for (Object[] before : made) {
-                for (Object value : values(part.getType())) {
-                    Object[] with = Arrays.copyOf(before, before.length + 1);
-                    with[before.length] = value;
-                    longer.add(with);
+    private static <R extends Record> List<R> allValues(Class<R> type) throws ReflectiveOperationException {
+        RecordComponent[] components = type.getRecordComponents();
+        List<Object[]> combinations = new ArrayList<>();
+        combinations.add(new Object[0]);
+        for (RecordComponent component : components) {
+            List<Object[]> extended = new ArrayList<>();
+            for (Object[] prefix : combinations) {
+                for (Object value : valuesOf(component.getType())) {
+                    Object[] combination = Arrays.copyOf(prefix, prefix.length + 1);
+                    combination[prefix.length] = value;
+                    extended.add(combination);
                 }
             }
-            made = longer;
+            combinations = extended;
         }
         var constructor = type.getDeclaredConstructor(
-                Arrays.stream(parts).map(RecordComponent::getType).toArray(Class<?>[]::new));
-        List<R> all = new ArrayList<>();
-        for (Object[] values : made) {
-            all.add(constructor.newInstance(values));
+                Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new));
+        List<R> records = new ArrayList<>();
+        for (Object[] values : combinations) {
+            records.add(constructor.newInstance(values));
         }
-        return all;
+        return records;
     }
 
-    private static String text(Object value) {
-        return value instanceof Boolean b ? b ? "yes" : "no" : value.toString();
+    private static String cellText(Object value) {
+        return value instanceof Boolean flag ? flag ? "yes" : "no" : value.toString();
     }
 
-    private static <R extends Record> void matches(
-            String heading, Class<R> type, Function<R, Decision> decide, int many)
+    private static <R extends Record> void assertMatchesTable(
+            String heading, Class<R> type, Function<R, Decision> decide, int expectedCombinations)
             throws IOException, ReflectiveOperationException {
-        List<String[]> lines = table(heading);
-        RecordComponent[] parts = type.getRecordComponents();
-        Set<String[]> used = Collections.newSetFromMap(new IdentityHashMap<>());
-        List<R> all = all(type);
-        assertEquals(many, all.size(), "combinations");
-        for (R evidence : all) {
-            String[] first = null;
-            for (String[] line : lines) {
-                boolean fits = true;
-                for (int i = 0; i < parts.length; i++) {
-                    fits &= line[i].equals("-")
-                            || line[i].equals(text(parts[i].getAccessor().invoke(evidence)));
+        List<String[]> rows = tableRows(heading);
+        RecordComponent[] components = type.getRecordComponents();
+        Set<String[]> matchedRows = Collections.newSetFromMap(new IdentityHashMap<>());
+        List<R> allEvidence = allValues(type);
+        assertEquals(expectedCombinations, allEvidence.size(), "combinations");
+        for (R evidence : allEvidence) {
+            String[] firstMatch = null;
+            for (String[] row : rows) {
+                boolean matches = true;
+                for (int i = 0; i < components.length; i++) {
+                    matches &= row[i].equals("-")
+                            || row[i].equals(
+                                    cellText(components[i].getAccessor().invoke(evidence)));
                 }
-                if (fits) {
-                    first = line;
+                if (matches) {
+                    firstMatch = row;
                     break;
                 }
             }
-            assertTrue(first != null, () -> "no line for " + evidence);
-            used.add(first);
+            assertTrue(firstMatch != null, () -> "no line for " + evidence);
+            matchedRows.add(firstMatch);
             Decision decision = decide.apply(evidence);
             assertEquals(
-                    first[parts.length] + " " + first[parts.length + 1],
+                    firstMatch[components.length] + " " + firstMatch[components.length + 1],
                     decision.action() + " " + decision.reason(),
                     evidence.toString());
         }
-        assertEquals(lines.size(), used.size(), "lines of " + heading + " that something fits");
+        assertEquals(rows.size(), matchedRows.size(), "lines of " + heading + " that something fits");
     }
 
     @Test
-    void machines() throws IOException, ReflectiveOperationException {
-        matches("Machines", MachineEvidence.class, Reconciliation::machine, 3 * 3 * 512);
+    void machineDecisionsMatchTable() throws IOException, ReflectiveOperationException {
+        assertMatchesTable("Machines", MachineEvidence.class, Reconciliation::machine, 3 * 3 * 512);
     }
 
     @Test
-    void heartbeats() throws IOException, ReflectiveOperationException {
-        matches("Heartbeats", HeartbeatEvidence.class, Reconciliation::heartbeat, 2 * 2 * 3);
+    void heartbeatDecisionsMatchTable() throws IOException, ReflectiveOperationException {
+        assertMatchesTable("Heartbeats", HeartbeatEvidence.class, Reconciliation::heartbeat, 2 * 2 * 3);
     }
 
     @Test
-    void entries() throws IOException, ReflectiveOperationException {
-        matches("Entries of a heartbeat", EntryEvidence.class, Reconciliation::entry, 3 * 6 * 3);
+    void entryDecisionsMatchTable() throws IOException, ReflectiveOperationException {
+        assertMatchesTable("Entries of a heartbeat", EntryEvidence.class, Reconciliation::entry, 3 * 6 * 3);
     }
 
     @Test
-    void tasks() throws IOException, ReflectiveOperationException {
-        matches(
+    void taskDecisionsMatchTable() throws IOException, ReflectiveOperationException {
+        assertMatchesTable(
                 "Tasks that are on no machine, as far as anybody has reported",
                 TaskEvidence.class,
                 Reconciliation::task,
@@ -129,15 +130,17 @@
 
     @Test
     @DisplayName("what may be on a machine is placed only after its lease, or where it is certainly nowhere")
-    void placedOnlyWhereNothingElseCanRunIt() throws ReflectiveOperationException {
-        for (MachineEvidence e : all(MachineEvidence.class)) {
-            if (Reconciliation.machine(e).is(Action.PLACE)) {
-                assertTrue(e.leaseExpired(), e.toString());
+    void tasksArePlacedOnlyWhenNothingElseCanRunThem() throws ReflectiveOperationException {
+        for (MachineEvidence evidence : allValues(MachineEvidence.class)) {
+            if (Reconciliation.machine(evidence).is(Action.PLACE)) {
+                assertTrue(evidence.leaseExpired(), evidence.toString());
             }
         }
-        for (TaskEvidence e : all(TaskEvidence.class)) {
-            if (Reconciliation.task(e).is(Action.PLACE)) {
-                assertTrue(e.acceptedThisTerm() || e.accounted() || !e.unverifiedMachine(), e.toString());
+        for (TaskEvidence evidence : allValues(TaskEvidence.class)) {
+            if (Reconciliation.task(evidence).is(Action.PLACE)) {
+                assertTrue(
+                        evidence.acceptedThisTerm() || evidence.accounted() || !evidence.unverifiedMachine(),
+                        evidence.toString());
             }
         }
     }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -20,24 +20,32 @@
 
 /** Checks plans against a simple, slow model of what a plan may and must do, and single rules by examples. */
 class SchedulerTest {
-    private static final MachineType T4 = new MachineType("t4", 4, 0, 8, 30, 1, 1.0, 0.3, 30, List.of("a", "b"));
+    private static final MachineType MACHINE_TYPE =
+            new MachineType("t4", 4, 0, 8, 30, 1, 1.0, 0.3, 30, List.of("a", "b"));
 
     private static JobSpec spec(
-            int n, boolean service, Priority p, int tasks, double cpus, boolean spot, boolean oneZone, boolean spread) {
+            int jobNumber,
+            boolean service,
+            Priority priority,
+            int tasks,
+            double cpus,
+            boolean spot,
+            boolean oneZone,
+            boolean spread) {
         return new JobSpec(
-                String.format("job-%06d", n),
+                String.format("job-%06d", jobNumber),
                 "c",
                 "t",
                 service,
-                p,
+                priority,
                 tasks,
                 cpus,
                 0,
                 cpus,
-                "img-" + n % 3,
+                "img-" + jobNumber % 3,
                 1,
                 null,
-                n % 7 == 0 ? "a" : null,
+                jobNumber % 7 == 0 ? "a" : null,
                 oneZone,
                 spread,
                 spot,
@@ -48,107 +56,129 @@
     }
 
     /** Returns a random input; the same seed gives the same input. */
-    private static Scheduler.Input world(long seed) {
-        Random r = new Random(seed);
-        List<Team> teams = List.of(new Team(8, r.nextBoolean() ? 16 : 0, 0, 0), new Team(4, 12, 0, 0));
+    private static Scheduler.Input randomInput(long seed) {
+        Random random = new Random(seed);
+        List<Team> teams = List.of(new Team(8, random.nextBoolean() ? 16 : 0, 0, 0), new Team(4, 12, 0, 0));
         List<CandidateNode> nodes = new ArrayList<>();
-        for (int i = 0; i < 1 + r.nextInt(8); i++) {
-            CandidateNode n = new CandidateNode(
-                    T4,
-                    r.nextBoolean() ? "a" : "b",
-                    r.nextInt(3) == 0,
+        for (int i = 0; i < 1 + random.nextInt(8); i++) {
+            CandidateNode node = new CandidateNode(
+                    MACHINE_TYPE,
+                    random.nextBoolean() ? "a" : "b",
+                    random.nextInt(3) == 0,
                     "m" + i,
-                    r.nextInt(5) > 0,
-                    r.nextBoolean() ? Set.of("img-1") : Set.of());
-            for (int k = r.nextInt(4); n.up && k > 0; k--) {
-                int team = r.nextInt(2);
-                JobSpec s = spec(900 + k, r.nextInt(4) == 0, Priority.values()[r.nextInt(3)], 1, 1, true, false, false);
-                n.add(new CandidateNode.Running(s, team, "a" + i + k, r.nextInt(1000), r.nextInt(5) == 0));
+                    random.nextInt(5) > 0,
+                    random.nextBoolean() ? Set.of("img-1") : Set.of());
+            for (int taskNumber = random.nextInt(4); node.up && taskNumber > 0; taskNumber--) {
+                int team = random.nextInt(2);
+                JobSpec spec = spec(
+                        900 + taskNumber,
+                        random.nextInt(4) == 0,
+                        Priority.values()[random.nextInt(3)],
+                        1,
+                        1,
+                        true,
+                        false,
+                        false);
+                node.add(new CandidateNode.Running(
+                        spec, team, "a" + i + taskNumber, random.nextInt(1000), random.nextInt(5) == 0));
                 teams.get(team).usedCpus += 1;
             }
-            nodes.add(n);
+            nodes.add(node);
         }
         List<TaskGroup> groups = new ArrayList<>();
-        for (int i = 0; i < r.nextInt(6); i++) {
-            int tasks = 1 + r.nextInt(6);
+        for (int i = 0; i < random.nextInt(6); i++) {
+            int tasks = 1 + random.nextInt(6);
             groups.add(new TaskGroup(
                     spec(
                             i,
-                            r.nextInt(3) == 0,
-                            Priority.values()[r.nextInt(3)],
+                            random.nextInt(3) == 0,
+                            Priority.values()[random.nextInt(3)],
                             tasks,
-                            1 + r.nextInt(3),
-                            r.nextBoolean(),
-                            r.nextInt(4) == 0,
-                            r.nextInt(4) == 0),
+                            1 + random.nextInt(3),
+                            random.nextBoolean(),
+                            random.nextInt(4) == 0,
+                            random.nextInt(4) == 0),
                     "j" + i,
                     i,
-                    r.nextInt(2),
+                    random.nextInt(2),
                     tasks));
         }
-        return new Scheduler.Input(2_000, nodes, groups, teams, List.of(T4), new HashMap<>(), null, 1_000, 0);
+        return new Scheduler.Input(2_000, nodes, groups, teams, List.of(MACHINE_TYPE), new HashMap<>(), null, 1_000, 0);
     }
 
-    private static double free(CandidateNode n) {
+    private static double freeCpus(CandidateNode node) {
         double used = 0;
-        for (CandidateNode.Running r : n.running) {
-            used += r.spec.cpus();
+        for (CandidateNode.Running task : node.running) {
+            used += task.spec.cpus();
         }
-        return n.type.cpus() - used;
+        return node.type.cpus() - used;
     }
 
     /** The model: recounts all room and quotas from scratch and checks the plan against them. */
-    private static void check(Scheduler.Input before, Scheduler.Input in, SchedulingPlan plan) {
-        Map<CandidateNode, Double> taken = new LinkedHashMap<>();
-        Map<TaskGroup, Map<String, Integer>> zones = new LinkedHashMap<>();
-        double[] team = {before.teams().get(0).usedCpus, before.teams().get(1).usedCpus};
-        for (SchedulingPlan.Placement p : plan.placements) {
-            JobSpec s = p.group().spec;
-            taken.merge(p.node(), s.cpus(), Double::sum);
-            zones.computeIfAbsent(p.group(), g -> new HashMap<>()).merge(p.node().zone, 1, Integer::sum);
-            team[p.group().team] += s.cpus();
-            assertTrue(p.node().up, "only nodes that are up take tasks");
-            assertTrue(!p.node().spot || s.spot(), "spot only where the job allows it");
-            assertTrue(s.zone() == null || s.zone().equals(p.node().zone), "the job's zone");
+    private static void checkAgainstModel(Scheduler.Input original, Scheduler.Input consumed, SchedulingPlan plan) {
+        Map<CandidateNode, Double> placedCpusByNode = new LinkedHashMap<>();
+        Map<TaskGroup, Map<String, Integer>> tasksByZoneByGroup = new LinkedHashMap<>();
+        double[] usedCpusByTeam = {
+            original.teams().get(0).usedCpus, original.teams().get(1).usedCpus
+        };
+        for (SchedulingPlan.Placement placement : plan.placements) {
+            JobSpec spec = placement.group().spec;
+            placedCpusByNode.merge(placement.node(), spec.cpus(), Double::sum);
+            tasksByZoneByGroup
+                    .computeIfAbsent(placement.group(), group -> new HashMap<>())
+                    .merge(placement.node().zone, 1, Integer::sum);
+            usedCpusByTeam[placement.group().team] += spec.cpus();
+            assertTrue(placement.node().up, "only nodes that are up take tasks");
+            assertTrue(!placement.node().spot || spec.spot(), "spot only where the job allows it");
+            assertTrue(spec.zone() == null || spec.zone().equals(placement.node().zone), "the job's zone");
         }
-        taken.forEach((n, cpus) -> assertTrue(cpus <= free(n) + 1e-6, "no node is given more than it has"));
-        zones.forEach((g, z) -> {
-            assertTrue(!g.spec.oneZone() || z.size() == 1, "one zone only");
+        placedCpusByNode.forEach(
+                (node, cpus) -> assertTrue(cpus <= freeCpus(node) + 1e-6, "no node is given more than it has"));
+        tasksByZoneByGroup.forEach((group, tasksByZone) -> {
+            assertTrue(!group.spec.oneZone() || tasksByZone.size() == 1, "one zone only");
             assertTrue(
-                    !g.spec.spread() || z.values().stream().allMatch(c -> c <= (g.spec.tasks() + 1) / 2),
+                    !group.spec.spread()
+                            || tasksByZone.values().stream().allMatch(count -> count <= (group.spec.tasks() + 1) / 2),
                     "spread over zones");
         });
-        for (int t = 0; t < 2; t++) {
-            double max = in.teams().get(t).cpuLimit;
-            assertTrue(max <= 0 || team[t] <= Math.max(max, before.teams().get(t).usedCpus) + 1e-6, "team limit");
+        for (int teamIndex = 0; teamIndex < 2; teamIndex++) {
+            double cpuLimit = consumed.teams().get(teamIndex).cpuLimit;
+            assertTrue(
+                    cpuLimit <= 0
+                            || usedCpusByTeam[teamIndex]
+                                    <= Math.max(cpuLimit, original.teams().get(teamIndex).usedCpus) + 1e-6,
+                    "team limit");
         }
         // No task is left waiting if a node has free room that the task may use now.
-        Map<TaskGroup, Integer> placed = new HashMap<>();
-        plan.placements.forEach(p -> placed.merge(p.group(), 1, Integer::sum));
+        Map<TaskGroup, Integer> placedTasksByGroup = new HashMap<>();
+        plan.placements.forEach(placement -> placedTasksByGroup.merge(placement.group(), 1, Integer::sum));
         if (plan.stops.isEmpty() && plan.unplacedTasks > 0) {
-            for (int i = 0; i < in.groups().size(); i++) {
-                TaskGroup g = in.groups().get(i);
-                int left = before.groups().get(i).waiting - placed.getOrDefault(g, 0);
-                double max = in.teams().get(g.team).cpuLimit;
-                boolean limited = max > 0 && in.teams().get(g.team).usedCpus + g.spec.cpus() > max + 1e-6;
-                if (left == 0 || limited || g.spec.oneZone() || g.spec.spread()) {
+            for (int i = 0; i < consumed.groups().size(); i++) {
+                TaskGroup group = consumed.groups().get(i);
+                int waitingTasks = original.groups().get(i).waiting - placedTasksByGroup.getOrDefault(group, 0);
+                double cpuLimit = consumed.teams().get(group.team).cpuLimit;
+                boolean limitReached =
+                        cpuLimit > 0 && consumed.teams().get(group.team).usedCpus + group.spec.cpus() > cpuLimit + 1e-6;
+                if (waitingTasks == 0 || limitReached || group.spec.oneZone() || group.spec.spread()) {
                     continue;
                 }
-                for (CandidateNode n : in.nodes()) {
-                    boolean may = n.up
-                            && (!n.spot || g.spec.spot())
-                            && (g.spec.zone() == null || g.spec.zone().equals(n.zone));
+                for (CandidateNode node : consumed.nodes()) {
+                    boolean mayUseNode = node.up
+                            && (!node.spot || group.spec.spot())
+                            && (group.spec.zone() == null || group.spec.zone().equals(node.zone));
                     assertTrue(
-                            !may || free(n) - taken.getOrDefault(n, 0.0) < g.spec.cpus() - 1e-6,
-                            g.spec.id() + " waits beside room on " + n.machine);
+                            !mayUseNode
+                                    || freeCpus(node) - placedCpusByNode.getOrDefault(node, 0.0)
+                                            < group.spec.cpus() - 1e-6,
+                            group.spec.id() + " waits beside room on " + node.machine);
                 }
             }
         }
-        for (CandidateNode.Running r : plan.stops) {
+        for (CandidateNode.Running task : plan.stops) {
             boolean allowed = false;
-            for (TaskGroup g : in.groups()) {
-                allowed |= r.spec.priority().compareTo(g.spec.priority()) < 0
-                        || r.team != g.team && r.spec.priority().compareTo(g.spec.priority()) == 0;
+            for (TaskGroup group : consumed.groups()) {
+                allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
+                        || task.team != group.team && task.spec.priority().compareTo(group.spec.priority()) == 0;
             }
             assertTrue(allowed, "work is stopped only for higher priority or another team's guarantee");
         }
@@ -157,36 +187,36 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
-    void plansAgreeWithTheModel(int block) {
+    void plansOfRandomInputsAgreeWithModel(int block) {
         for (long seed = block * 500L; seed < block * 500L + 500; seed++) {
-            Scheduler.Input in = world(seed);
-            check(world(seed), in, Scheduler.plan(in));
+            Scheduler.Input input = randomInput(seed);
+            checkAgainstModel(randomInput(seed), input, Scheduler.plan(input));
         }
     }
 
     @Test
-    void theSameInputGivesTheSamePlan() {
+    void sameInputGivesSamePlan() {
         for (long seed = 0; seed < 200; seed++) {
-            SchedulingPlan a = Scheduler.plan(world(seed));
-            SchedulingPlan b = Scheduler.plan(world(seed));
+            SchedulingPlan first = Scheduler.plan(randomInput(seed));
+            SchedulingPlan second = Scheduler.plan(randomInput(seed));
             assertEquals(
-                    a.placements.stream()
-                            .map(p -> p.group().job + "@" + p.node().machine)
+                    first.placements.stream()
+                            .map(placement -> placement.group().job + "@" + placement.node().machine)
                             .toList(),
-                    b.placements.stream()
-                            .map(p -> p.group().job + "@" + p.node().machine)
+                    second.placements.stream()
+                            .map(placement -> placement.group().job + "@" + placement.node().machine)
                             .toList());
-            assertEquals(a.rents, b.rents);
+            assertEquals(first.rents, second.rents);
         }
     }
 
-    private static Scheduler.Input one(TaskGroup g, List<CandidateNode> nodes) {
+    private static Scheduler.Input inputWithGroup(TaskGroup group, List<CandidateNode> nodes) {
         return new Scheduler.Input(
                 1_000_000,
                 nodes,
-                List.of(g),
+                List.of(group),
                 List.of(new Team(0, 0, 0, 0)),
-                List.of(T4),
+                List.of(MACHINE_TYPE),
                 new HashMap<>(),
                 null,
                 60_000,
@@ -194,100 +224,119 @@
     }
 
     @Test
-    void tasksThatCanRunInTurnShareAMachine() {
-        TaskGroup g = new TaskGroup(spec(1, false, Priority.NORMAL, 6, 4, false, false, false), "j", 1, 0, 6);
-        g.runS = 30;
-        g.due = 1_000_000 + 200_000;
-        SchedulingPlan plan = Scheduler.plan(one(g, List.of()));
-        int machines = plan.rents.stream().mapToInt(SchedulingPlan.Rent::count).sum();
-        assertEquals(2, machines, "six tasks of 30 s in two rows of three before 200 s are over");
-        g.waiting = 6;
-        g.due = 1_000_000 + 60_000;
+    void tasksThatCanRunInTurnBeforeDeadlineShareMachine() {
+        TaskGroup group = new TaskGroup(spec(1, false, Priority.NORMAL, 6, 4, false, false, false), "j", 1, 0, 6);
+        group.runS = 30;
+        group.due = 1_000_000 + 200_000;
+        SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of()));
+        int rentedMachines =
+                plan.rents.stream().mapToInt(SchedulingPlan.Rent::count).sum();
+        assertEquals(2, rentedMachines, "six tasks of 30 s in two rows of three before 200 s are over");
+        group.waiting = 6;
+        group.due = 1_000_000 + 60_000;
         assertEquals(
                 6,
-                Scheduler.plan(one(g, List.of())).rents.stream()
+                Scheduler.plan(inputWithGroup(group, List.of())).rents.stream()
                         .mapToInt(SchedulingPlan.Rent::count)
                         .sum());
     }
 
     @Test
-    void aServiceMakesRoomWhereItsImageIs() {
-        TaskGroup g = new TaskGroup(spec(1, true, Priority.HIGH, 1, 1, false, false, false), "j", 1, 0, 1);
-        g.startWithinS = 1;
-        CandidateNode empty = new CandidateNode(T4, "a", false, "empty", true, Set.of());
-        CandidateNode full = new CandidateNode(T4, "a", false, "full", true, Set.of("img-1"));
+    void servicePreemptsOnNodeWithItsImageWhenFetchWouldBeTooSlow() {
+        TaskGroup group = new TaskGroup(spec(1, true, Priority.HIGH, 1, 1, false, false, false), "j", 1, 0, 1);
+        group.startWithinS = 1;
+        CandidateNode empty = new CandidateNode(MACHINE_TYPE, "a", false, "empty", true, Set.of());
+        CandidateNode full = new CandidateNode(MACHINE_TYPE, "a", false, "full", true, Set.of("img-1"));
         full.add(new CandidateNode.Running(
                 spec(9, false, Priority.NORMAL, 1, 4, false, false, false), 0, "victim", 5, false));
-        SchedulingPlan plan = Scheduler.plan(one(g, List.of(empty, full)));
-        assertEquals(List.of("victim"), plan.stops.stream().map(r -> r.attempt).toList());
+        SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of(empty, full)));
+        assertEquals(
+                List.of("victim"), plan.stops.stream().map(task -> task.attempt).toList());
         assertTrue(plan.placements.isEmpty());
     }
 
-    private static TaskGroup due(int n, int tasks, double runS, double dueS) {
-        TaskGroup g =
-                new TaskGroup(spec(n, false, Priority.NORMAL, tasks, 4, false, false, false), "j" + n, n, 0, tasks);
-        g.runS = runS;
-        g.longestRunS = runS;
-        g.due = Math.round(dueS * 1000);
-        g.lastDue = g.due;
-        g.startBy = g.due - Math.round(runS * 1000);
-        return g;
+    private static TaskGroup groupWithDeadline(int jobNumber, int tasks, double runS, double dueS) {
+        TaskGroup group = new TaskGroup(
+                spec(jobNumber, false, Priority.NORMAL, tasks, 4, false, false, false),
+                "j" + jobNumber,
+                jobNumber,
+                0,
+                tasks);
+        group.runS = runS;
+        group.longestRunS = runS;
+        group.due = Math.round(dueS * 1000);
+        group.lastDue = group.due;
+        group.startBy = group.due - Math.round(runS * 1000);
+        return group;
     }
 
-    private static List<Object> first(TaskGroup... groups) {
-        CandidateNode n = new CandidateNode(T4, "a", false, "m", true, Set.of());
+    private static List<Object> jobsPlacedOnOneNode(TaskGroup... groups) {
+        CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m", true, Set.of());
         return Scheduler.plan(new Scheduler.Input(
                         0,
-                        List.of(n),
+                        List.of(node),
                         List.of(groups),
                         List.of(new Team(0, 0, 0, 0)),
-                        List.of(T4),
+                        List.of(MACHINE_TYPE),
                         new HashMap<>(),
                         null,
                         60_000,
                         0))
                 .placements
                 .stream()
-                .map(p -> p.group().job)
+                .map(placement -> placement.group().job)
                 .toList();
     }
 
     @Test
-    void firstComeWhereNobodyIsLateElseWhoMustBeginFirst() {
-        assertEquals(List.of("j1"), first(due(1, 1, 30, 300), due(2, 1, 30, 200)));
-        assertEquals(List.of("j7"), first(due(1, 2, 30, 300), due(7, 1, 30, 65)), "late if it waited for two others");
+    void groupsAreServedByArrivalUnlessAJobWouldBeLate() {
+        assertEquals(
+                List.of("j1"), jobsPlacedOnOneNode(groupWithDeadline(1, 1, 30, 300), groupWithDeadline(2, 1, 30, 200)));
+        assertEquals(
+                List.of("j7"),
+                jobsPlacedOnOneNode(groupWithDeadline(1, 2, 30, 300), groupWithDeadline(7, 1, 30, 65)),
+                "late if it waited for two others");
         // Not both jobs can meet their deadlines: the larger one is deferred, although it arrived first.
-        assertEquals(List.of("j2"), first(due(1, 3, 30, 100), due(2, 1, 30, 62)));
+        assertEquals(
+                List.of("j2"), jobsPlacedOnOneNode(groupWithDeadline(1, 3, 30, 100), groupWithDeadline(2, 1, 30, 62)));
     }
 
     @Test
-    void noTeamIsBroughtBelowItsGuaranteeForAnothers() {
+    void preemptionForAnotherTeamsGuaranteeStopsAtOwnersGuarantee() {
         List<CandidateNode> nodes = new ArrayList<>();
         Team lender = new Team(8, 0, 0, 0);
         Team owner = new Team(8, 0, 0, 0);
         for (int i = 0; i < 3; i++) {
-            CandidateNode n = new CandidateNode(T4, "a", false, "m" + i, true, Set.of());
-            n.add(new CandidateNode.Running(
+            CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m" + i, true, Set.of());
+            node.add(new CandidateNode.Running(
                     spec(900 + i, false, Priority.NORMAL, 1, 4, false, false, false), 0, "a" + i, i, false));
             lender.usedCpus += 4;
-            nodes.add(n);
+            nodes.add(node);
         }
-        TaskGroup g = new TaskGroup(spec(1, false, Priority.NORMAL, 2, 4, false, false, false), "j", 1, 1, 2);
+        TaskGroup group = new TaskGroup(spec(1, false, Priority.NORMAL, 2, 4, false, false, false), "j", 1, 1, 2);
         SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
-                2_000, nodes, List.of(g), List.of(lender, owner), List.of(T4), new HashMap<>(), null, 60_000, 0));
+                2_000,
+                nodes,
+                List.of(group),
+                List.of(lender, owner),
+                List.of(MACHINE_TYPE),
+                new HashMap<>(),
+                null,
+                60_000,
+                0));
         assertEquals(1, plan.stops.size(), "twelve processors in use, eight guaranteed: four are borrowed");
         assertEquals(1, plan.unplacedTasks);
     }
 
-    /** Returns a running task of one CPU that has run for {@code ranS} seconds and can save its state if {@code saves}. */
-    private static CandidateNode.Running old(int n, double ranS, double leftS, boolean saves) {
-        JobSpec s = spec(n, false, Priority.NORMAL, 1, 1, true, false, false);
-        JobSpec saving = new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
+    /** Returns a running task of one CPU that has run for {@code ranS} seconds and can save its state if {@code canSave}. */
+    private static CandidateNode.Running runningTask(int jobNumber, double ranS, double leftS, boolean canSave) {
+        JobSpec spec = spec(jobNumber, false, Priority.NORMAL, 1, 1, true, false, false);
+        JobSpec specWithCheckpoints = new JobSpec(
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
                 false,
-                s.priority(),
+                spec.priority(),
                 1,
                 1,
                 0,
@@ -300,83 +349,87 @@
                 false,
                 true,
                 60,
-                saves ? 15 : 0,
-                saves ? 3 : 0,
+                canSave ? 15 : 0,
+                canSave ? 3 : 0,
                 null);
-        CandidateNode.Running r = new CandidateNode.Running(saving, 0, "a" + n, 0, false);
-        r.ranS = ranS;
-        r.leftS = leftS;
-        return r;
+        CandidateNode.Running task = new CandidateNode.Running(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
+        task.ranS = ranS;
+        task.leftS = leftS;
+        return task;
     }
 
-    private static List<Object> vacated(CandidateNode.Running onDear, double standing, TaskGroup... waiting) {
-        CandidateNode dear = new CandidateNode(T4, "a", false, "dear", true, Set.of());
-        dear.add(onDear);
-        CandidateNode cheap = new CandidateNode(T4, "a", true, "cheap", true, Set.of());
-        cheap.add(old(902, 50, 100, true));
+    private static List<Object> attemptsStoppedToDrain(
+            CandidateNode.Running taskOnExpensiveNode, double cpusToKeep, TaskGroup... waitingGroups) {
+        CandidateNode expensive = new CandidateNode(MACHINE_TYPE, "a", false, "dear", true, Set.of());
+        expensive.add(taskOnExpensiveNode);
+        CandidateNode cheap = new CandidateNode(MACHINE_TYPE, "a", true, "cheap", true, Set.of());
+        cheap.add(runningTask(902, 50, 100, true));
         return Scheduler.plan(new Scheduler.Input(
                         0,
-                        List.of(dear, cheap),
-                        List.of(waiting),
+                        List.of(expensive, cheap),
+                        List.of(waitingGroups),
                         List.of(new Team(0, 0, 0, 0)),
-                        List.of(T4),
+                        List.of(MACHINE_TYPE),
                         new HashMap<>(),
                         null,
                         60_000,
-                        standing))
+                        cpusToKeep))
                 .stops
                 .stream()
-                .map(r -> r.attempt)
+                .map(task -> task.attempt)
                 .toList();
     }
 
     /** A node on which tasks were stopped for one waiting task may be the only one with more tasks to stop for the next. */
     @Test
-    void oneNodeMakesRoomForSeveralTasks() {
+    void oneNodeMakesRoomForSeveralTasksInOneCycle() {
         List<Team> teams = List.of(new Team(8, 0, 0, 0), new Team(0, 0, 0, 0));
-        CandidateNode n = new CandidateNode(T4, "a", false, "m", true, Set.of());
+        CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m", true, Set.of());
         for (int i = 0; i < 4; i++) {
-            n.add(new CandidateNode.Running(
+            node.add(new CandidateNode.Running(
                     spec(90 + i, false, Priority.LOW, 1, 1, true, false, false), 1, "a" + i, i, false));
             teams.get(1).usedCpus += 1;
         }
-        TaskGroup g = new TaskGroup(spec(2, false, Priority.HIGH, 2, 2, false, false, false), "j", 1, 0, 2);
+        TaskGroup group = new TaskGroup(spec(2, false, Priority.HIGH, 2, 2, false, false, false), "j", 1, 0, 2);
         SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
-                2_000, List.of(n), List.of(g), teams, List.of(T4), new HashMap<>(), null, 1_000, 0));
+                2_000, List.of(node), List.of(group), teams, List.of(MACHINE_TYPE), new HashMap<>(), null, 1_000, 0));
         assertEquals(4, plan.stops.size());
         assertEquals(0, plan.unplacedTasks);
     }
 
     @Test
-    void dearMachinesAreVacatedWhereCheapOnesHaveRoom() {
-        assertEquals(List.of("a901"), vacated(old(901, 50, 60, true), 0));
-        assertEquals(List.of(), vacated(old(901, 50, 60, false), 0), "it cannot save");
-        assertEquals(List.of(), vacated(old(901, 10, 60, true), 0), "it has only just begun");
-        assertEquals(List.of(), vacated(old(901, 50, 8, true), 0), "it is nearly over");
-        assertEquals(List.of(), vacated(old(901, 50, 60, true), 6), "both machines' room was asked for lately");
-        TaskGroup g = new TaskGroup(spec(1, false, Priority.NORMAL, 9, 4, false, false, false), "j", 1, 0, 9);
-        assertEquals(List.of(), vacated(old(901, 50, 60, true), 0, g), "work waits");
+    void expensiveMachineIsDrainedWhenCheapOneHasRoom() {
+        assertEquals(List.of("a901"), attemptsStoppedToDrain(runningTask(901, 50, 60, true), 0));
+        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 60, false), 0), "it cannot save");
+        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 10, 60, true), 0), "it has only just begun");
+        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 8, true), 0), "it is nearly over");
+        assertEquals(
+                List.of(),
+                attemptsStoppedToDrain(runningTask(901, 50, 60, true), 6),
+                "both machines' room was asked for lately");
+        TaskGroup group = new TaskGroup(spec(1, false, Priority.NORMAL, 9, 4, false, false, false), "j", 1, 0, 9);
+        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 60, true), 0, group), "work waits");
     }
 
     @Test
-    void dearIdleMachinesGoFirstUnlessTheirRoomWasAskedForLately() {
+    void idleExpensiveMachineIsReturnedEarlyUnlessItsRoomIsKept() {
         for (boolean spot : new boolean[] {false, true}) {
-            CandidateNode idle = new CandidateNode(T4, "a", spot, "idle", true, Set.of());
+            CandidateNode idle = new CandidateNode(MACHINE_TYPE, "a", spot, "idle", true, Set.of());
             idle.idleMs = 5_000;
-            CandidateNode other = new CandidateNode(T4, "a", true, "other", true, Set.of());
-            other.add(old(902, 50, 100, false));
-            for (double standing : new double[] {0, 6}) {
+            CandidateNode busy = new CandidateNode(MACHINE_TYPE, "a", true, "other", true, Set.of());
+            busy.add(runningTask(902, 50, 100, false));
+            for (double cpusToKeep : new double[] {0, 6}) {
                 SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                         0,
-                        List.of(idle, other),
+                        List.of(idle, busy),
                         List.of(),
                         List.of(new Team(0, 0, 0, 0)),
-                        List.of(T4),
+                        List.of(MACHINE_TYPE),
                         new HashMap<>(),
                         null,
                         60_000,
-                        standing));
-                assertEquals(!spot && standing == 0 ? 1 : 0, plan.idle.size(), "spot " + spot + ", " + standing);
+                        cpusToKeep));
+                assertEquals(!spot && cpusToKeep == 0 ? 1 : 0, plan.idle.size(), "spot " + spot + ", " + cpusToKeep);
             }
         }
     }
@@ -384,60 +437,70 @@
     /**
      * Returns how many machines are rented for a queue of 20 jobs that can wait, by whether they are spot instances.
      *
-     * @param cheapFull whether the cloud has no capacity in the cheap pools
+     * @param cheapPoolsFull whether the cloud has no capacity in the cheap pools
      */
-    private static Map<Boolean, Integer> rented(double dueS, boolean cheapFull) {
+    private static Map<Boolean, Integer> rentedMachinesBySpot(double dueS, boolean cheapPoolsFull) {
         List<TaskGroup> queue = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            TaskGroup g = due(10 * i + 1, 4, 20, dueS);
-            JobSpec s = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
-            TaskGroup spot = new TaskGroup(s, g.job, g.arrivalOrder, 0, 4);
-            spot.runS = g.runS;
-            spot.longestRunS = g.longestRunS;
-            spot.due = g.due;
-            spot.lastDue = g.lastDue;
-            spot.startBy = g.startBy;
-            spot.mayWaitForBoots = true;
-            queue.add(spot);
+            TaskGroup group = groupWithDeadline(10 * i + 1, 4, 20, dueS);
+            JobSpec spec = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
+            TaskGroup waitingGroup = new TaskGroup(spec, group.job, group.arrivalOrder, 0, 4);
+            waitingGroup.runS = group.runS;
+            waitingGroup.longestRunS = group.longestRunS;
+            waitingGroup.due = group.due;
+            waitingGroup.lastDue = group.lastDue;
+            waitingGroup.startBy = group.startBy;
+            waitingGroup.mayWaitForBoots = true;
+            queue.add(waitingGroup);
         }
         List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            CandidateNode n = new CandidateNode(T4, "a", true, "m" + i, true, Set.of());
-            n.add(new CandidateNode.Running(
+            CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", true, "m" + i, true, Set.of());
+            node.add(new CandidateNode.Running(
                     spec(900, false, Priority.NORMAL, 1, 4, true, false, false), 0, i, 0, false));
-            nodes.add(n);
+            nodes.add(node);
         }
-        Map<String, Long> full = new HashMap<>();
-        if (cheapFull) {
-            full.put(Scheduler.pool("t4", "a", true), 1_000L);
-            full.put(Scheduler.pool("t4", "b", true), 1_000L);
+        Map<String, Long> noCapacityUntilByPool = new HashMap<>();
+        if (cheapPoolsFull) {
+            noCapacityUntilByPool.put(Scheduler.pool("t4", "a", true), 1_000L);
+            noCapacityUntilByPool.put(Scheduler.pool("t4", "b", true), 1_000L);
         }
         Map<Boolean, Integer> rented = new HashMap<>();
         Scheduler.plan(new Scheduler.Input(
-                        0, nodes, queue, List.of(new Team(0, 0, 0, 0)), List.of(T4), full, null, 60_000, 0))
+                        0,
+                        nodes,
+                        queue,
+                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(MACHINE_TYPE),
+                        noCapacityUntilByPool,
+                        null,
+                        60_000,
+                        0))
                 .rents
-                .forEach(r -> rented.merge(r.spot(), r.count(), Integer::sum));
+                .forEach(rent -> rented.merge(rent.spot(), rent.count(), Integer::sum));
         return rented;
     }
 
     @Test
-    void dearMachinesAreRentedOnlyAsTheQueueNeedsThem() {
-        assertEquals(Map.of(true, 80), rented(300, false), "cheap ones for all that waits");
-        assertEquals(Map.of(), rented(300, true), "80 tasks of 20 s are over in time on twenty machines");
-        int dear = rented(110, true).get(false);
-        assertTrue(dear > 0 && dear < 20, dear + " dear machines: some are needed, not one a task");
+    void expensiveMachinesAreRentedOnlyAsQueueNeedsThem() {
+        assertEquals(Map.of(true, 80), rentedMachinesBySpot(300, false), "cheap ones for all that waits");
+        assertEquals(Map.of(), rentedMachinesBySpot(300, true), "80 tasks of 20 s are over in time on twenty machines");
+        int expensiveMachines = rentedMachinesBySpot(110, true).get(false);
+        assertTrue(
+                expensiveMachines > 0 && expensiveMachines < 20,
+                expensiveMachines + " dear machines: some are needed, not one a task");
     }
 
     /** Returns the evaluations of one cycle over a fleet with a tenth of its nodes free, with ten jobs of this many tasks. */
-    private static long steps(int machines, int tasks) {
+    private static long evaluationsOfOneCycle(int machines, int tasks) {
         List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
-            CandidateNode n = new CandidateNode(T4, "a", false, "m" + i, true, Set.of());
+            CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m" + i, true, Set.of());
             if (i % 10 > 0) {
-                n.add(new CandidateNode.Running(
+                node.add(new CandidateNode.Running(
                         spec(900, false, Priority.NORMAL, 1, 4, false, false, false), 0, i, 0, false));
             }
-            nodes.add(n);
+            nodes.add(node);
         }
         List<TaskGroup> groups = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -445,41 +508,52 @@
                     new TaskGroup(spec(i, false, Priority.NORMAL, tasks, 4, true, false, false), "j" + i, i, 0, tasks));
         }
         SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
-                0, nodes, groups, List.of(new Team(0, 0, 0, 0)), List.of(T4), new HashMap<>(), null, 60_000, 0));
+                0,
+                nodes,
+                groups,
+                List.of(new Team(0, 0, 0, 0)),
+                List.of(MACHINE_TYPE),
+                new HashMap<>(),
+                null,
+                60_000,
+                0));
         assertEquals(Math.min(10 * tasks, machines / 10), plan.placements.size());
-        assertTrue(plan.rents.stream().allMatch(r -> r.count() <= 50), "a request asks for 50 machines at most");
+        assertTrue(plan.rents.stream().allMatch(rent -> rent.count() <= 50), "a request asks for 50 machines at most");
         return plan.evaluations;
     }
 
     @Test
-    void aPassCostsWhatTheFleetIsNotWhatWaits() {
-        long few = steps(500, 100);
-        assertTrue(few < 25_000, few + " steps for 1,000 waiting tasks");
-        long many = steps(500, 100_000);
-        assertTrue(many <= 1.2 * few, many + " steps for a thousand times as many, " + few + " before");
+    void cycleCostDependsOnFleetNotOnNumberOfWaitingTasks() {
+        long evaluationsForFewTasks = evaluationsOfOneCycle(500, 100);
+        assertTrue(evaluationsForFewTasks < 25_000, evaluationsForFewTasks + " steps for 1,000 waiting tasks");
+        long evaluationsForManyTasks = evaluationsOfOneCycle(500, 100_000);
+        assertTrue(
+                evaluationsForManyTasks <= 1.2 * evaluationsForFewTasks,
+                evaluationsForManyTasks + " steps for a thousand times as many, " + evaluationsForFewTasks + " before");
     }
 
     /**
      * Plans with a free node, a blocked task of a service, and a job whose tasks would take all the room.
      *
-     * @param unheard whether there is also a node without a heartbeat that has room for the blocked task
+     * @param nodeAwaitsHeartbeat whether there is also a node without a heartbeat that has room for the blocked task
      */
-    private static SchedulingPlan besideHeld(boolean unheard, Priority arrays) {
-        List<CandidateNode> nodes = new ArrayList<>(List.of(new CandidateNode(T4, "a", false, "up", true, Set.of())));
-        if (unheard) {
-            CandidateNode n = new CandidateNode(T4, "b", false, "unheard", false, Set.of());
-            n.awaitingHeartbeat = true;
-            nodes.add(n);
+    private static SchedulingPlan planWithBlockedServiceTask(boolean nodeAwaitsHeartbeat, Priority competingPriority) {
+        List<CandidateNode> nodes =
+                new ArrayList<>(List.of(new CandidateNode(MACHINE_TYPE, "a", false, "up", true, Set.of())));
+        if (nodeAwaitsHeartbeat) {
+            CandidateNode node = new CandidateNode(MACHINE_TYPE, "b", false, "unheard", false, Set.of());
+            node.awaitingHeartbeat = true;
+            nodes.add(node);
         }
         TaskGroup service = new TaskGroup(spec(1, true, Priority.HIGH, 1, 3, false, false, false), "s", 0, 0, 0);
         service.blocked = 1;
-        TaskGroup array = new TaskGroup(spec(2, false, arrays, 4, 1, false, false, false), "a", 1, 0, 4);
+        TaskGroup competing = new TaskGroup(spec(2, false, competingPriority, 4, 1, false, false, false), "a", 1, 0, 4);
         return Scheduler.plan(new Scheduler.Input(
                 2_000,
                 nodes,
-                List.of(service, array),
+                List.of(service, competing),
                 List.of(new Team(100, 0, 0, 0)),
-                List.of(T4),
+                List.of(MACHINE_TYPE),
                 new HashMap<>(),
                 null,
                 1_000,
@@ -491,10 +565,16 @@
      * preempted for them: 562 were started and stopped within 4 s.
      */
     @Test
-    void whatACensusHoldsUpKeepsRoomFromLowerPriorities() {
-        assertEquals(1, besideHeld(false, Priority.NORMAL).placements.size(), "three processors are kept");
+    void blockedServiceTaskReservesRoomFromLowerPriorities() {
+        assertEquals(
+                1, planWithBlockedServiceTask(false, Priority.NORMAL).placements.size(), "three processors are kept");
+        assertEquals(
+                4,
+                planWithBlockedServiceTask(true, Priority.NORMAL).placements.size(),
+                "it is most likely on the unheard machine");
         assertEquals(
-                4, besideHeld(true, Priority.NORMAL).placements.size(), "it is most likely on the unheard machine");
-        assertEquals(4, besideHeld(false, Priority.HIGH).placements.size(), "equals are not stopped for it either");
+                4,
+                planWithBlockedServiceTask(false, Priority.HIGH).placements.size(),
+                "equals are not stopped for it either");
     }
 }
