--- a/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -13,11 +13,11 @@
     @Test
     void isCompleteOnceListIsReadAndNoUnknownMachineReportedForOneSecond() {
         observationWindow.newcomer(10_800);
-        assertEquals(GATHERING, observationWindow.state(11_900), "no list yet");
+        assertEquals(GATHERING, observationWindow.state(11_900), "no list has been read yet");
         observationWindow.listed();
         assertEquals(COMPLETE, observationWindow.state(11_900));
         observationWindow.newcomer(12_000);
-        assertEquals(COMPLETE, observationWindow.state(12_001), "it stays so");
+        assertEquals(COMPLETE, observationWindow.state(12_001), "the state is final");
     }
 
     @Test
--- a/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ReconciliationTest.java
@@ -78,7 +78,7 @@
         RecordComponent[] components = type.getRecordComponents();
         Set<String[]> matchedRows = Collections.newSetFromMap(new IdentityHashMap<>());
         List<R> allEvidence = allValues(type);
-        assertEquals(expectedCombinations, allEvidence.size(), "combinations");
+        assertEquals(expectedCombinations, allEvidence.size(), "number of combinations");
         for (R evidence : allEvidence) {
             String[] firstMatch = null;
             for (String[] row : rows) {
@@ -93,7 +93,7 @@
                     break;
                 }
             }
-            assertTrue(firstMatch != null, () -> "no line for " + evidence);
+            assertTrue(firstMatch != null, () -> "no table row matches " + evidence);
             matchedRows.add(firstMatch);
             Decision decision = decide.apply(evidence);
             assertEquals(
@@ -101,7 +101,7 @@
                     decision.action() + " " + decision.reason(),
                     evidence.toString());
         }
-        assertEquals(rows.size(), matchedRows.size(), "lines of " + heading + " that something fits");
+        assertEquals(rows.size(), matchedRows.size(), "rows of table " + heading + " that match some evidence");
     }
 
     @Test
@@ -129,7 +129,8 @@
     }
 
     @Test
-    @DisplayName("what may be on a machine is placed only after its lease, or where it is certainly nowhere")
+    @DisplayName(
+            "a task that a machine may run is placed only after the machine's lease has expired, or if it certainly runs nowhere")
     void tasksArePlacedOnlyWhenNothingElseCanRunThem() throws ReflectiveOperationException {
         for (MachineEvidence evidence : allValues(MachineEvidence.class)) {
             if (Reconciliation.machine(evidence).is(Action.PLACE)) {
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -129,17 +129,19 @@
                     .merge(placement.node().zone, 1, Integer::sum);
             usedCpusByTeam[placement.group().team] += spec.cpus();
             assertTrue(placement.node().up, "only nodes that are up take tasks");
-            assertTrue(!placement.node().spot || spec.spot(), "spot only where the job allows it");
-            assertTrue(spec.zone() == null || spec.zone().equals(placement.node().zone), "the job's zone");
+            assertTrue(!placement.node().spot || spec.spot(), "spot instances only for jobs that allow them");
+            assertTrue(
+                    spec.zone() == null || spec.zone().equals(placement.node().zone),
+                    "tasks are placed in the job's zone");
         }
-        placedCpusByNode.forEach(
-                (node, cpus) -> assertTrue(cpus <= freeCpus(node) + 1e-6, "no node is given more than it has"));
+        placedCpusByNode.forEach((node, cpus) ->
+                assertTrue(cpus <= freeCpus(node) + 1e-6, "no node is given more CPUs than it has free"));
         tasksByZoneByGroup.forEach((group, tasksByZone) -> {
-            assertTrue(!group.spec.oneZone() || tasksByZone.size() == 1, "one zone only");
+            assertTrue(!group.spec.oneZone() || tasksByZone.size() == 1, "tasks of a oneZone job are in one zone");
             assertTrue(
                     !group.spec.spread()
                             || tasksByZone.values().stream().allMatch(count -> count <= (group.spec.tasks() + 1) / 2),
-                    "spread over zones");
+                    "no zone has more than half of a spread job's tasks");
         });
         for (int teamIndex = 0; teamIndex < 2; teamIndex++) {
             double cpuLimit = consumed.teams().get(teamIndex).cpuLimit;
@@ -147,7 +149,7 @@
                     cpuLimit <= 0
                             || usedCpusByTeam[teamIndex]
                                     <= Math.max(cpuLimit, original.teams().get(teamIndex).usedCpus) + 1e-6,
-                    "team limit");
+                    "no team exceeds its limit");
         }
         // No task is left waiting if a node has free room that the task may use now.
         Map<TaskGroup, Integer> placedTasksByGroup = new HashMap<>();
@@ -170,7 +172,7 @@
                             !mayUseNode
                                     || freeCpus(node) - placedCpusByNode.getOrDefault(node, 0.0)
                                             < group.spec.cpus() - 1e-6,
-                            group.spec.id() + " waits beside room on " + node.machine);
+                            group.spec.id() + " waits although there is room on " + node.machine);
                 }
             }
         }
@@ -180,9 +182,9 @@
                 allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
                         || task.team != group.team && task.spec.priority().compareTo(group.spec.priority()) == 0;
             }
-            assertTrue(allowed, "work is stopped only for higher priority or another team's guarantee");
+            assertTrue(allowed, "tasks are stopped only for higher priority or another team's guarantee");
         }
-        assertEquals(new HashSet<>(plan.stops).size(), plan.stops.size(), "nothing is stopped twice");
+        assertEquals(new HashSet<>(plan.stops).size(), plan.stops.size(), "no task is stopped twice");
     }
 
     @ParameterizedTest
@@ -231,7 +233,7 @@
         SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of()));
         int rentedMachines =
                 plan.rents.stream().mapToInt(SchedulingPlan.Rent::count).sum();
-        assertEquals(2, rentedMachines, "six tasks of 30 s in two rows of three before 200 s are over");
+        assertEquals(2, rentedMachines, "six tasks of 30 s finish within 200 s on two machines, three in turn on each");
         group.waiting = 6;
         group.due = 1_000_000 + 60_000;
         assertEquals(
@@ -295,7 +297,7 @@
         assertEquals(
                 List.of("j7"),
                 jobsPlacedOnOneNode(groupWithDeadline(1, 2, 30, 300), groupWithDeadline(7, 1, 30, 65)),
-                "late if it waited for two others");
+                "the second job would be late if it waited for both tasks of the first");
         // Not both jobs can meet their deadlines: the larger one is deferred, although it arrived first.
         assertEquals(
                 List.of("j2"), jobsPlacedOnOneNode(groupWithDeadline(1, 3, 30, 100), groupWithDeadline(2, 1, 30, 62)));
@@ -324,7 +326,7 @@
                 null,
                 60_000,
                 0));
-        assertEquals(1, plan.stops.size(), "twelve processors in use, eight guaranteed: four are borrowed");
+        assertEquals(1, plan.stops.size(), "twelve CPUs in use, eight guaranteed: four are borrowed");
         assertEquals(1, plan.unplacedTasks);
     }
 
@@ -360,7 +362,7 @@
 
     private static List<Object> attemptsStoppedToDrain(
             CandidateNode.Running taskOnExpensiveNode, double cpusToKeep, TaskGroup... waitingGroups) {
-        CandidateNode expensive = new CandidateNode(MACHINE_TYPE, "a", false, "dear", true, Set.of());
+        CandidateNode expensive = new CandidateNode(MACHINE_TYPE, "a", false, "expensive", true, Set.of());
         expensive.add(taskOnExpensiveNode);
         CandidateNode cheap = new CandidateNode(MACHINE_TYPE, "a", true, "cheap", true, Set.of());
         cheap.add(runningTask(902, 50, 100, true));
@@ -400,15 +402,20 @@
     @Test
     void expensiveMachineIsDrainedWhenCheapOneHasRoom() {
         assertEquals(List.of("a901"), attemptsStoppedToDrain(runningTask(901, 50, 60, true), 0));
-        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 60, false), 0), "it cannot save");
-        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 10, 60, true), 0), "it has only just begun");
-        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 8, true), 0), "it is nearly over");
+        assertEquals(
+                List.of(),
+                attemptsStoppedToDrain(runningTask(901, 50, 60, false), 0),
+                "the task cannot save its state");
+        assertEquals(
+                List.of(), attemptsStoppedToDrain(runningTask(901, 10, 60, true), 0), "the task has only just started");
+        assertEquals(
+                List.of(), attemptsStoppedToDrain(runningTask(901, 50, 8, true), 0), "the task has nearly finished");
         assertEquals(
                 List.of(),
                 attemptsStoppedToDrain(runningTask(901, 50, 60, true), 6),
-                "both machines' room was asked for lately");
+                "recent demand needs the room of both machines");
         TaskGroup group = new TaskGroup(spec(1, false, Priority.NORMAL, 9, 4, false, false, false), "j", 1, 0, 9);
-        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 60, true), 0, group), "work waits");
+        assertEquals(List.of(), attemptsStoppedToDrain(runningTask(901, 50, 60, true), 0, group), "tasks are waiting");
     }
 
     @Test
@@ -416,7 +423,7 @@
         for (boolean spot : new boolean[] {false, true}) {
             CandidateNode idle = new CandidateNode(MACHINE_TYPE, "a", spot, "idle", true, Set.of());
             idle.idleMs = 5_000;
-            CandidateNode busy = new CandidateNode(MACHINE_TYPE, "a", true, "other", true, Set.of());
+            CandidateNode busy = new CandidateNode(MACHINE_TYPE, "a", true, "busy", true, Set.of());
             busy.add(runningTask(902, 50, 100, false));
             for (double cpusToKeep : new double[] {0, 6}) {
                 SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
@@ -429,7 +436,10 @@
                         null,
                         60_000,
                         cpusToKeep));
-                assertEquals(!spot && cpusToKeep == 0 ? 1 : 0, plan.idle.size(), "spot " + spot + ", " + cpusToKeep);
+                assertEquals(
+                        !spot && cpusToKeep == 0 ? 1 : 0,
+                        plan.idle.size(),
+                        "spot " + spot + ", CPUs to keep " + cpusToKeep);
             }
         }
     }
@@ -483,12 +493,12 @@
 
     @Test
     void expensiveMachinesAreRentedOnlyAsQueueNeedsThem() {
-        assertEquals(Map.of(true, 80), rentedMachinesBySpot(300, false), "cheap ones for all that waits");
-        assertEquals(Map.of(), rentedMachinesBySpot(300, true), "80 tasks of 20 s are over in time on twenty machines");
+        assertEquals(Map.of(true, 80), rentedMachinesBySpot(300, false), "a cheap machine for each waiting task");
+        assertEquals(Map.of(), rentedMachinesBySpot(300, true), "80 tasks of 20 s finish in time on twenty machines");
         int expensiveMachines = rentedMachinesBySpot(110, true).get(false);
         assertTrue(
                 expensiveMachines > 0 && expensiveMachines < 20,
-                expensiveMachines + " dear machines: some are needed, not one a task");
+                expensiveMachines + " expensive machines: some are needed, but not one per task");
     }
 
     /** Returns the evaluations of one cycle over a fleet with a tenth of its nodes free, with ten jobs of this many tasks. */
@@ -518,18 +528,19 @@
                 60_000,
                 0));
         assertEquals(Math.min(10 * tasks, machines / 10), plan.placements.size());
-        assertTrue(plan.rents.stream().allMatch(rent -> rent.count() <= 50), "a request asks for 50 machines at most");
+        assertTrue(plan.rents.stream().allMatch(rent -> rent.count() <= 50), "a request is for 50 machines at most");
         return plan.evaluations;
     }
 
     @Test
     void cycleCostDependsOnFleetNotOnNumberOfWaitingTasks() {
         long evaluationsForFewTasks = evaluationsOfOneCycle(500, 100);
-        assertTrue(evaluationsForFewTasks < 25_000, evaluationsForFewTasks + " steps for 1,000 waiting tasks");
+        assertTrue(evaluationsForFewTasks < 25_000, evaluationsForFewTasks + " evaluations for 1,000 waiting tasks");
         long evaluationsForManyTasks = evaluationsOfOneCycle(500, 100_000);
         assertTrue(
                 evaluationsForManyTasks <= 1.2 * evaluationsForFewTasks,
-                evaluationsForManyTasks + " steps for a thousand times as many, " + evaluationsForFewTasks + " before");
+                evaluationsForManyTasks + " evaluations for a thousand times as many tasks, " + evaluationsForFewTasks
+                        + " before");
     }
 
     /**
@@ -541,7 +552,7 @@
         List<CandidateNode> nodes =
                 new ArrayList<>(List.of(new CandidateNode(MACHINE_TYPE, "a", false, "up", true, Set.of())));
         if (nodeAwaitsHeartbeat) {
-            CandidateNode node = new CandidateNode(MACHINE_TYPE, "b", false, "unheard", false, Set.of());
+            CandidateNode node = new CandidateNode(MACHINE_TYPE, "b", false, "silent", false, Set.of());
             node.awaitingHeartbeat = true;
             nodes.add(node);
         }
@@ -567,14 +578,16 @@
     @Test
     void blockedServiceTaskReservesRoomFromLowerPriorities() {
         assertEquals(
-                1, planWithBlockedServiceTask(false, Priority.NORMAL).placements.size(), "three processors are kept");
+                1,
+                planWithBlockedServiceTask(false, Priority.NORMAL).placements.size(),
+                "three CPUs are reserved for the blocked task");
         assertEquals(
                 4,
                 planWithBlockedServiceTask(true, Priority.NORMAL).placements.size(),
-                "it is most likely on the unheard machine");
+                "the blocked task is most likely on the machine without a heartbeat");
         assertEquals(
                 4,
                 planWithBlockedServiceTask(false, Priority.HIGH).placements.size(),
-                "equals are not stopped for it either");
+                "no room is reserved from tasks of the same priority, since they are not preempted for it");
     }
 }
