--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -23,7 +23,7 @@
         /** The attempt, opaque to the scheduler. */
         public final Object attempt;
         /** When the task was sent to the machine, in milliseconds of the event loop's clock. */
-        public final long startedAt;
+        public final long startedAtMs;
         /** True if the task has already been told to stop, so its room becomes free without preemption. */
         public boolean stopping;
         /** True if the task is stopped without saving because other work cannot wait; it redoes work since its last checkpoint. */
@@ -34,11 +34,11 @@
         public double leftS;
 
         /** Creates a task that occupies room; see the fields. */
-        public Running(JobSpec spec, int team, Object attempt, long startedAt, boolean stopping) {
+        public Running(JobSpec spec, int team, Object attempt, long startedAtMs, boolean stopping) {
             this.spec = spec;
             this.team = team;
             this.attempt = attempt;
-            this.startedAt = startedAt;
+            this.startedAtMs = startedAtMs;
             this.stopping = stopping;
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -23,7 +23,7 @@
 
     private static final Comparator<CandidateNode.Running> STOP_ORDER = Comparator.comparing(
                     (CandidateNode.Running task) -> task.spec.priority())
-            .thenComparing(Comparator.comparingLong((CandidateNode.Running task) -> task.startedAt)
+            .thenComparing(Comparator.comparingLong((CandidateNode.Running task) -> task.startedAtMs)
                     .reversed());
 
     private ExcessWork() {}
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -25,7 +25,7 @@
     /** Lowest priority first, then the most recently started task, which loses the least work. */
     private static final Comparator<CandidateNode.Running> STOP_ORDER = Comparator.comparing(
                     (CandidateNode.Running task) -> task.spec.priority())
-            .thenComparing(task -> -task.startedAt);
+            .thenComparing(task -> -task.startedAtMs);
 
     private final Scheduler.Input input;
     private final SchedulingPlan plan;
@@ -217,7 +217,7 @@
                 freeCpus += task.spec.cpus();
                 freeGpus += task.spec.gpus();
                 freeMemoryGb += task.spec.memoryGb();
-                cost += task.spec.cpus() * (input.now() - task.startedAt + STOP_COST_MS);
+                cost += task.spec.cpus() * (input.now() - task.startedAtMs + STOP_COST_MS);
             }
             tasksToStop.forEach(task -> input.teams().get(task.team).unmarkStopping(task.spec));
             return CandidateNode.fits(group.spec, freeCpus, freeGpus, freeMemoryGb) && !tasksToStop.isEmpty()
