--- a/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Decision.java
@@ -42,7 +42,7 @@
         UNSTORED("its result is not stored yet"),
         ENDED("it has ended without a result"),
 
-        // Reasons for tasks that no machine has reported.
+        // Reasons for tasks that are on no machine according to the reports so far.
         OWN("no earlier leader knew the job"),
         SEEN("this leader has seen it on a fenced machine, and lost it"),
         NOBODY_HOLDS("every machine that could hold it is accounted for"),
--- a/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/Reconciliation.java
@@ -118,7 +118,7 @@
         };
     }
 
-    /** Decides about a task that no machine has reported. */
+    /** Decides about a task that is on no machine according to the reports so far. */
     public static Decision task(TaskEvidence evidence) {
         if (evidence.acceptedThisTerm()) {
             return new Decision(Action.PLACE, Reason.OWN);
--- a/controller/src/main/java/org/landingridge/controller/recovery/TaskEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/TaskEvidence.java
@@ -1,7 +1,7 @@
 package org.landingridge.controller.recovery;
 
 /**
- * The evidence about a task that no machine has reported.
+ * The evidence about a task that is on no machine according to the reports so far.
  *
  * @param acceptedThisTerm  its job was accepted in this leader term, so no earlier leader has started it
  * @param accounted         this leader has seen it on a fenced machine; an earlier leader had it on one machine at most
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -24,7 +24,7 @@
         public final Object attempt;
         /** When the task was sent to the machine, in milliseconds of the event loop's clock. */
         public final long startedAtMs;
-        /** True if the task has already been told to stop, so its room becomes free without preemption. */
+        /** True if the task has already been commanded to stop, so its room becomes free without preemption. */
         public boolean stopping;
         /** True if the task is stopped without saving because other work cannot wait; it redoes work since its last checkpoint. */
         public boolean withoutSave;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -92,7 +92,7 @@
     /**
      * Defers jobs if not all can meet their deadlines. Jobs are taken by latest start time; when one would be late, the
      * largest job so far is deferred, which minimizes the number of late jobs (Moore-Hodgson algorithm). Otherwise work on
-     * jobs that are late anyway would delay the next ones, until almost no job of a burst is in time.
+     * jobs that will be late would delay the next ones, until almost no job of a burst is in time.
      */
     private void deferLateJobs(List<TaskGroup> groups) {
         for (int round = 0; round < DEADLINE_ROUNDS; round++) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -157,7 +157,7 @@
         return fullest;
     }
 
-    /** Returns the tasks whose move frees the machine sooner; empty if other tasks would occupy it about as long anyway. */
+    /** Returns the tasks whose move frees the machine sooner; empty if other tasks occupy it for about as long. */
     private static List<CandidateNode.Running> tasksWorthMoving(CandidateNode node) {
         double occupiedS = 0;
         for (CandidateNode.Running task : node.running) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -39,8 +39,8 @@
     /** Number of the job's tasks on machines, by zone, for the rules oneZone and spread. */
     public final Map<String, Integer> perZone = new HashMap<>();
     /**
-     * 0 if the job can meet its deadline; 1 if it cannot, 2 if it also misses {@link #lastDue}. Groups with a lower value are
-     * served first.
+     * 0 for a job that is not deferred; 1 if it is deferred so that others meet their deadlines, 2 if it is also deferred
+     * so that others meet {@link #lastDue}. Groups with a lower value are served first.
      */
     int deferralLevel;
 
