--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -7,38 +7,38 @@
 import org.landingridge.wire.MachineType;
 
 /**
- * A machine in one scheduling cycle. The leader fills it and adds what runs on it; from then on the cycle counts down its
- * room. All CPUs are processors, all memory is GB.
+ * A machine as seen by one scheduling cycle. The leader creates it and adds the tasks that occupy it; the cycle then
+ * deducts the room that it assigns. CPU amounts are in processors, memory is in GB.
  */
 public final class CandidateNode {
-    /** What is missing to a fit by rounding alone does not count. */
-    private static final double ROUNDING = 1e-6;
+    /** Tolerance for floating-point rounding when a task is checked against free room. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    /** Something that takes room on the node. */
+    /** A task that occupies room on the node. */
     public static final class Running {
-        /** The job; null where nothing is known of it. */
+        /** Specification of the task's job; null if unknown. */
         public final JobSpec spec;
-        /** Index of its team in the cycle's input. */
+        /** Index of the job's team in the cycle's list of teams. */
         public final int team;
         /** The attempt, opaque to the scheduler. */
         public final Object attempt;
-        /** When it was sent, by the event loop's clock. */
-        public final long startedAt;
-        /** Commanded to stop already: its room comes free by itself. */
+        /** When the task was sent to the machine, in milliseconds of the event loop's clock. */
+        public final long startedAtMs;
+        /** True if the task has already been commanded to stop, so its room becomes free without preemption. */
         public boolean stopping;
-        /** Stopped for work that cannot wait until it has saved: what it did since its last checkpoint is done again. */
+        /** True if the task is stopped without saving because other work cannot wait; it redoes work since its last checkpoint. */
         public boolean withoutSave;
-        /** How long it has run, in seconds; 0 until it runs. */
+        /** How long the task has run, in seconds; 0 until it runs. */
         public double ranS;
-        /** How much longer it is expected to run, in seconds. */
+        /** Expected remaining run time, in seconds. */
         public double leftS;
 
-        /** Something that takes room; see the fields. */
-        public Running(JobSpec spec, int team, Object attempt, long startedAt, boolean stopping) {
+        /** Creates a task that occupies room; see the fields. */
+        public Running(JobSpec spec, int team, Object attempt, long startedAtMs, boolean stopping) {
             this.spec = spec;
             this.team = team;
             this.attempt = attempt;
-            this.startedAt = startedAt;
+            this.startedAtMs = startedAtMs;
             this.stopping = stopping;
         }
     }
@@ -47,36 +47,36 @@
     public final MachineType type;
     /** The machine's zone. */
     public final String zone;
-    /** True for a spot instance: it takes only tasks that allow it. */
+    /** True for a spot instance, which takes only tasks that allow spot instances. */
     public final boolean spot;
-    /** The machine, opaque to the scheduler; null for one that is still asked for. */
+    /** The machine, opaque to the scheduler; null for a machine that this cycle requests. */
     public final Object machine;
-    /** Nodes that are up take tasks now; the others are on their way and only count against scaling out. */
+    /** True if the node takes tasks now; a node that is still starting only reduces the number of machines to rent. */
     public final boolean up;
-    /** Images that the machine has; not copied. */
+    /** Images on the machine; the set is not copied. */
     public final Set<String> images;
-    /** What takes room on the node; add with {@link #add} only. */
+    /** Tasks that occupy room on the node; call {@link #add} to change it. */
     public final List<Running> running = new ArrayList<>();
     /** How long the machine has been idle, in milliseconds. */
     public long idleMs;
-    /** Tasks that wait for their image there: fetches share the machine's rate. */
+    /** Number of tasks whose image is being fetched to the machine; fetches share the machine's bandwidth. */
     public int fetching;
-    /** A new leader has had no heartbeat from it, though one is due soon: blocked tasks are most likely there. */
+    /** True if a new leader is still waiting for the machine's first heartbeat: blocked tasks are most likely running there. */
     public boolean awaitingHeartbeat;
-    /** Vacated a short while ago, to be returned. */
+    /** True if the machine was recently drained so that it can be returned. */
     public boolean draining;
 
-    private double cpus;
-    private double gpus;
-    private double memory;
-    private int services;
-    /** Room once what is stopping has stopped. */
-    private double soonCpus;
+    private double freeCpus;
+    private double freeGpus;
+    private double freeMemoryGb;
+    private int serviceReplicas;
+    /** Free CPUs after all stopping tasks have stopped; GPUs and memory follow. */
+    private double freeCpusAfterStops;
 
-    private double soonGpus;
-    private double soonMemory;
+    private double freeGpusAfterStops;
+    private double freeMemoryGbAfterStops;
 
-    /** An empty machine. */
+    /** Creates a machine without tasks. */
     public CandidateNode(MachineType type, String zone, boolean spot, Object machine, boolean up, Set<String> images) {
         this.type = type;
         this.zone = zone;
@@ -84,130 +84,132 @@
         this.machine = machine;
         this.up = up;
         this.images = images;
-        this.cpus = type.cpus();
-        this.gpus = type.gpus();
-        this.memory = type.memoryGb();
-        this.soonCpus = cpus;
-        this.soonGpus = gpus;
-        this.soonMemory = memory;
-    }
-
-    /** Adds something that runs there; what nothing is known of may take the whole machine. */
-    public void add(Running added) {
-        running.add(added);
-        if (added.spec == null) {
-            takeAll();
+        this.freeCpus = type.cpus();
+        this.freeGpus = type.gpus();
+        this.freeMemoryGb = type.memoryGb();
+        this.freeCpusAfterStops = freeCpus;
+        this.freeGpusAfterStops = freeGpus;
+        this.freeMemoryGbAfterStops = freeMemoryGb;
+    }
+
+    /** Adds a task that occupies room on the machine; a task without a known specification takes all of it. */
+    public void add(Running task) {
+        running.add(task);
+        if (task.spec == null) {
+            takeAllRoom();
             return;
         }
-        takeNow(added.spec);
-        if (!added.stopping) {
-            takeSoon(added.spec);
+        takeRoomNow(task.spec);
+        if (!task.stopping) {
+            takeRoomAfterStops(task.spec);
         }
     }
 
-    private void takeAll() {
-        cpus = 0;
-        gpus = 0;
-        memory = 0;
-        soonCpus = 0;
-        soonGpus = 0;
-        soonMemory = 0;
+    private void takeAllRoom() {
+        freeCpus = 0;
+        freeGpus = 0;
+        freeMemoryGb = 0;
+        freeCpusAfterStops = 0;
+        freeGpusAfterStops = 0;
+        freeMemoryGbAfterStops = 0;
     }
 
-    /** Takes room for a task that is placed now and stays. */
-    void take(JobSpec spec) {
-        takeNow(spec);
-        takeSoon(spec);
+    /** Deducts the room of a task that is placed now, from the current and the later free room. */
+    void takeRoom(JobSpec spec) {
+        takeRoomNow(spec);
+        takeRoomAfterStops(spec);
     }
 
-    private void takeNow(JobSpec spec) {
-        cpus -= spec.cpus();
-        gpus -= spec.gpus();
-        memory -= spec.memoryGb();
-        services += spec.service() ? 1 : 0;
+    private void takeRoomNow(JobSpec spec) {
+        freeCpus -= spec.cpus();
+        freeGpus -= spec.gpus();
+        freeMemoryGb -= spec.memoryGb();
+        serviceReplicas += spec.service() ? 1 : 0;
     }
 
-    /** Takes room that comes free, for a task that is placed in a later cycle. */
-    void takeSoon(JobSpec spec) {
-        soonCpus -= spec.cpus();
-        soonGpus -= spec.gpus();
-        soonMemory -= spec.memoryGb();
+    /** Deducts room that becomes free after stops, for a task that a later cycle will place. */
+    void takeRoomAfterStops(JobSpec spec) {
+        freeCpusAfterStops -= spec.cpus();
+        freeGpusAfterStops -= spec.gpus();
+        freeMemoryGbAfterStops -= spec.memoryGb();
     }
 
-    /** Frees the room of a task that is stopped in this cycle. */
-    void freeSoon(JobSpec spec) {
-        soonCpus += spec.cpus();
-        soonGpus += spec.gpus();
-        soonMemory += spec.memoryGb();
+    /** Adds the room of a task that is stopped in this cycle to the room that becomes free after stops. */
+    void addRoomAfterStops(JobSpec spec) {
+        freeCpusAfterStops += spec.cpus();
+        freeGpusAfterStops += spec.gpus();
+        freeMemoryGbAfterStops += spec.memoryGb();
     }
 
     boolean allows(TaskGroup group) {
         JobSpec spec = group.spec;
         return (!spot || spec.spot())
                 && (spec.types() == null || spec.types().contains(type.name()))
-                && group.zoneAllowed(zone);
+                && group.allowsZone(zone);
     }
 
-    /** True while anything at all may fit. */
+    /** Returns true if the node has any free room. */
     boolean hasRoom() {
-        return memory > ROUNDING && (cpus > ROUNDING || gpus > ROUNDING);
+        return freeMemoryGb > ROUNDING_TOLERANCE && (freeCpus > ROUNDING_TOLERANCE || freeGpus > ROUNDING_TOLERANCE);
     }
 
     boolean fits(JobSpec spec) {
-        return fits(spec, cpus, gpus, memory);
+        return fits(spec, freeCpus, freeGpus, freeMemoryGb);
     }
 
-    boolean fitsSoon(JobSpec spec) {
-        return fits(spec, soonCpus, soonGpus, soonMemory);
+    boolean fitsAfterStops(JobSpec spec) {
+        return fits(spec, freeCpusAfterStops, freeGpusAfterStops, freeMemoryGbAfterStops);
     }
 
-    static boolean fits(JobSpec spec, double cpus, double gpus, double memory) {
-        return spec.cpus() <= cpus + ROUNDING && spec.gpus() <= gpus + ROUNDING && spec.memoryGb() <= memory + ROUNDING;
+    static boolean fits(JobSpec spec, double cpus, double gpus, double memoryGb) {
+        return spec.cpus() <= cpus + ROUNDING_TOLERANCE
+                && spec.gpus() <= gpus + ROUNDING_TOLERANCE
+                && spec.memoryGb() <= memoryGb + ROUNDING_TOLERANCE;
     }
 
-    /** Tasks of this size that the node could take at once, counting what they may preempt; at most 1000. */
-    int roomFor(JobSpec spec) {
-        double roomCpus = soonCpus;
-        double roomMemory = soonMemory;
-        for (Running other : running) {
-            if (other.spec != null && !other.stopping && other.spec.priority().compareTo(spec.priority()) < 0) {
-                roomCpus += other.spec.cpus();
-                roomMemory += other.spec.memoryGb();
+    /** Returns how many tasks of this size the node could take, including room from preemption; at most 1000. */
+    int taskCapacity(JobSpec spec) {
+        double availableCpus = freeCpusAfterStops;
+        double availableMemoryGb = freeMemoryGbAfterStops;
+        for (Running task : running) {
+            if (task.spec != null && !task.stopping && task.spec.priority().compareTo(spec.priority()) < 0) {
+                availableCpus += task.spec.cpus();
+                availableMemoryGb += task.spec.memoryGb();
             }
         }
-        double byCpu = spec.cpus() > 0 ? (roomCpus + ROUNDING) / spec.cpus() : 1000;
-        double byMemory = spec.memoryGb() > 0 ? (roomMemory + ROUNDING) / spec.memoryGb() : 1000;
-        return (int) Math.max(0, Math.min(byCpu, byMemory));
+        double maxByCpus = spec.cpus() > 0 ? (availableCpus + ROUNDING_TOLERANCE) / spec.cpus() : 1000;
+        double maxByMemory = spec.memoryGb() > 0 ? (availableMemoryGb + ROUNDING_TOLERANCE) / spec.memoryGb() : 1000;
+        return (int) Math.max(0, Math.min(maxByCpus, maxByMemory));
     }
 
-    /** Free processors now, as a share of the machine's. */
-    double freeShare() {
-        return cpus / type.cpus();
+    /** Returns the share of the machine's CPUs that is free now. */
+    double freeCpuShare() {
+        return freeCpus / type.cpus();
     }
 
     double usedCpus() {
-        return type.cpus() - cpus;
+        return type.cpus() - freeCpus;
     }
 
-    /** True if no processor of it is in use. */
-    boolean unused() {
-        return running.isEmpty() && cpus >= type.cpus() - 1e-9;
+    /** Returns true if the machine has no tasks and no room on it is taken. */
+    boolean isUnused() {
+        return running.isEmpty() && freeCpus >= type.cpus() - 1e-9;
     }
 
-    /** Replicas of services on the node. */
-    int services() {
-        return services;
+    /** Returns the number of service replicas on the node. */
+    int serviceReplicas() {
+        return serviceReplicas;
     }
 
-    double soonCpus() {
-        return soonCpus;
+    double freeCpusAfterStops() {
+        return freeCpusAfterStops;
     }
 
-    double soonGpus() {
-        return soonGpus;
+    double freeGpusAfterStops() {
+        return freeGpusAfterStops;
     }
 
-    double soonMemory() {
-        return soonMemory;
+    double freeMemoryGbAfterStops() {
+        return freeMemoryGbAfterStops;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Prices.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Prices.java
@@ -3,37 +3,37 @@
 import java.util.List;
 import org.landingridge.wire.MachineType;
 
-/** Which machines are expensive, by the cloud's current prices. */
+/** Decides which machines are expensive at the cloud's current prices. */
 final class Prices {
-    /** A machine whose processors cost so many times the cheapest there are counts as expensive. */
-    private static final double EXPENSIVE = 1.5;
+    /** A machine is expensive if its price per CPU exceeds the lowest price per CPU by this factor. */
+    private static final double EXPENSIVE_FACTOR = 1.5;
 
-    private final double cheapest;
+    private final double lowestPricePerCpu;
 
     Prices(List<MachineType> types) {
-        double least = Double.MAX_VALUE;
+        double lowest = Double.MAX_VALUE;
         for (MachineType type : types) {
-            least = lesser(least, perProcessor(type, true));
-            least = lesser(least, perProcessor(type, false));
+            lowest = lowerPrice(lowest, pricePerCpu(type, true));
+            lowest = lowerPrice(lowest, pricePerCpu(type, false));
         }
-        cheapest = least;
+        lowestPricePerCpu = lowest;
     }
 
-    /** A price of 0 says that there are none. */
-    private static double lesser(double least, double price) {
-        return price > 0 ? Math.min(least, price) : least;
+    /** Returns the lower price; a price of 0 means that no such machine is offered. */
+    private static double lowerPrice(double lowest, double price) {
+        return price > 0 ? Math.min(lowest, price) : lowest;
     }
 
-    boolean expensive(MachineType type, boolean spot) {
-        return perProcessor(type, spot) > cheapest * EXPENSIVE;
+    boolean isExpensive(MachineType type, boolean spot) {
+        return pricePerCpu(type, spot) > lowestPricePerCpu * EXPENSIVE_FACTOR;
     }
 
-    /** Price of a machine. */
-    static double of(MachineType type, boolean spot) {
+    /** Returns the price of a machine. */
+    static double machinePrice(MachineType type, boolean spot) {
         return spot ? type.spotPrice() : type.price();
     }
 
-    private static double perProcessor(MachineType type, boolean spot) {
-        return of(type, spot) / Math.max(1e-9, type.cpus());
+    private static double pricePerCpu(MachineType type, boolean spot) {
+        return machinePrice(type, spot) / Math.max(1e-9, type.cpus());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
@@ -3,50 +3,50 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * A team's quota in one cycle: its guarantee and limit, and what its work uses now. CPUs are processors; 0 as a limit means
- * none.
+ * A team's quota in one scheduling cycle: its guarantee, its limit and its current use, in CPUs and GPUs. A limit of 0 means
+ * that there is no limit.
  */
 public final class Team {
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    final double cpus;
-    final double cpusMax;
-    final double gpus;
-    final double gpusMax;
-    /** Processors of its tasks on machines, those that are stopping too. */
+    final double guaranteedCpus;
+    final double cpuLimit;
+    final double guaranteedGpus;
+    final double gpuLimit;
+    /** CPUs of the team's tasks on machines, including stopping tasks. */
     public double usedCpus;
-    /** GPUs of its tasks on machines, those that are stopping too. */
+    /** GPUs of the team's tasks on machines, including stopping tasks. */
     public double usedGpus;
 
     private double stoppingCpus;
     private double stoppingGpus;
-    /** What unverified machines may use besides: it counts within the limit only. */
+    /** CPUs that the team may also use on unverified machines; they count against the limit but not the guarantee. */
     private double unverifiedCpus;
 
     private double unverifiedGpus;
 
-    /** A team that uses nothing yet. */
-    public Team(double cpus, double cpusMax, double gpus, double gpusMax) {
-        this.cpus = cpus;
-        this.cpusMax = cpusMax;
-        this.gpus = gpus;
-        this.gpusMax = gpusMax;
+    /** Creates the quota of a team without current use. */
+    public Team(double guaranteedCpus, double cpuLimit, double guaranteedGpus, double gpuLimit) {
+        this.guaranteedCpus = guaranteedCpus;
+        this.cpuLimit = cpuLimit;
+        this.guaranteedGpus = guaranteedGpus;
+        this.gpuLimit = gpuLimit;
     }
 
-    /** Counts what the team may use on a machine whose tasks are not known, against its limit. */
-    public void addUnverified(double moreCpus, double moreGpus) {
-        unverifiedCpus += moreCpus;
-        unverifiedGpus += moreGpus;
+    /** Adds CPUs and GPUs that the team may use on a machine with unknown tasks; they count against the limit. */
+    public void addUnverified(double cpus, double gpus) {
+        unverifiedCpus += cpus;
+        unverifiedGpus += gpus;
     }
 
-    /** Counts a task as stopping: it still counts as used, but the team cannot spare it any more. */
+    /** Marks a task as stopping: it still counts as used, but no longer as something the team can spare. */
     public void stopping(JobSpec spec) {
         stoppingCpus += spec.cpus();
         stoppingGpus += spec.gpus();
     }
 
-    /** Takes {@link #stopping} back, for a task that is left running after all. */
-    void notStopping(JobSpec spec) {
+    /** Reverts {@link #stopping} for a task that is not stopped. */
+    void unmarkStopping(JobSpec spec) {
         stoppingCpus -= spec.cpus();
         stoppingGpus -= spec.gpus();
     }
@@ -56,42 +56,56 @@
         usedGpus += tasks * spec.gpus();
     }
 
-    /** Tasks like this that still fit within the guarantee, or within the limit, {@code most} at most. */
-    int more(JobSpec spec, boolean guaranteed, int most) {
-        int tasks = most;
-        if (guaranteed || cpusMax > 0) {
-            tasks = fit(tasks, spec.cpus(), room(guaranteed, cpus, cpusMax, usedCpus, unverifiedCpus));
+    /** Returns how many more tasks of this size fit within the guarantee, or else the limit; {@code maxTasks} at most. */
+    int additionalTasks(JobSpec spec, boolean withinGuarantee, int maxTasks) {
+        int tasks = maxTasks;
+        if (withinGuarantee || cpuLimit > 0) {
+            tasks = tasksThatFit(
+                    tasks,
+                    spec.cpus(),
+                    remainingQuota(withinGuarantee, guaranteedCpus, cpuLimit, usedCpus, unverifiedCpus));
         }
-        if (guaranteed || gpusMax > 0) {
-            tasks = fit(tasks, spec.gpus(), room(guaranteed, gpus, gpusMax, usedGpus, unverifiedGpus));
+        if (withinGuarantee || gpuLimit > 0) {
+            tasks = tasksThatFit(
+                    tasks,
+                    spec.gpus(),
+                    remainingQuota(withinGuarantee, guaranteedGpus, gpuLimit, usedGpus, unverifiedGpus));
         }
         return tasks;
     }
 
-    private static double room(boolean guaranteed, double guarantee, double limit, double used, double unverified) {
-        double within = limit > 0 ? limit - used - unverified : Double.MAX_VALUE;
-        return guaranteed ? Math.min(within, guarantee - used) : within;
+    private static double remainingQuota(
+            boolean withinGuarantee, double guarantee, double limit, double used, double unverified) {
+        double withinLimit = limit > 0 ? limit - used - unverified : Double.MAX_VALUE;
+        return withinGuarantee ? Math.min(withinLimit, guarantee - used) : withinLimit;
     }
 
-    private static int fit(int most, double each, double room) {
-        return each <= 0 ? most : (int) Math.max(0, Math.min(most, Math.floor((room + ROUNDING) / each)));
+    private static int tasksThatFit(int maxTasks, double perTask, double room) {
+        return perTask <= 0
+                ? maxTasks
+                : (int) Math.max(0, Math.min(maxTasks, Math.floor((room + ROUNDING_TOLERANCE) / perTask)));
     }
 
-    /** Processors of what it uses and of what waits that lie within its guarantee; all where it has none. */
-    public double guaranteed(double waiting) {
-        double wanted = usedCpus + waiting;
-        double within = cpusMax > 0 ? Math.min(wanted, cpusMax) : wanted;
-        return cpus > 0 ? Math.min(within, cpus) : within;
+    /**
+     * Returns the CPUs in use or waited for that lie within the limit and the guarantee; a guarantee of 0 sets no bound.
+     *
+     * @param waitingCpus CPUs of waiting tasks
+     */
+    public double guaranteed(double waitingCpus) {
+        double demand = usedCpus + waitingCpus;
+        double withinLimit = cpuLimit > 0 ? Math.min(demand, cpuLimit) : demand;
+        return guaranteedCpus > 0 ? Math.min(withinLimit, guaranteedCpus) : withinLimit;
     }
 
-    /** True while the team uses more than it is guaranteed, and will go on to. */
-    boolean borrows() {
-        return usedCpus - stoppingCpus > cpus + ROUNDING || usedGpus - stoppingGpus > gpus + ROUNDING;
+    /** Returns true if the team uses more than its guarantee, even after all stopping tasks have stopped. */
+    boolean isBorrowing() {
+        return usedCpus - stoppingCpus > guaranteedCpus + ROUNDING_TOLERANCE
+                || usedGpus - stoppingGpus > guaranteedGpus + ROUNDING_TOLERANCE;
     }
 
-    /** True if the team keeps its guarantee without this task. */
+    /** Returns true if the team's use stays at or above its guarantee without this task. */
     boolean canSpare(JobSpec spec) {
-        return usedCpus - stoppingCpus - spec.cpus() >= cpus - ROUNDING
-                && usedGpus - stoppingGpus - spec.gpus() >= gpus - ROUNDING;
+        return usedCpus - stoppingCpus - spec.cpus() >= guaranteedCpus - ROUNDING_TOLERANCE
+                && usedGpus - stoppingGpus - spec.gpus() >= guaranteedGpus - ROUNDING_TOLERANCE;
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -6,21 +6,22 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Checks when a new leader's view of the machines counts as complete. */
 class ObservationWindowTest {
     private final ObservationWindow observationWindow = new ObservationWindow(10_000, 7_000);
 
     @Test
-    void isCompleteOnceAListWasReadAndNobodyUnknownTurnedUpForASecond() {
+    void isCompleteOnceListIsReadAndNoUnknownMachineReportedForOneSecond() {
         observationWindow.newcomer(10_800);
-        assertEquals(GATHERING, observationWindow.state(11_900), "no list yet");
+        assertEquals(GATHERING, observationWindow.state(11_900), "no list has been read yet");
         observationWindow.listed();
         assertEquals(COMPLETE, observationWindow.state(11_900));
         observationWindow.newcomer(12_000);
-        assertEquals(COMPLETE, observationWindow.state(12_001), "it stays so");
+        assertEquals(COMPLETE, observationWindow.state(12_001), "the state is final");
     }
 
     @Test
-    void waitsWhileMachinesTurnUpButNotForEver() {
+    void staysGatheringWhileUnknownMachinesReportUntilMaxDuration() {
         observationWindow.listed();
         for (long at = 10_000; at < 16_000; at += 900) {
             observationWindow.newcomer(at);
