--- a/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -11,21 +11,21 @@
 import org.landingridge.controller.store.Keys;
 
 /**
- * Writes the ends of jobs that are cancelled because a job that they await is. No user's request waits for that: every
- * controller derives such an end from the cancelled job's own key. Once it is written that key may move to the history.
+ * Stores the cancellations of jobs that await a cancelled job. No user request depends on these writes, because every controller
+ * derives such a cancellation from the key of the awaited job. Once they are stored, the awaited job may move to the history.
  */
 public final class CancellationWriter {
     private final BatchWriter writer;
     private final JobTable table;
     private final Set<Job> marked = new HashSet<>();
 
-    /** A writer of the ends that the table derives. */
+    /** Creates a writer for the cancellations that the table derives. */
     public CancellationWriter(BatchWriter writer, JobTable table) {
         this.writer = writer;
         this.table = table;
     }
 
-    /** Marks every end for writing that is derived and not stored yet. */
+    /** Marks every derived cancellation that is not stored yet for writing. */
     public void write() {
         marked.retainAll(table.terminated().unpersisted());
         for (Job job : table.terminated().unpersisted()) {
@@ -57,7 +57,7 @@
             table.terminated().persisted(job);
         }
 
-        /** After everything that somebody waits for. */
+        /** Ranks after all writes that a user or a worker waits for. */
         @Override
         public int rank() {
             return 7;
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionPageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionPageCodec.java
@@ -9,47 +9,48 @@
 import org.landingridge.wire.Json;
 
 /**
- * Writes and reads a page of finished tasks: an object of chunks, {@code {"job-000412#0": BITS}}. A chunk holds the tasks of one
- * job from its number times {@link #CHUNK_TASKS}, one bit each, little endian, in base64.
+ * Encodes and decodes a page of finished tasks: an object of chunks, {@code {"job-000412#0": BITS}}. Chunk number {@code n} of
+ * a job covers {@link #CHUNK_TASKS} tasks from index {@code n * CHUNK_TASKS} on, one bit per task, as a little-endian bit set in
+ * base64.
  */
 final class CompletionPageCodec {
-    /** Tasks to one chunk, so that the largest job's bits fit values of the smallest size. */
+    /** Number of tasks per chunk, so that the bits of the largest job fit into values under the smallest size limit. */
     static final int CHUNK_TASKS = 4096;
 
     private static final char SEPARATOR = '#';
 
     private CompletionPageCodec() {}
 
-    /** The name of a chunk of a job. */
+    /** Returns the name of a job's chunk. */
     static String chunkName(String jobId, int chunk) {
         return jobId + SEPARATOR + chunk;
     }
 
-    /** The id of the job that a chunk belongs to; null where the name is none of a chunk. */
+    /** Returns the id of the job that a chunk belongs to; null if the name is not a chunk name. */
     static String jobId(String chunkName) {
         int separator = chunkName.lastIndexOf(SEPARATOR);
         return separator > 0 ? chunkName.substring(0, separator) : null;
     }
 
     /**
-     * The index of a chunk's first task.
+     * Returns the index of a chunk's first task.
      *
-     * @throws IllegalArgumentException if the name cannot be read
+     * @throws IllegalArgumentException if the name is malformed
      */
     static int firstTask(String chunkName) {
         return Integer.parseInt(chunkName.substring(chunkName.lastIndexOf(SEPARATOR) + 1)) * CHUNK_TASKS;
     }
 
     /**
-     * The finished tasks of a chunk, counted from its first.
+     * Returns the finished tasks of a chunk, as indexes relative to its first task.
      *
-     * @throws IllegalArgumentException if they cannot be read
+     * @throws IllegalArgumentException if the chunk is not valid base64
      */
     static BitSet bits(JsonNode chunk) {
         return BitSet.valueOf(Base64.getDecoder().decode(chunk.asText()));
     }
 
-    /** The stored value of a page. */
+    /** Returns the value to store for a page with these chunks. */
     static JsonNode page(Collection<String> chunkNames, Map<String, BitSet> chunks) {
         ObjectNode page = Json.object();
         for (String name : chunkNames) {
@@ -58,7 +59,7 @@
         return page;
     }
 
-    /** Bytes that a chunk may take in its page: its name, and six bits of it to a character. */
+    /** Returns the maximum size of a chunk in its page, in bytes: its name, and one character for six tasks. */
     static int maxBytes(String jobId, int tasks) {
         return 24 + jobId.length() + Math.min(CHUNK_TASKS, tasks) / 6;
     }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -19,39 +19,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores finished tasks, many jobs' bits to one value. A job's end takes the place of its last bits; only once that is stored
- * the job is done.
+ * Stores which tasks have finished, as bits of many jobs in one value. When the last task of a job finishes, the job's
+ * completion is stored instead of the remaining bits; the job counts as done only once its completion is stored.
  */
 public final class CompletionStore {
-    /** Notified of what has been stored. */
+    /** Receives what has been stored. */
     public interface Events {
-        /** It is stored that the task has finished. */
+        /** Called when it is stored that the task has finished. */
         void stored(Task task);
 
-        /** It is stored, at the revision, that the job is done. */
+        /** Called when the job's completion is stored, at this revision. */
         void done(Job job, long revision);
     }
 
-    /** Of the keys of pages, after the root. */
+    /** Prefix of the pages' keys, relative to the root. */
     public static final String PREFIX = "done/";
 
     private static final Logger LOG = LoggerFactory.getLogger(CompletionStore.class);
-    /** The share of a value's size that may be filled with what the chunks may come to take. */
+    /** Share of the value size limit that the maximum sizes of a page's chunks may fill. */
     private static final double FILL = 0.85;
 
     private final String jobRoot;
     private final BatchWriter writer;
     private final Events events;
     private final PageTable<CompletionPage> pages;
-    /** Finished tasks by the chunk's name, counted from its first task. */
+    /** Finished tasks by chunk name, as indexes relative to the chunk's first task. */
     private final Map<String, BitSet> chunks = new HashMap<>();
 
     /**
-     * A store without finished tasks.
+     * Creates a store without finished tasks.
      *
-     * @param root       of the keys of pages
-     * @param jobRoot    of the jobs' keys
-     * @param valueBytes what the state service takes for a value
+     * @param root       root of the pages' keys
+     * @param jobRoot    prefix of the jobs' keys
+     * @param valueBytes size limit of a value in the state service, in bytes
      */
     public CompletionStore(String root, String jobRoot, BatchWriter writer, int valueBytes, Events events) {
         this.jobRoot = jobRoot;
@@ -60,7 +60,7 @@
         this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL), CompletionPage::new, writer);
     }
 
-    /** Tells the table which tasks are finished by a stored page. */
+    /** Marks the tasks that a stored page lists as finished in the job table. */
     public static void read(JsonNode page, JobTable table) {
         if (page == null) {
             return;
@@ -73,14 +73,14 @@
                     int firstTask = CompletionPageCodec.firstTask(name);
                     table.done(jobId, firstTask, CompletionPageCodec.bits(chunk.getValue()));
                 } catch (IllegalArgumentException e) {
-                    // A finished task ends at once where it is started again: its result is kept.
+                    // Harmless: a finished task that is started again ends immediately, because its result is kept.
                     LOG.error("finished tasks unreadable, they are started again: chunk={}", name);
                 }
             }
         }
     }
 
-    /** Takes a page of an earlier leader over; jobs that have ended drop out with the page's next write. */
+    /** Takes over a page of an earlier leader. Chunks of ended jobs are dropped with the page's next write. */
     public void takeOver(String key, JsonNode value, JobTable table) {
         CompletionPage page = pages.open(key);
         for (Map.Entry<String, JsonNode> chunk : value.properties()) {
@@ -96,7 +96,8 @@
         if (pages.of(name) == null) {
             pages.put(name, CompletionPageCodec.maxBytes(job.id(), job.tasks()), page);
         } else {
-            // An earlier leader ended between the two steps of a split: the chunk stays where it was found first.
+            // An earlier leader stopped between the two steps of a split: the chunk stays in the page that was read
+            // first.
             writer.mark(pages.of(name));
             writer.mark(page);
         }
@@ -108,8 +109,8 @@
     }
 
     /**
-     * A job all of whose tasks are stored as finished, but not its end: no task will finish any more, so its end is
-     * written now or never.
+     * Takes over a job. If all its tasks are stored as finished but its completion is not, the completion is written now: no
+     * later task completion would trigger the write.
      */
     public void takeOver(ActiveJob job) {
         if (job.count(Task.State.DONE) == job.size()) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /** A task has finished: it will be stored with the next group. */
+    /** Records that a task has finished. It is stored with one of the next batches. */
     public void finished(Task task) {
         ActiveJob job = task.job();
         int finished = job.count(Task.State.FINISHED) + job.count(Task.State.DONE);
@@ -132,7 +133,7 @@
         writer.mark(page);
     }
 
-    /** The job has ended: its bits are of no use any more, and go with the page's next write. */
+    /** Drops the chunks of a job that has ended. They are removed from the store with the page's next write. */
     public void ended(ActiveJob job) {
         for (int chunk = 0; chunk <= job.size() / CompletionPageCodec.CHUNK_TASKS; chunk++) {
             String name = CompletionPageCodec.chunkName(job.id(), chunk);
@@ -141,16 +142,16 @@
         }
     }
 
-    /** Pages that were filled up to a larger limit are split. */
+    /** Splits pages that were filled under a larger size limit. */
     public void splitOversized() {
         pages.splitOversized();
     }
 
-    /** A stored value of many jobs' chunks. */
+    /** A page that contains chunks of many jobs. */
     private final class CompletionPage extends Page {
-        /** Finished since the page was last rendered. */
+        /** Tasks that have finished since the page was last rendered. */
         private List<Task> added = new ArrayList<>();
-        /** In the write that is on its way. */
+        /** Tasks that were rendered and are not confirmed as stored yet. */
         private List<Task> rendered = new ArrayList<>();
 
         CompletionPage(String key) {
@@ -161,7 +162,7 @@
         public JsonNode render() {
             rendered.addAll(added);
             added = new ArrayList<>();
-            // An empty page is deleted: the number of pages follows the load.
+            // An empty page is deleted, so that the number of pages shrinks with the load.
             return names().isEmpty() ? null : CompletionPageCodec.page(names(), chunks);
         }
 
@@ -185,7 +186,7 @@
         }
     }
 
-    /** The end of a job all of whose tasks have finished. */
+    /** The stored completion of a job, written once all its tasks have finished. */
     private final class JobCompletion implements Document {
         private final ActiveJob job;
 
@@ -216,7 +217,7 @@
             return 1;
         }
 
-        /** Done and cancelled exclude each other: a cancellation that came first wins. */
+        /** A job ends as either done or cancelled: an earlier cancellation wins. */
         @Override
         public boolean wanted() {
             return job.job().active();
--- a/controller/src/main/java/org/landingridge/controller/progress/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What the leader writes of jobs as they proceed: finished tasks, the end of a job whose tasks have all finished, and
- * cancellations that follow from other jobs.
+ * The job progress that the leader stores: finished tasks, the completion of a job whose tasks have all finished, and
+ * cancellations that follow from the cancellation of an awaited job.
  *
- * <p>State: the bits of finished tasks in {@link org.landingridge.controller.progress.CompletionStore}, by chunk of a job, for
- * one leader term. All of it belongs to the event loop. Depends on packages {@code jobs}, {@code fleet} and {@code store}.
+ * <p>State: the bits of finished tasks in {@link org.landingridge.controller.progress.CompletionStore}, by chunk, for one leader
+ * term. The event loop owns it. Depends on packages {@code jobs}, {@code fleet} and {@code store}.
  */
 package org.landingridge.controller.progress;
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the leader's documents in batches, one transaction at a time, within the service's write rate. Every transaction is
- * conditional on the leader's key and on the current version of each document, so one that arrives late, or from a leader of
- * the past, changes nothing.
+ * Writes the leader's documents in batches, one transaction at a time, within the state service's write rate limit. Every
+ * transaction is a compare-and-set on the versions of the leader key and of each document, so a delayed transaction or one from
+ * a former leader changes nothing.
  */
 public final class BatchWriter {
     private enum State {
@@ -36,9 +36,9 @@
     private static final long SHORTEST_PAUSE_MS = 20;
     private static final long REREAD_PAUSE_MS = 50;
     private static final long RETRY_REREAD_MS = 300;
-    /** A transaction takes 64 KiB, keys and conditions included. */
+    /** Size limit of a batch, in bytes. The state service accepts 64 KiB per transaction, including keys and guards. */
     private static final int MOST_BYTES = 60_000;
-    /** What a write takes beside its value. */
+    /** Assumed size of a write without its value, in bytes. */
     private static final int OVERHEAD_BYTES = 100;
 
     private final StateClient client;
@@ -53,12 +53,12 @@
     private State state = State.IDLE;
     private int maxOps;
     private long nextAllowed;
-    /** Counts the leader terms: what an earlier one began is dropped when its answer comes. */
+    /** Incremented by {@link #clear}; answers to requests sent under an earlier value are ignored. */
     private long epoch;
 
     private long refusedAt = Long.MIN_VALUE / 2;
 
-    /** One transaction in the making. */
+    /** The guards, writes and documents of one transaction. */
     private static final class Batch {
         private final List<Guard> guards = new ArrayList<>();
         private final List<Write> writes = new ArrayList<>();
@@ -81,10 +81,13 @@
     }
 
     /**
-     * @param limits        of the state service
-     * @param share         of the puts and deletes a second, what the leader may use
-     * @param leaderVersion version of the leader's key, or 0 while this process may not write
-     * @param busy          takes the time of each write
+     * Creates a writer without pending documents.
+     *
+     * @param limits        limits of the state service
+     * @param share         share of the service's write rate limit that the leader may use, from 0 to 1
+     * @param leaderKey     key of the leader record, a guard of every transaction
+     * @param leaderVersion returns the version of the leader key, or 0 while this process may not write
+     * @param busy          measures the time spent on writes
      */
     public BatchWriter(
             StoreAccess store,
@@ -104,7 +107,7 @@
         this.busy = busy;
     }
 
-    /** Has the document written soon, as it will be then. */
+    /** Queues the document for writing. Its value is rendered when the batch is assembled. */
     public void mark(Document document) {
         dirty.add(document);
         if (state == State.IDLE) {
@@ -112,17 +115,17 @@
         }
     }
 
-    /** True if there is nothing to write. */
+    /** Returns true if no document is pending and no request is in progress. */
     public boolean idle() {
         return state == State.IDLE && dirty.isEmpty();
     }
 
-    /** True if the state service refused a batch lately, and something still waits to be written. */
+    /** Returns true if the state service refused a batch within the last 3 seconds and writes are still pending. */
     public boolean starved() {
         return !idle() && loop.now() - refusedAt < STARVED_MS;
     }
 
-    /** Forgets all documents; for a leader that steps down. */
+    /** Drops all pending documents and ignores outstanding answers. Called when the leader term ends. */
     public void clear() {
         dirty.clear();
         epoch++;
@@ -177,7 +180,7 @@
             }
             dirty.remove(document);
             if (length > valueBytes) {
-                // It would be refused, and all that goes with it, again and again.
+                // The service would reject every batch that contains this document.
                 LOG.error("{} takes {} bytes of {}: it cannot be stored", document.key(), length, valueBytes);
                 document.refused();
                 continue;
@@ -191,7 +194,7 @@
     private void add(Batch batch, Document document, JsonNode value) {
         long version = watchCache.version(document.key());
         if (value == null && version == 0) {
-            // There is nothing to delete.
+            // The key does not exist, so there is nothing to delete.
             loop.after(0, () -> document.stored(watchCache.revision()));
         } else {
             batch.add(document, value, version);
@@ -223,7 +226,7 @@
             }
             case INVALID -> invalid(batch.documents);
             case CONFLICT, NOT_FOUND, NO_LEASE, TOO_OLD, UNKNOWN -> {
-                // Unknown, or another version than ours: what holds now is read before anything is said again.
+                // The outcome is unknown or a version differs: read the current versions before writing again.
                 LOG.info("a batch of {} writes ended {}: reading again", batch.writes.size(), answer.status());
                 dirty.addAll(batch.documents);
                 to(State.REREADING);
@@ -246,8 +249,9 @@
     }
 
     /**
-     * The state service takes less than its announced limits. A smaller batch may pass; a single document that does not is
-     * left as it is until it changes, since asked for the same again the service would refuse for ever.
+     * Handles a batch that the state service rejects as invalid, because it accepts less than its announced limits. A larger
+     * batch is retried at half its size. A single document is not retried before it is marked again, because the service would
+     * reject the same value every time.
      */
     private void invalid(List<Document> documents) {
         documents.forEach(Document::refused);
--- a/controller/src/main/java/org/landingridge/controller/store/Document.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Document.java
@@ -4,32 +4,35 @@
 
 /** One stored value that the leader keeps up to date through the {@link BatchWriter}. */
 public interface Document {
-    /** Where it is stored. */
+    /** Returns the key under which the document is stored. */
     String key();
 
-    /** The value as it should be now; null deletes the key. */
+    /** Returns the current value to store; null deletes the key. */
     JsonNode render();
 
-    /** Called when what {@link #render} last gave is stored, at this revision. */
+    /** Called when the value last returned by {@link #render} has been stored, at this revision. */
     void stored(long revision);
 
-    /** Called when what {@link #render} last gave is certainly not stored; it is rendered again. */
+    /**
+     * Called when the value last returned by {@link #render} was certainly not stored. The document is rendered again, unless
+     * the value is too large or invalid: then it has to be marked again.
+     */
     default void refused() {}
 
-    /** Lower goes first. */
+    /** Returns the write priority; documents with lower values are written first. */
     default int rank() {
         return 5;
     }
 
     /**
-     * False while the document has to wait for another, as one whose rows move to a new document, which has to be stored first:
-     * a reader in between finds them in both, never in neither.
+     * Returns false while another document has to be stored first. For example, when rows move to a new document, that document
+     * is stored first, so that a concurrent reader finds the rows in both documents rather than in none.
      */
     default boolean ready() {
         return true;
     }
 
-    /** False once the document need not be written any more, for instance since a user was quicker. */
+    /** Returns false once the write is no longer needed, for example because a user's request has already changed the key. */
     default boolean wanted() {
         return true;
     }
--- a/controller/src/main/java/org/landingridge/controller/store/Keys.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Keys.java
@@ -1,14 +1,15 @@
 package org.landingridge.controller.store;
 
-/** The keys of the state service. */
+/** Keys and key prefixes in the state service. */
 public final class Keys {
-    /** What every controller keeps a copy of is stored under this prefix. */
+    /** Prefix of all keys that every controller caches. */
     public static final String ROOT = "lr/";
-    /** One key a job that is live, or has ended lately. */
+    /** Prefix of the keys of active and recently ended jobs, one key per job. */
     public static final String JOBS = ROOT + "job/";
 
+    /** Key of the current leader's record; deleted when the leader's lease expires. */
     public static final String LEADER = ROOT + "leader";
-    /** Who led last, for as long as no other follows. */
+    /** Key of the last elected leader's record; it outlives the leader's lease. */
     public static final String LEADER_LAST = LEADER + "-last";
 
     private Keys() {}
--- a/controller/src/main/java/org/landingridge/controller/store/Page.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Page.java
@@ -6,19 +6,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A document that holds many named rows in one stored value; {@link PageTable} says which rows stand in which page. */
+/** A document that stores many named rows in one value; {@link PageTable} assigns rows to pages. */
 public abstract class Page implements Document {
     private final String key;
-    /** What each row may take, in bytes. */
+    /** Maximum size in bytes by row name. */
     private final Map<String, Integer> rows = new LinkedHashMap<>();
 
     private int bytes;
-    /** Pages that take rows of this one over, and have not been stored since. */
+    /** Pages that received rows from this one and may not have been stored yet. */
     private final List<Page> successors = new ArrayList<>();
 
     private boolean everStored;
 
-    /** @param key where the page is stored */
+    /**
+     * Creates an empty page.
+     *
+     * @param key key under which the page is stored
+     */
     protected Page(String key) {
         this.key = key;
     }
@@ -28,34 +32,40 @@
         return key;
     }
 
-    /** Names of the rows, in the order in which they came. */
+    /** Returns the names of the rows in insertion order. */
     public final Set<String> names() {
         return rows.keySet();
     }
 
-    /** Bytes that all rows may take. */
+    /** Returns the maximum total size of the rows, in bytes. */
     final int bytes() {
         return bytes;
     }
 
+    /** Adds a row or updates its size, in bytes. */
     final void put(String name, int size) {
         Integer before = rows.put(name, size);
         bytes += size - (before == null ? 0 : before);
     }
 
+    /** Removes a row and returns its size in bytes; 0 if there is no such row. */
     final int remove(String name) {
         Integer size = rows.remove(name);
         bytes -= size == null ? 0 : size;
         return size == null ? 0 : size;
     }
 
+    /** Records that rows of this page have moved to the successor, which has to be stored first. */
     final void moveTo(Page successor) {
         if (!successors.contains(successor)) {
             successors.add(successor);
         }
     }
 
-    /** Written without rows that no other page holds yet, a leader that reads it then would not know of them. */
+    /**
+     * Returns false until all successors are stored. If this page were written first, without the moved rows, a new leader that
+     * reads the pages at that moment would miss these rows.
+     */
     @Override
     public final boolean ready() {
         successors.removeIf(page -> page.everStored);
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -7,8 +7,10 @@
 import java.util.function.Function;
 
 /**
- * Rows in numbered pages, each of which fits one stored value. Pages that an earlier leader filled up to a larger limit are
- * split: the rows beyond the limit go to other pages, which are stored before the page that loses them.
+ * Assigns rows to numbered pages, each of which fits one stored value. Pages that an earlier leader filled under a larger size
+ * limit are split: the rows beyond the limit move to other pages, which are stored before the page that loses them.
+ *
+ * @param <P> type of the pages
  */
 public final class PageTable<P extends Page> {
     private final String prefix;
@@ -17,13 +19,16 @@
     private final BatchWriter writer;
     private final List<P> pages = new ArrayList<>();
     private final Map<String, P> pageOf = new HashMap<>();
-    /** Numbers that are not free, whatever is known of them here. */
+    /** Keys that must not be used for new pages. */
     private final List<String> reserved = new ArrayList<>();
 
     /**
-     * @param prefix    of the pages' keys
-     * @param pageBytes what the rows of a page may take
-     * @param create    makes an empty page of a key
+     * Creates a table without pages.
+     *
+     * @param prefix    prefix of the pages' keys; a page number is appended
+     * @param pageBytes limit on the total size of a page's rows, in bytes
+     * @param create    creates an empty page for a key
+     * @param writer    writes pages that are split
      */
     public PageTable(String prefix, int pageBytes, Function<String, P> create, BatchWriter writer) {
         this.prefix = prefix;
@@ -32,37 +37,37 @@
         this.writer = writer;
     }
 
-    /** The page of a row, or null. */
+    /** Returns the page of a row, or null. */
     public P of(String row) {
         return pageOf.get(row);
     }
 
-    /** A page that stands in the state service; rows are added by {@link #put(String, int, Page)}. */
+    /** Adds an empty page for the key and returns it; rows are added by {@link #put(String, int, Page)}. */
     public P open(String key) {
         P page = create.apply(key);
         pages.add(page);
         return page;
     }
 
-    /** No page is made under this key. */
+    /** Excludes the key from use for new pages. */
     public void reserve(String key) {
         reserved.add(key);
     }
 
-    /** Notes that the row stands in the page. */
+    /** Records that the page contains the row. {@code size} is its maximum size in bytes. */
     public void put(String row, int size, P page) {
         page.put(row, size);
         pageOf.put(row, page);
     }
 
-    /** The page of the row; a new row goes to one that has room for it. */
+    /** Updates the row's size, in bytes, and returns its page. A new row is added to the first page with enough room. */
     public P put(String row, int size) {
         P page = pageOf.get(row);
         put(row, size, page == null ? withRoom(size) : page);
         return pageOf.get(row);
     }
 
-    /** Removes the row; its page, or null where there was none. */
+    /** Removes the row and returns the page that contained it, or null. */
     public P remove(String row) {
         P page = pageOf.remove(row);
         if (page != null) {
@@ -89,7 +94,7 @@
                 || pages.stream().anyMatch(page -> page.key().equals(key));
     }
 
-    /** Moves what a page holds beyond its limit to other pages, and has all of them written. */
+    /** Moves rows from pages above the size limit to other pages and marks all changed pages for writing. */
     public void splitOversized() {
         for (P page : List.copyOf(pages)) {
             List<String> names = new ArrayList<>(page.names());
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -15,11 +15,11 @@
 import org.landingridge.wire.state.StateTransaction;
 
 /**
- * Calls to the state service. Every outcome is one of the named ones; UNKNOWN may still be carried out. Each {@code done} runs
- * once, later, on the event loop.
+ * Client of the state service. Every call ends with one {@link Status}; after UNKNOWN the request may still be executed. Each
+ * {@code done} callback runs exactly once, asynchronously, on the event loop.
  */
 public final class StateClient {
-    /** INVALID: the request is not one that the service takes, as where a value or a transaction is larger than its limits. */
+    /** The outcome of a call. INVALID means a malformed request, or a value or transaction above the service's size limits. */
     public enum Status {
         OK,
         CONFLICT,
@@ -32,63 +32,67 @@
     }
 
     /**
-     * An answer.
+     * An answer of the state service.
      *
-     * @param body     null unless the service sent one
-     * @param overRate it was refused since the service's rate is used up
+     * @param body     body of the answer; null if the service sent none
+     * @param overRate true if the request was refused because the rate limit was exceeded
      */
     public record Answer(Status status, JsonNode body, boolean overRate) {
         private Answer(Status status, JsonNode body) {
             this(status, body, false);
         }
 
-        /** True if the request was carried out. */
+        /** Returns true if the request was executed. */
         public boolean ok() {
             return status == Status.OK;
         }
 
-        /** The revision of the whole store; -1 where the answer has none. */
+        /** Returns the revision of the whole store; -1 if the answer has none. */
         public long revision() {
             return body == null ? -1 : StateAnswer.revision(body);
         }
 
-        /** The lease that was granted; 0 where the answer has none. */
+        /** Returns the id of the granted lease; 0 if the answer has none. */
         public long lease() {
             return body == null ? 0 : StateAnswer.lease(body);
         }
 
-        /** The value that was read; null where the answer has none. */
+        /** Returns the value that was read; null if the answer has none. */
         public JsonNode value() {
             return body == null ? null : StateEntry.read(body).value();
         }
 
-        /** The version of the key that was read; 0 where the answer has none. */
+        /** Returns the version of the key that was read; 0 if the answer has none. */
         public long version() {
             return body == null ? 0 : StateEntry.read(body).version();
         }
 
-        /** The page of keys that was read; empty unless the answer is one. */
+        /** Returns the page of keys; empty if the answer is not a listing. */
         public Optional<StateListing> listing() {
             return ok() ? StateListing.read(body) : Optional.empty();
         }
 
-        /** What a watch brought; empty unless the answer is that of one. */
+        /** Returns the changes delivered by a watch; empty if the answer is not from a watch. */
         public Optional<StateChanges> changes() {
             return ok() ? StateChanges.read(body) : Optional.empty();
         }
     }
 
-    /** The version that a key must have; 0: it must not exist. */
+    /** A condition of a transaction: the key must have this version; 0 means that the key must not exist. */
     public record Guard(String key, long version) {}
 
-    /** A put, or a delete where {@code value} is null; {@code lease} 0 means none. */
+    /** A put, or a delete if {@code value} is null. The key is bound to the lease; {@code lease} 0 means no lease. */
     public record Write(String key, JsonNode value, long lease) {}
 
     private static final long TIMEOUT_MS = 2_000;
     private final Http http;
     private final String addr;
 
-    /** @param addr host and port of the state service */
+    /**
+     * Creates a client.
+     *
+     * @param addr host and port of the state service
+     */
     public StateClient(Http http, String addr) {
         this.http = http;
         this.addr = addr;
@@ -99,22 +103,22 @@
         call(new StateRequest.Get(key), TIMEOUT_MS, done);
     }
 
-    /** Reads a key only to learn whether the service answers within so many milliseconds. */
+    /** Reads a key to check whether the service answers within {@code timeoutMs}. */
     public void probe(String key, long timeoutMs, Consumer<Answer> done) {
         call(new StateRequest.Get(key), timeoutMs, done);
     }
 
-    /** Reads a page of keys: {@link Answer#listing}. {@code after} is null for the first page. */
+    /** Reads a page of keys: {@link Answer#listing}. {@code after} is the last key of the previous page; null for the first. */
     public void list(String prefix, String after, int limit, Consumer<Answer> done) {
         call(new StateRequest.ListKeys(prefix, after, limit), TIMEOUT_MS, done);
     }
 
-    /** Waits for so many milliseconds for changes after a revision: {@link Answer#changes}. */
+    /** Waits up to {@code waitMs} for changes later than the revision {@code after}: {@link Answer#changes}. */
     public void watch(String prefix, long after, long waitMs, Consumer<Answer> done) {
         call(new StateRequest.Watch(prefix, after, waitMs), waitMs + TIMEOUT_MS, done);
     }
 
-    /** Carries out all writes if all guards hold: {@link Answer#revision}. */
+    /** Executes all writes atomically if all guards hold: {@link Answer#revision}. */
     public void commit(List<Guard> guards, List<Write> writes, Consumer<Answer> done) {
         call(new StateRequest.Commit(transaction(guards, writes)), TIMEOUT_MS, done);
     }
@@ -131,17 +135,17 @@
         return new StateTransaction(conditions, changes);
     }
 
-    /** Asks for a lease of so many milliseconds: {@link Answer#lease}. */
+    /** Requests a lease with this duration in milliseconds: {@link Answer#lease}. */
     public void grant(long durationMs, Consumer<Answer> done) {
         call(new StateRequest.GrantLease(durationMs), TIMEOUT_MS, done);
     }
 
-    /** Gives a lease its full time again. */
+    /** Renews a lease for its full duration. */
     public void renew(long lease, long timeoutMs, Consumer<Answer> done) {
         call(new StateRequest.RenewLease(lease), timeoutMs, done);
     }
 
-    /** Ends a lease at once. */
+    /** Releases a lease immediately. */
     public void release(long lease, Consumer<Answer> done) {
         call(new StateRequest.ReleaseLease(lease), TIMEOUT_MS, done);
     }
--- a/controller/src/main/java/org/landingridge/controller/store/StoreAccess.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StoreAccess.java
@@ -3,10 +3,10 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * What a writer of the state service needs: the calls, the copy that knows the versions, and the clock with its timers.
+ * The objects that a writer to the state service needs.
  *
- * @param client the calls
- * @param cache  the copy of what is stored
- * @param loop   the event loop that runs all of it
+ * @param client client of the state service
+ * @param cache  cache that has the current versions of the keys
+ * @param loop   event loop that runs all callbacks and provides the clock and timers
  */
 public record StoreAccess(StateClient client, WatchCache cache, EventLoop loop) {}
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -20,17 +20,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A copy of everything under one prefix, kept current by a watch, and the read barrier on it. The cache keeps the versions;
- * what the values mean is its listener's business. The watch may be wider than what is read at the start: then the listener
- * hears of changes to keys that it has to read by itself.
+ * Caches the versions of all keys under a prefix, keeps them current with a watch, and provides a read barrier. The values are
+ * passed to the listener. The watched prefix may cover more keys than the loaded prefix: for the additional keys the listener
+ * receives changes only and has to read their initial values by itself.
  */
 public final class WatchCache {
-    /** Called for what changes. */
+    /** Receives the values that were loaded and the changes to watched keys. */
     public interface Listener {
-        /** A change, in order; {@code value} is null for a deletion. */
+        /** Called for each change, in order of revision; {@code value} is null for a deletion. */
         void changed(String key, JsonNode value, long version);
 
-        /** Changes may have been missed, outside of what is now read again. */
+        /** Called when changes may have been missed. Keys outside the loaded prefix are not reloaded by the cache. */
         default void lost() {}
     }
 
@@ -55,7 +55,7 @@
     private State state = State.LOADING;
     private long revision = -1;
     private long lastAnswer = Long.MIN_VALUE / 2;
-    /** Everything stored before this time, by the loop's clock, has been taken over here. */
+    /** Time on the loop's clock, in milliseconds: the cache reflects everything that was stored before it. */
     private long viewAt = Long.MIN_VALUE / 2;
 
     private boolean loaded;
@@ -63,22 +63,22 @@
     private boolean barrierDue;
     private boolean barrierRunning;
 
-    /** A caller at the barrier. */
+    /** The callbacks of one barrier call. */
     private record Waiter(Runnable passed, Runnable failed) {}
 
     /**
-     * A reading of all pages.
+     * The state of a full load, page by page.
      *
-     * @param unseen   keys known before that no page has shown yet
-     * @param revision of the first page; -1 before it has come
-     * @param beganAt  when the first page was asked for
+     * @param unseen   keys that were cached before the load and have not appeared in any page yet
+     * @param revision revision of the first page; -1 until it arrives
+     * @param beganAt  time at which the first page was requested, on the loop's clock
      */
     private record Load(Set<String> unseen, long revision, long beganAt) {}
 
     /**
-     * @param prefix  what is read at the start and kept
-     * @param watched a prefix of it: what the listener is called for
-     * @param pauseMs between two watches, and before a barrier, in milliseconds
+     * @param prefix  prefix of the keys that are loaded at the start and cached
+     * @param watched prefix of the keys that are watched; equal to {@code prefix} or shorter
+     * @param pauseMs pause between two watch requests and before a barrier, in milliseconds
      */
     public WatchCache(
             StateClient client,
@@ -97,62 +97,62 @@
         this.listener = listener;
     }
 
-    /** Reads everything, and follows the changes from there on. */
+    /** Loads all keys, then follows their changes. */
     public void start() {
         load(null, new Load(new HashSet<>(versions.keySet()), -1, loop.now()));
     }
 
-    /** False until everything has been read, and while it is read again. */
+    /** Returns true once all keys are loaded, and false during a reload. */
     public boolean following() {
         return state == State.FOLLOWING;
     }
 
-    /** Everything up to this revision is known here; -1 before anything is. */
+    /** Returns the revision up to which all changes are applied; -1 before the first load. */
     public long revision() {
         return revision;
     }
 
-    /** When the state service last answered, by the loop's clock. */
+    /** Returns the time of the state service's last answer, on the loop's clock. Refusals do not count. */
     public long lastAnswer() {
         return lastAnswer;
     }
 
-    /** A time by the loop's clock: everything that was stored before is known here. Long past while nothing is. */
+    /** Returns a time on the loop's clock: the cache reflects all earlier writes. Far in the past until the first load ends. */
     public long viewAt() {
         return viewAt;
     }
 
-    /** True once this process has read the state whole. */
+    /** Returns true once the first full load is complete. */
     public boolean loaded() {
         return loaded;
     }
 
-    /** The version of a key, 0 where it does not exist. */
+    /** Returns the version of a key; 0 if the key does not exist. */
     public long version(String key) {
         return versions.getOrDefault(key, 0L);
     }
 
-    /** Notes a version that this process has just committed, ahead of the watch. */
+    /** Records the version of a key that this process has committed, before the watch delivers the change. */
     public void committed(String key, long version) {
-        // What the watch has brought already is newer, or the same: a key deleted since must not come back by this.
+        // Changes that the watch has delivered are as new or newer: a key deleted in the meantime must not reappear.
         if (version > revision && version > version(key)) {
             versions.put(key, version);
         }
     }
 
-    /** Notes a deletion that this process has just committed, ahead of the watch. */
+    /** Records a deletion that this process has committed, before the watch delivers it. */
     public void deleted(String key, long at) {
         if (at > revision) {
             versions.remove(key);
         }
     }
 
-    /** The listener does not need the key's version any more. */
+    /** Drops the version of a key that the listener no longer needs. */
     public void forget(String key) {
         versions.remove(key);
     }
 
-    /** Runs {@code passed} once the copy is at least as new as any answer given before this call. */
+    /** Runs {@code passed} once the cache is at least as new as every answer sent before this call, else {@code failed}. */
     public void barrier(Runnable passed, Runnable failed) {
         waiting.add(new Waiter(passed, failed));
         if (!barrierDue) {
@@ -197,7 +197,7 @@
         client.watch(watched, from, WATCH_MS, answer -> {
             note(answer);
             if (answer.ok() && apply(answer, sentAt)) {
-                // The pause gathers changes: one request of the shared rate then brings many.
+                // The pause lets one request deliver many changes, which saves requests of the shared rate limit.
                 loop.after(pauseMs, this::follow);
             } else if (answer.status() == Status.TOO_OLD) {
                 LOG.info("the watch is too far behind, reading everything again");
@@ -210,7 +210,7 @@
         });
     }
 
-    /** @param sentAt when it was asked for: how late the answer comes, and how old it then is, is not known */
+    /** Applies an answer to a watch; false if malformed. It reflects the store at {@code sentAt} or at any later time. */
     private boolean apply(Answer answer, long sentAt) {
         Optional<StateChanges> changes = answer.changes();
         if (changes.isEmpty()) {
@@ -219,7 +219,7 @@
         }
         busy.during(ActivityTimer.Part.WATCH, () -> apply(changes.get().changes()));
         revision = Math.max(revision, changes.get().revision());
-        // While everything is read again, what a watch brings is not the whole.
+        // During a reload, the changes from a watch alone do not make the cache complete.
         viewAt = state == State.FOLLOWING ? Math.max(viewAt, sentAt) : viewAt;
         return true;
     }
@@ -227,7 +227,7 @@
     private void apply(List<StateChange> changes) {
         long before = revision;
         for (StateChange change : changes) {
-            // Watch and barrier overlap: what the other has applied already is passed over.
+            // The watch and the barrier may deliver the same change: skip changes that are already applied.
             if (change.version() > before) {
                 apply(change);
             }
@@ -247,8 +247,8 @@
     }
 
     /**
-     * Reads all pages. The first page's revision is where the watch begins: changes made while later pages are read then come
-     * once more, which does no harm.
+     * Loads the keys later than {@code after} page by page. The watch begins at the first page's revision: changes made while
+     * later pages were loaded are delivered a second time, which is harmless.
      */
     private void load(String after, Load load) {
         client.list(prefix, after, PAGE_ENTRIES, answer -> {
--- a/controller/src/main/java/org/landingridge/controller/store/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/store/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Access to the state service: its calls, a copy of what is stored that a watch keeps current, and the writing of the leader's
- * documents in batches within the service's limits.
+ * Access to the state service: the client, a cache that a watch keeps current, and a writer that stores the leader's documents
+ * in batches within the service's limits.
  *
- * <p>State: the versions of all keys, the changes that have been taken over, and the documents that wait to be written. The
+ * <p>State: the versions of all keys, the revision up to which changes are applied, and the documents with pending writes. The
  * event loop owns all of it. The package may depend on {@code settings} and {@code observability}, and on modules net and
  * wire.
  */
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -19,15 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which features each controller's version knows. What a controller of an earlier version would misread is not written before
- * all controllers have announced that they know it: each does so once, under a key of its own, which outlasts the process.
+ * Tracks which features the version of each controller supports. Data that an earlier version would misread is written only
+ * after all controllers have announced support for it. Each controller stores its announcement once, under its own key, which
+ * outlives the process.
  */
 public final class Capabilities {
-    /** What a version may know; the field names its level in the stored announcement. */
+    /** A feature that changes the stored data; the field stores its level in the announcement. */
     public enum Feature {
-        /** Ended jobs may stand in segments of the history: without knowing them a late retry is taken for a new job. */
+        /** Ended jobs move to history segments. A version without support would accept a late retry as a new job. */
         HISTORY("history"),
-        /** Jobs may await others: who ignores that starts their tasks too early. */
+        /** Jobs may await other jobs. A version without support would start their tasks too early. */
         PIPELINES("pipelines");
 
         private final String field;
@@ -37,9 +38,9 @@
         }
     }
 
-    /** The announcements' keys are this and the controller's host name. */
+    /** Prefix of the announcements' keys; the controller's host name is appended. */
     public static final String ROOT = Keys.ROOT + "node/";
-    /** The level of every feature that this version knows. */
+    /** Level at which this version supports every feature. */
     private static final int LEVEL = 1;
 
     private static final long RETRY_MS = 5_000;
@@ -49,14 +50,14 @@
     private final EventLoop loop;
     private final String host;
     private final TreeSet<String> hosts;
-    /** What each controller has announced, by host. */
+    /** Announced levels by host. */
     private final Map<String, Levels> announced = new HashMap<>();
 
-    /** The stored announcement of one controller: a level for each feature, 0 for one that it does not know. */
+    /** The stored announcement of one controller: a level for each feature; 0 means not supported. */
     private static final class Levels {
         private final Map<Feature, Integer> levels = new EnumMap<>(Feature.class);
 
-        /** A controller that has announced nothing is read from null. */
+        /** Reads an announcement; null means that the controller has announced nothing. */
         static Levels read(JsonNode announcement) {
             Levels read = new Levels();
             for (Feature feature : Feature.values()) {
@@ -69,7 +70,7 @@
             return levels.get(feature);
         }
 
-        /** These levels, raised to what this version knows. */
+        /** Returns these levels, each raised to at least the level of this version. */
         Levels raised() {
             Levels raised = new Levels();
             for (Feature feature : Feature.values()) {
@@ -85,7 +86,12 @@
         }
     }
 
-    /** @param others the other controllers' hosts */
+    /**
+     * Creates the tracker; {@link #announce} stores this controller's announcement.
+     *
+     * @param host   host name of this controller
+     * @param others host names of the other controllers
+     */
     public Capabilities(StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> others) {
         this.client = client;
         this.watchCache = watchCache;
@@ -95,7 +101,7 @@
         hosts.add(host);
     }
 
-    /** The watch's news of one controller's announcement; null: it has been removed. */
+    /** Applies a change to a controller's announcement; {@code value} is null if it has been removed. */
     public void changed(String key, JsonNode value) {
         announced.put(key.substring(ROOT.length()), Levels.read(value));
     }
@@ -105,7 +111,7 @@
         return levels == null ? Levels.read(null) : levels;
     }
 
-    /** Announces what this version knows, where an earlier process of this host has not done so. */
+    /** Announces the features of this version, unless an earlier process on this host has already done so. */
     public void announce() {
         Levels before = levels(host);
         boolean missing = false;
@@ -121,7 +127,8 @@
         if (watchCache.following()) {
             store(before.raised());
         }
-        // Until the watch brings it back: an answer that got lost and a refusal are the same from here.
+        // Retries until the watch delivers the announcement, whatever the answer: a lost answer and a refusal look the
+        // same.
         loop.after(RETRY_MS, this::announce);
     }
 
@@ -131,7 +138,7 @@
         client.commit(guards, List.of(new Write(key, levels.toJson(), 0)), answer -> {});
     }
 
-    /** The controllers that have not announced that they know the feature. */
+    /** Returns the hosts of the controllers that have not announced support for the feature. */
     public List<String> unaware(Feature feature) {
         List<String> unaware = new ArrayList<>();
         for (String controller : hosts) {
@@ -142,7 +149,7 @@
         return unaware;
     }
 
-    /** True if every controller has announced that it knows the feature. */
+    /** Returns true if every controller has announced support for the feature. */
     public boolean all(Feature feature) {
         return unaware(feature).isEmpty();
     }
--- a/controller/src/main/java/org/landingridge/controller/upgrade/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which features the versions of all controllers know, so that none writes what another would misread.
+ * Tracks the features that each controller's version supports, so that no controller writes data that another would misread.
  *
- * <p>State: the announcements, as the watch brings them. The event loop owns it. The package may depend on {@code store}.
+ * <p>State: the announcements, as the watch delivers them. The event loop owns it. The package may depend on {@code store}.
  */
 package org.landingridge.controller.upgrade;
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -24,7 +24,11 @@
 import org.landingridge.emulator.Simulation;
 import org.landingridge.wire.Json;
 
-/** Pages that were filled up to a larger limit, written under the smaller one: at every revision each row stands somewhere. */
+/**
+ * Guards against rows lost while pages that were filled under a larger size limit are split: if a page were written without its
+ * moved rows before the pages that receive them, a leader reading in between would not find these rows. Also guards against
+ * endless retries of writes that the state service rejects for their size.
+ */
 class PageTableTest {
     private static final int ROW = 20;
     private static final String LEADER = "lr/leader";
@@ -69,7 +73,7 @@
         return n;
     }
 
-    /** With one write to a transaction, the successors come first, however the ranks order them. */
+    /** With one write per transaction, the receiving pages must be written first although all pages have the same rank. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 4})
     void noRowIsEverNowhere(int writesToATransaction) {
@@ -104,7 +108,7 @@
         assertEquals(0, state.tooLarge());
     }
 
-    /** A service that takes less than it announced: no group is sent for ever, and a document that passes alone is stored. */
+    /** The service accepts less than it announced: no batch is retried forever, and every document that fits alone is stored. */
     @Test
     void refusedForSizeIsNotRepeatedForEver() {
         state.seed(LEADER, Json.object());
