--- a/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -16,20 +16,20 @@
  */
 public final class CancellationWriter {
     private final BatchWriter writer;
-    private final JobTable table;
-    private final Set<Job> marked = new HashSet<>();
+    private final JobTable jobTable;
+    private final Set<Job> markedJobs = new HashSet<>();
 
     /** Creates a writer for the cancellations that the table derives. */
-    public CancellationWriter(BatchWriter writer, JobTable table) {
+    public CancellationWriter(BatchWriter writer, JobTable jobTable) {
         this.writer = writer;
-        this.table = table;
+        this.jobTable = jobTable;
     }
 
     /** Marks every derived cancellation that is not stored yet for writing. */
     public void write() {
-        marked.retainAll(table.terminated().unpersisted());
-        for (Job job : table.terminated().unpersisted()) {
-            if (marked.add(job)) {
+        markedJobs.retainAll(jobTable.terminated().unpersisted());
+        for (Job job : jobTable.terminated().unpersisted()) {
+            if (markedJobs.add(job)) {
                 writer.mark(new Cancellation(job));
             }
         }
@@ -54,7 +54,7 @@
 
         @Override
         public void stored(long revision) {
-            table.terminated().persisted(job);
+            jobTable.terminated().persisted(job);
         }
 
         /** Ranks after all writes that a user or a worker waits for. */
@@ -65,7 +65,7 @@
 
         @Override
         public boolean wanted() {
-            return table.terminated().unpersisted().contains(job);
+            return jobTable.terminated().unpersisted().contains(job);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionPageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionPageCodec.java
@@ -46,21 +46,23 @@
      *
      * @throws IllegalArgumentException if the chunk is not valid base64
      */
-    static BitSet bits(JsonNode chunk) {
+    static BitSet decodeChunk(JsonNode chunk) {
         return BitSet.valueOf(Base64.getDecoder().decode(chunk.asText()));
     }
 
     /** Returns the value to store for a page with these chunks. */
-    static JsonNode page(Collection<String> chunkNames, Map<String, BitSet> chunks) {
+    static JsonNode encodePage(Collection<String> chunkNames, Map<String, BitSet> finishedByChunk) {
         ObjectNode page = Json.object();
         for (String name : chunkNames) {
-            page.put(name, Base64.getEncoder().encodeToString(chunks.get(name).toByteArray()));
+            page.put(
+                    name,
+                    Base64.getEncoder().encodeToString(finishedByChunk.get(name).toByteArray()));
         }
         return page;
     }
 
     /** Returns the maximum size of a chunk in its page, in bytes: its name, and one character for six tasks. */
-    static int maxBytes(String jobId, int tasks) {
-        return 24 + jobId.length() + Math.min(CHUNK_TASKS, tasks) / 6;
+    static int maxChunkBytes(String jobId, int taskCount) {
+        return 24 + jobId.length() + Math.min(CHUNK_TASKS, taskCount) / 6;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -37,74 +37,77 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(CompletionStore.class);
     /** Share of the value size limit that the maximum sizes of a page's chunks may fill. */
-    private static final double FILL = 0.85;
+    private static final double MAX_FILL_SHARE = 0.85;
 
     private final String jobRoot;
     private final BatchWriter writer;
     private final Events events;
     private final PageTable<CompletionPage> pages;
     /** Finished tasks by chunk name, as indexes relative to the chunk's first task. */
-    private final Map<String, BitSet> chunks = new HashMap<>();
+    private final Map<String, BitSet> finishedByChunk = new HashMap<>();
 
     /**
      * Creates a store without finished tasks.
      *
-     * @param root       root of the pages' keys
-     * @param jobRoot    prefix of the jobs' keys
-     * @param valueBytes size limit of a value in the state service, in bytes
+     * @param root          root of the pages' keys
+     * @param jobRoot       prefix of the jobs' keys
+     * @param maxValueBytes size limit of a value in the state service, in bytes
      */
-    public CompletionStore(String root, String jobRoot, BatchWriter writer, int valueBytes, Events events) {
+    public CompletionStore(String root, String jobRoot, BatchWriter writer, int maxValueBytes, Events events) {
         this.jobRoot = jobRoot;
         this.writer = writer;
         this.events = events;
-        this.pages = new PageTable<>(root + PREFIX, (int) (valueBytes * FILL), CompletionPage::new, writer);
+        this.pages =
+                new PageTable<>(root + PREFIX, (int) (maxValueBytes * MAX_FILL_SHARE), CompletionPage::new, writer);
     }
 
     /** Marks the tasks that a stored page lists as finished in the job table. */
-    public static void read(JsonNode page, JobTable table) {
+    public static void read(JsonNode page, JobTable jobTable) {
         if (page == null) {
             return;
         }
         for (Map.Entry<String, JsonNode> chunk : page.properties()) {
-            String name = chunk.getKey();
-            String jobId = CompletionPageCodec.jobId(name);
+            String chunkName = chunk.getKey();
+            String jobId = CompletionPageCodec.jobId(chunkName);
             if (jobId != null && chunk.getValue().isTextual()) {
                 try {
-                    int firstTask = CompletionPageCodec.firstTask(name);
-                    table.done(jobId, firstTask, CompletionPageCodec.bits(chunk.getValue()));
+                    int firstTask = CompletionPageCodec.firstTask(chunkName);
+                    jobTable.done(jobId, firstTask, CompletionPageCodec.decodeChunk(chunk.getValue()));
                 } catch (IllegalArgumentException e) {
                     // Harmless: a finished task that is started again ends immediately, because its result is kept.
-                    LOG.error("finished tasks unreadable, they are started again: chunk={}", name);
+                    LOG.error("finished tasks unreadable, they are started again: chunk={}", chunkName);
                 }
             }
         }
     }
 
     /** Takes over a page of an earlier leader. Chunks of ended jobs are dropped with the page's next write. */
-    public void takeOver(String key, JsonNode value, JobTable table) {
+    public void takeOver(String key, JsonNode value, JobTable jobTable) {
         CompletionPage page = pages.open(key);
         for (Map.Entry<String, JsonNode> chunk : value.properties()) {
             String jobId = CompletionPageCodec.jobId(chunk.getKey());
-            Job job = jobId == null ? null : table.get(jobId);
+            Job job = jobId == null ? null : jobTable.get(jobId);
             if (job != null && job.active()) {
-                takeOver(page, job, chunk.getKey(), chunk.getValue());
+                takeOverChunk(page, job, chunk.getKey(), chunk.getValue());
             }
         }
     }
 
-    private void takeOver(CompletionPage page, Job job, String name, JsonNode bits) {
-        if (pages.of(name) == null) {
-            pages.put(name, CompletionPageCodec.maxBytes(job.id(), job.tasks()), page);
+    private void takeOverChunk(CompletionPage page, Job job, String chunkName, JsonNode encodedBits) {
+        if (pages.of(chunkName) == null) {
+            pages.put(chunkName, CompletionPageCodec.maxChunkBytes(job.id(), job.tasks()), page);
         } else {
             // An earlier leader stopped between the two steps of a split: the chunk stays in the page that was read
             // first.
-            writer.mark(pages.of(name));
+            writer.mark(pages.of(chunkName));
             writer.mark(page);
         }
         try {
-            chunks.computeIfAbsent(name, chunk -> new BitSet()).or(CompletionPageCodec.bits(bits));
+            finishedByChunk
+                    .computeIfAbsent(chunkName, key -> new BitSet())
+                    .or(CompletionPageCodec.decodeChunk(encodedBits));
         } catch (IllegalArgumentException e) {
-            LOG.error("finished tasks unreadable: chunk={} page={}", name, page.key());
+            LOG.error("finished tasks unreadable: chunk={} page={}", chunkName, page.key());
         }
     }
 
@@ -121,24 +124,26 @@
     /** Records that a task has finished. It is stored with one of the next batches. */
     public void finished(Task task) {
         ActiveJob job = task.job();
-        int finished = job.count(Task.State.FINISHED) + job.count(Task.State.DONE);
-        if (finished == job.size()) {
+        int finishedTasks = job.count(Task.State.FINISHED) + job.count(Task.State.DONE);
+        if (finishedTasks == job.size()) {
             writer.mark(new JobCompletion(job));
             return;
         }
-        String chunk = CompletionPageCodec.chunkName(job.id(), task.index() / CompletionPageCodec.CHUNK_TASKS);
-        CompletionPage page = pages.put(chunk, CompletionPageCodec.maxBytes(job.id(), job.size()));
-        chunks.computeIfAbsent(chunk, c -> new BitSet()).set(task.index() % CompletionPageCodec.CHUNK_TASKS);
-        page.added.add(task);
+        String chunkName = CompletionPageCodec.chunkName(job.id(), task.index() / CompletionPageCodec.CHUNK_TASKS);
+        CompletionPage page = pages.put(chunkName, CompletionPageCodec.maxChunkBytes(job.id(), job.size()));
+        finishedByChunk
+                .computeIfAbsent(chunkName, key -> new BitSet())
+                .set(task.index() % CompletionPageCodec.CHUNK_TASKS);
+        page.unrendered.add(task);
         writer.mark(page);
     }
 
     /** Drops the chunks of a job that has ended. They are removed from the store with the page's next write. */
     public void ended(ActiveJob job) {
         for (int chunk = 0; chunk <= job.size() / CompletionPageCodec.CHUNK_TASKS; chunk++) {
-            String name = CompletionPageCodec.chunkName(job.id(), chunk);
-            pages.remove(name);
-            chunks.remove(name);
+            String chunkName = CompletionPageCodec.chunkName(job.id(), chunk);
+            pages.remove(chunkName);
+            finishedByChunk.remove(chunkName);
         }
     }
 
@@ -150,9 +155,9 @@
     /** A page that contains chunks of many jobs. */
     private final class CompletionPage extends Page {
         /** Tasks that have finished since the page was last rendered. */
-        private List<Task> added = new ArrayList<>();
+        private List<Task> unrendered = new ArrayList<>();
         /** Tasks that were rendered and are not confirmed as stored yet. */
-        private List<Task> rendered = new ArrayList<>();
+        private List<Task> unconfirmed = new ArrayList<>();
 
         CompletionPage(String key) {
             super(key);
@@ -160,18 +165,18 @@
 
         @Override
         public JsonNode render() {
-            rendered.addAll(added);
-            added = new ArrayList<>();
+            unconfirmed.addAll(unrendered);
+            unrendered = new ArrayList<>();
             // An empty page is deleted, so that the number of pages shrinks with the load.
-            return names().isEmpty() ? null : CompletionPageCodec.page(names(), chunks);
+            return names().isEmpty() ? null : CompletionPageCodec.encodePage(names(), finishedByChunk);
         }
 
         @Override
         public void stored(long revision) {
             super.stored(revision);
-            List<Task> tasks = rendered;
-            rendered = new ArrayList<>();
-            for (Task task : tasks) {
+            List<Task> storedTasks = unconfirmed;
+            unconfirmed = new ArrayList<>();
+            for (Task task : storedTasks) {
                 Job job = task.job().job();
                 if (job.active()) {
                     job.done().set(task.index());
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -31,28 +31,28 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(BatchWriter.class);
-    private static final long STARVED_MS = 3_000;
-    private static final long REFUSED_PAUSE_MS = 250;
-    private static final long SHORTEST_PAUSE_MS = 20;
-    private static final long REREAD_PAUSE_MS = 50;
+    private static final long RECENT_REFUSAL_MS = 3_000;
+    private static final long RETRY_PAUSE_MS = 250;
+    private static final long MIN_PAUSE_MS = 20;
+    private static final long PAUSE_AFTER_REREAD_MS = 50;
     private static final long RETRY_REREAD_MS = 300;
     /** Size limit of a batch, in bytes. The state service accepts 64 KiB per transaction, including keys and guards. */
-    private static final int MOST_BYTES = 60_000;
+    private static final int MAX_BATCH_BYTES = 60_000;
     /** Assumed size of a write without its value, in bytes. */
-    private static final int OVERHEAD_BYTES = 100;
+    private static final int WRITE_OVERHEAD_BYTES = 100;
 
     private final StateClient client;
     private final WatchCache watchCache;
     private final EventLoop loop;
-    private final int valueBytes;
+    private final int maxValueBytes;
     private final double msPerWrite;
     private final String leaderKey;
     private final LongSupplier leaderVersion;
-    private final ActivityTimer busy;
-    private final Set<Document> dirty = new LinkedHashSet<>();
+    private final ActivityTimer timer;
+    private final Set<Document> pending = new LinkedHashSet<>();
     private State state = State.IDLE;
-    private int maxOps;
-    private long nextAllowed;
+    private int maxBatchWrites;
+    private long nextBatchAt;
     /** Incremented by {@link #clear}; answers to requests sent under an earlier value are ignored. */
     private long epoch;
 
@@ -63,14 +63,14 @@
         private final List<Guard> guards = new ArrayList<>();
         private final List<Write> writes = new ArrayList<>();
         private final List<Document> documents = new ArrayList<>();
-        private int bytes;
+        private int totalBytes;
 
-        Batch(Guard leader) {
-            guards.add(leader);
+        Batch(Guard leaderGuard) {
+            guards.add(leaderGuard);
         }
 
-        boolean hasRoom(int size) {
-            return bytes + size <= MOST_BYTES;
+        boolean hasRoom(int additionalBytes) {
+            return totalBytes + additionalBytes <= MAX_BATCH_BYTES;
         }
 
         void add(Document document, JsonNode value, long version) {
@@ -83,33 +83,33 @@
     /**
      * Creates a writer without pending documents.
      *
-     * @param limits        limits of the state service
-     * @param share         share of the service's write rate limit that the leader may use, from 0 to 1
-     * @param leaderKey     key of the leader record, a guard of every transaction
-     * @param leaderVersion returns the version of the leader key, or 0 while this process may not write
-     * @param busy          measures the time spent on writes
+     * @param stateLimits    limits of the state service
+     * @param writeRateShare share of the service's write rate limit that the leader may use, from 0 to 1
+     * @param leaderKey      key of the leader record, a guard of every transaction
+     * @param leaderVersion  returns the version of the leader key, or 0 while this process may not write
+     * @param timer          measures the time spent on writes
      */
     public BatchWriter(
             StoreAccess store,
-            Settings.State limits,
-            double share,
+            Settings.State stateLimits,
+            double writeRateShare,
             String leaderKey,
             LongSupplier leaderVersion,
-            ActivityTimer busy) {
+            ActivityTimer timer) {
         this.client = store.client();
         this.watchCache = store.cache();
         this.loop = store.loop();
-        this.maxOps = limits.txnOps();
-        this.valueBytes = limits.valueBytes();
-        this.msPerWrite = 1000.0 / (limits.writeRps() * share);
+        this.maxBatchWrites = stateLimits.txnOps();
+        this.maxValueBytes = stateLimits.valueBytes();
+        this.msPerWrite = 1000.0 / (stateLimits.writeRps() * writeRateShare);
         this.leaderKey = leaderKey;
         this.leaderVersion = leaderVersion;
-        this.busy = busy;
+        this.timer = timer;
     }
 
     /** Queues the document for writing. Its value is rendered when the batch is assembled. */
     public void mark(Document document) {
-        dirty.add(document);
+        pending.add(document);
         if (state == State.IDLE) {
             schedule(0);
         }
@@ -117,81 +117,81 @@
 
     /** Returns true if no document is pending and no request is in progress. */
     public boolean idle() {
-        return state == State.IDLE && dirty.isEmpty();
+        return state == State.IDLE && pending.isEmpty();
     }
 
     /** Returns true if the state service refused a batch within the last 3 seconds and writes are still pending. */
     public boolean starved() {
-        return !idle() && loop.now() - refusedAt < STARVED_MS;
+        return !idle() && loop.now() - refusedAt < RECENT_REFUSAL_MS;
     }
 
     /** Drops all pending documents and ignores outstanding answers. Called when the leader term ends. */
     public void clear() {
-        dirty.clear();
+        pending.clear();
         epoch++;
-        to(State.IDLE);
+        transitionTo(State.IDLE);
     }
 
-    private void to(State next) {
-        state = next;
+    private void transitionTo(State nextState) {
+        state = nextState;
     }
 
-    private void schedule(long atLeastMs) {
-        to(State.WAITING);
+    private void schedule(long minDelayMs) {
+        transitionTo(State.WAITING);
         loop.after(
-                Math.max(atLeastMs, Math.max(SHORTEST_PAUSE_MS, nextAllowed - loop.now())),
-                () -> busy.during(ActivityTimer.Part.WRITES, this::write));
+                Math.max(minDelayMs, Math.max(MIN_PAUSE_MS, nextBatchAt - loop.now())),
+                () -> timer.during(ActivityTimer.Part.WRITES, this::writeBatch));
     }
 
-    private void write() {
+    private void writeBatch() {
         if (state != State.WAITING) {
             return;
         }
-        dirty.removeIf(document -> !document.wanted());
-        long leader = leaderVersion.getAsLong();
-        if (dirty.isEmpty() || leader == 0) {
-            to(State.IDLE);
+        pending.removeIf(document -> !document.wanted());
+        long currentLeaderVersion = leaderVersion.getAsLong();
+        if (pending.isEmpty() || currentLeaderVersion == 0) {
+            transitionTo(State.IDLE);
             return;
         }
         List<Document> candidates = candidates();
-        Batch batch = assemble(candidates, new Guard(leaderKey, leader));
+        Batch batch = assemble(candidates, new Guard(leaderKey, currentLeaderVersion));
         if (batch.writes.isEmpty()) {
-            again(candidates.isEmpty() ? REFUSED_PAUSE_MS : 0);
+            scheduleNext(candidates.isEmpty() ? RETRY_PAUSE_MS : 0);
         } else {
             commit(batch);
         }
     }
 
     private List<Document> candidates() {
-        return dirty.stream()
+        return pending.stream()
                 .filter(Document::ready)
                 .sorted(Comparator.comparingInt(Document::rank))
-                .limit(maxOps)
+                .limit(maxBatchWrites)
                 .toList();
     }
 
-    private Batch assemble(List<Document> candidates, Guard leader) {
-        Batch batch = new Batch(leader);
+    private Batch assemble(List<Document> candidates, Guard leaderGuard) {
+        Batch batch = new Batch(leaderGuard);
         for (Document document : candidates) {
             JsonNode value = document.render();
-            int length = value == null ? 0 : Json.bytes(value).length;
-            if (!batch.hasRoom(length + OVERHEAD_BYTES)) {
+            int valueSize = value == null ? 0 : Json.bytes(value).length;
+            if (!batch.hasRoom(valueSize + WRITE_OVERHEAD_BYTES)) {
                 break;
             }
-            dirty.remove(document);
-            if (length > valueBytes) {
+            pending.remove(document);
+            if (valueSize > maxValueBytes) {
                 // The service would reject every batch that contains this document.
-                LOG.error("{} takes {} bytes of {}: it cannot be stored", document.key(), length, valueBytes);
+                LOG.error("{} takes {} bytes of {}: it cannot be stored", document.key(), valueSize, maxValueBytes);
                 document.refused();
                 continue;
             }
-            batch.bytes += length + OVERHEAD_BYTES;
-            add(batch, document, value);
+            batch.totalBytes += valueSize + WRITE_OVERHEAD_BYTES;
+            addWrite(batch, document, value);
         }
         return batch;
     }
 
-    private void add(Batch batch, Document document, JsonNode value) {
+    private void addWrite(Batch batch, Document document, JsonNode value) {
         long version = watchCache.version(document.key());
         if (value == null && version == 0) {
             // The key does not exist, so there is nothing to delete.
@@ -202,43 +202,43 @@
     }
 
     private void commit(Batch batch) {
-        to(State.WRITING);
-        nextAllowed = loop.now() + Math.round(msPerWrite * batch.writes.size());
-        long began = epoch;
+        transitionTo(State.WRITING);
+        nextBatchAt = loop.now() + Math.round(msPerWrite * batch.writes.size());
+        long sentInEpoch = epoch;
         client.commit(batch.guards, batch.writes, answer -> {
-            if (began == epoch) {
-                committed(batch, answer);
+            if (sentInEpoch == epoch) {
+                handleAnswer(batch, answer);
             }
         });
     }
 
-    private void committed(Batch batch, Answer answer) {
+    private void handleAnswer(Batch batch, Answer answer) {
         switch (answer.status()) {
             case OK -> {
-                stored(batch, answer.revision());
-                again(0);
+                recordStored(batch, answer.revision());
+                scheduleNext(0);
             }
             case REFUSED -> {
                 refusedAt = loop.now();
                 batch.documents.forEach(Document::refused);
-                dirty.addAll(batch.documents);
-                again(REFUSED_PAUSE_MS);
+                pending.addAll(batch.documents);
+                scheduleNext(RETRY_PAUSE_MS);
             }
-            case INVALID -> invalid(batch.documents);
+            case INVALID -> handleInvalid(batch.documents);
             case CONFLICT, NOT_FOUND, NO_LEASE, TOO_OLD, UNKNOWN -> {
                 // The outcome is unknown or a version differs: read the current versions before writing again.
                 LOG.info("a batch of {} writes ended {}: reading again", batch.writes.size(), answer.status());
-                dirty.addAll(batch.documents);
-                to(State.REREADING);
-                reread(epoch);
+                pending.addAll(batch.documents);
+                transitionTo(State.REREADING);
+                rereadVersions(epoch);
             }
         }
     }
 
-    private void stored(Batch batch, long revision) {
+    private void recordStored(Batch batch, long revision) {
         for (Write write : batch.writes) {
             if (write.value() == null) {
-                watchCache.deleted(write.key(), revision);
+                watchCache.recordDeleted(write.key(), revision);
             } else {
                 watchCache.committed(write.key(), revision);
             }
@@ -253,38 +253,38 @@
      * batch is retried at half its size. A single document is not retried before it is marked again, because the service would
      * reject the same value every time.
      */
-    private void invalid(List<Document> documents) {
+    private void handleInvalid(List<Document> documents) {
         documents.forEach(Document::refused);
         if (documents.size() > 1) {
-            maxOps = documents.size() / 2;
-            LOG.warn("a batch of {} writes is invalid: {} at most from now on", documents.size(), maxOps);
-            dirty.addAll(documents);
+            maxBatchWrites = documents.size() / 2;
+            LOG.warn("a batch of {} writes is invalid: {} at most from now on", documents.size(), maxBatchWrites);
+            pending.addAll(documents);
         } else {
             LOG.error(
                     "{} cannot be stored: the state service calls it invalid",
                     documents.get(0).key());
         }
-        again(REFUSED_PAUSE_MS);
+        scheduleNext(RETRY_PAUSE_MS);
     }
 
-    private void reread(long began) {
+    private void rereadVersions(long sentInEpoch) {
         watchCache.barrier(
                 () -> {
-                    if (began == epoch) {
-                        again(REREAD_PAUSE_MS);
+                    if (sentInEpoch == epoch) {
+                        scheduleNext(PAUSE_AFTER_REREAD_MS);
                     }
                 },
                 () -> loop.after(RETRY_REREAD_MS, () -> {
-                    if (began == epoch) {
-                        reread(began);
+                    if (sentInEpoch == epoch) {
+                        rereadVersions(sentInEpoch);
                     }
                 }));
     }
 
-    private void again(long atLeastMs) {
-        to(State.IDLE);
-        if (!dirty.isEmpty()) {
-            schedule(atLeastMs);
+    private void scheduleNext(long minDelayMs) {
+        transitionTo(State.IDLE);
+        if (!pending.isEmpty()) {
+            schedule(minDelayMs);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/store/Page.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Page.java
@@ -10,13 +10,13 @@
 public abstract class Page implements Document {
     private final String key;
     /** Maximum size in bytes by row name. */
-    private final Map<String, Integer> rows = new LinkedHashMap<>();
+    private final Map<String, Integer> maxBytesByRow = new LinkedHashMap<>();
 
-    private int bytes;
+    private int totalBytes;
     /** Pages that received rows from this one and may not have been stored yet. */
     private final List<Page> successors = new ArrayList<>();
 
-    private boolean everStored;
+    private boolean hasBeenStored;
 
     /**
      * Creates an empty page.
@@ -34,29 +34,29 @@
 
     /** Returns the names of the rows in insertion order. */
     public final Set<String> names() {
-        return rows.keySet();
+        return maxBytesByRow.keySet();
     }
 
     /** Returns the maximum total size of the rows, in bytes. */
-    final int bytes() {
-        return bytes;
+    final int totalBytes() {
+        return totalBytes;
     }
 
     /** Adds a row or updates its size, in bytes. */
-    final void put(String name, int size) {
-        Integer before = rows.put(name, size);
-        bytes += size - (before == null ? 0 : before);
+    final void put(String name, int sizeBytes) {
+        Integer previousBytes = maxBytesByRow.put(name, sizeBytes);
+        totalBytes += sizeBytes - (previousBytes == null ? 0 : previousBytes);
     }
 
     /** Removes a row and returns its size in bytes; 0 if there is no such row. */
     final int remove(String name) {
-        Integer size = rows.remove(name);
-        bytes -= size == null ? 0 : size;
-        return size == null ? 0 : size;
+        Integer sizeBytes = maxBytesByRow.remove(name);
+        totalBytes -= sizeBytes == null ? 0 : sizeBytes;
+        return sizeBytes == null ? 0 : sizeBytes;
     }
 
     /** Records that rows of this page have moved to the successor, which has to be stored first. */
-    final void moveTo(Page successor) {
+    final void addSuccessor(Page successor) {
         if (!successors.contains(successor)) {
             successors.add(successor);
         }
@@ -68,12 +68,12 @@
      */
     @Override
     public final boolean ready() {
-        successors.removeIf(page -> page.everStored);
+        successors.removeIf(page -> page.hasBeenStored);
         return successors.isEmpty();
     }
 
     @Override
     public void stored(long revision) {
-        everStored = true;
+        hasBeenStored = true;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -14,96 +14,96 @@
  */
 public final class PageTable<P extends Page> {
     private final String prefix;
-    private final int pageBytes;
-    private final Function<String, P> create;
+    private final int maxPageBytes;
+    private final Function<String, P> pageFactory;
     private final BatchWriter writer;
     private final List<P> pages = new ArrayList<>();
-    private final Map<String, P> pageOf = new HashMap<>();
+    private final Map<String, P> pagesByRow = new HashMap<>();
     /** Keys that must not be used for new pages. */
-    private final List<String> reserved = new ArrayList<>();
+    private final List<String> reservedKeys = new ArrayList<>();
 
     /**
      * Creates a table without pages.
      *
-     * @param prefix    prefix of the pages' keys; a page number is appended
-     * @param pageBytes limit on the total size of a page's rows, in bytes
-     * @param create    creates an empty page for a key
-     * @param writer    writes pages that are split
+     * @param prefix       prefix of the pages' keys; a page number is appended
+     * @param maxPageBytes limit on the total size of a page's rows, in bytes
+     * @param pageFactory  creates an empty page for a key
+     * @param writer       writes pages that are split
      */
-    public PageTable(String prefix, int pageBytes, Function<String, P> create, BatchWriter writer) {
+    public PageTable(String prefix, int maxPageBytes, Function<String, P> pageFactory, BatchWriter writer) {
         this.prefix = prefix;
-        this.pageBytes = pageBytes;
-        this.create = create;
+        this.maxPageBytes = maxPageBytes;
+        this.pageFactory = pageFactory;
         this.writer = writer;
     }
 
     /** Returns the page of a row, or null. */
     public P of(String row) {
-        return pageOf.get(row);
+        return pagesByRow.get(row);
     }
 
     /** Adds an empty page for the key and returns it; rows are added by {@link #put(String, int, Page)}. */
     public P open(String key) {
-        P page = create.apply(key);
+        P page = pageFactory.apply(key);
         pages.add(page);
         return page;
     }
 
     /** Excludes the key from use for new pages. */
     public void reserve(String key) {
-        reserved.add(key);
+        reservedKeys.add(key);
     }
 
     /** Records that the page contains the row. {@code size} is its maximum size in bytes. */
-    public void put(String row, int size, P page) {
-        page.put(row, size);
-        pageOf.put(row, page);
+    public void put(String row, int sizeBytes, P page) {
+        page.put(row, sizeBytes);
+        pagesByRow.put(row, page);
     }
 
     /** Updates the row's size, in bytes, and returns its page. A new row is added to the first page with enough room. */
-    public P put(String row, int size) {
-        P page = pageOf.get(row);
-        put(row, size, page == null ? withRoom(size) : page);
-        return pageOf.get(row);
+    public P put(String row, int sizeBytes) {
+        P page = pagesByRow.get(row);
+        put(row, sizeBytes, page == null ? findOrAddPage(sizeBytes) : page);
+        return pagesByRow.get(row);
     }
 
     /** Removes the row and returns the page that contained it, or null. */
     public P remove(String row) {
-        P page = pageOf.remove(row);
+        P page = pagesByRow.remove(row);
         if (page != null) {
             page.remove(row);
         }
         return page;
     }
 
-    private P withRoom(int size) {
+    private P findOrAddPage(int sizeBytes) {
         for (P page : pages) {
-            if (page.bytes() + size <= pageBytes) {
+            if (page.totalBytes() + sizeBytes <= maxPageBytes) {
                 return page;
             }
         }
-        int number = 0;
-        while (taken(prefix + number)) {
-            number++;
+        int pageNumber = 0;
+        while (isTaken(prefix + pageNumber)) {
+            pageNumber++;
         }
-        return open(prefix + number);
+        return open(prefix + pageNumber);
     }
 
-    private boolean taken(String key) {
-        return reserved.contains(key)
+    private boolean isTaken(String key) {
+        return reservedKeys.contains(key)
                 || pages.stream().anyMatch(page -> page.key().equals(key));
     }
 
     /** Moves rows from pages above the size limit to other pages and marks all changed pages for writing. */
     public void splitOversized() {
         for (P page : List.copyOf(pages)) {
-            List<String> names = new ArrayList<>(page.names());
-            for (int last = names.size() - 1; last > 0 && page.bytes() > pageBytes; last--) {
-                String row = names.get(last);
-                int size = page.remove(row);
-                P successor = withRoom(size);
-                put(row, size, successor);
-                page.moveTo(successor);
+            List<String> rows = new ArrayList<>(page.names());
+            for (int rowIndex = rows.size() - 1; rowIndex > 0 && page.totalBytes() > maxPageBytes; rowIndex--) {
+                String row = rows.get(rowIndex);
+                int sizeBytes = page.remove(row);
+                P successor = findOrAddPage(sizeBytes);
+                put(row, sizeBytes, successor);
+                page.addSuccessor(successor);
                 writer.mark(successor);
                 writer.mark(page);
             }
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -84,83 +84,83 @@
     /** A put, or a delete if {@code value} is null. The key is bound to the lease; {@code lease} 0 means no lease. */
     public record Write(String key, JsonNode value, long lease) {}
 
-    private static final long TIMEOUT_MS = 2_000;
+    private static final long CALL_TIMEOUT_MS = 2_000;
     private final Http http;
-    private final String addr;
+    private final String address;
 
     /**
      * Creates a client.
      *
-     * @param addr host and port of the state service
+     * @param address host and port of the state service
      */
-    public StateClient(Http http, String addr) {
+    public StateClient(Http http, String address) {
         this.http = http;
-        this.addr = addr;
+        this.address = address;
     }
 
     /** Reads a key: {@link Answer#value} and {@link Answer#version}. */
-    public void get(String key, Consumer<Answer> done) {
-        call(new StateRequest.Get(key), TIMEOUT_MS, done);
+    public void get(String key, Consumer<Answer> callback) {
+        call(new StateRequest.Get(key), CALL_TIMEOUT_MS, callback);
     }
 
     /** Reads a key to check whether the service answers within {@code timeoutMs}. */
-    public void probe(String key, long timeoutMs, Consumer<Answer> done) {
-        call(new StateRequest.Get(key), timeoutMs, done);
+    public void probe(String key, long timeoutMs, Consumer<Answer> callback) {
+        call(new StateRequest.Get(key), timeoutMs, callback);
     }
 
     /** Reads a page of keys: {@link Answer#listing}. {@code after} is the last key of the previous page; null for the first. */
-    public void list(String prefix, String after, int limit, Consumer<Answer> done) {
-        call(new StateRequest.ListKeys(prefix, after, limit), TIMEOUT_MS, done);
+    public void list(String prefix, String afterKey, int limit, Consumer<Answer> callback) {
+        call(new StateRequest.ListKeys(prefix, afterKey, limit), CALL_TIMEOUT_MS, callback);
     }
 
     /** Waits up to {@code waitMs} for changes later than the revision {@code after}: {@link Answer#changes}. */
-    public void watch(String prefix, long after, long waitMs, Consumer<Answer> done) {
-        call(new StateRequest.Watch(prefix, after, waitMs), waitMs + TIMEOUT_MS, done);
+    public void watch(String prefix, long afterRevision, long waitMs, Consumer<Answer> callback) {
+        call(new StateRequest.Watch(prefix, afterRevision, waitMs), waitMs + CALL_TIMEOUT_MS, callback);
     }
 
     /** Executes all writes atomically if all guards hold: {@link Answer#revision}. */
-    public void commit(List<Guard> guards, List<Write> writes, Consumer<Answer> done) {
-        call(new StateRequest.Commit(transaction(guards, writes)), TIMEOUT_MS, done);
+    public void commit(List<Guard> guards, List<Write> writes, Consumer<Answer> callback) {
+        call(new StateRequest.Commit(transaction(guards, writes)), CALL_TIMEOUT_MS, callback);
     }
 
     private static StateTransaction transaction(List<Guard> guards, List<Write> writes) {
-        List<StateTransaction.Guard> conditions = new ArrayList<>(guards.size());
+        List<StateTransaction.Guard> wireGuards = new ArrayList<>(guards.size());
         for (Guard guard : guards) {
-            conditions.add(new StateTransaction.Guard(guard.key, guard.version));
+            wireGuards.add(new StateTransaction.Guard(guard.key, guard.version));
         }
-        List<StateTransaction.Write> changes = new ArrayList<>(writes.size());
+        List<StateTransaction.Write> wireWrites = new ArrayList<>(writes.size());
         for (Write write : writes) {
-            changes.add(new StateTransaction.Write(write.key, write.value, write.lease));
+            wireWrites.add(new StateTransaction.Write(write.key, write.value, write.lease));
         }
-        return new StateTransaction(conditions, changes);
+        return new StateTransaction(wireGuards, wireWrites);
     }
 
     /** Requests a lease with this duration in milliseconds: {@link Answer#lease}. */
-    public void grant(long durationMs, Consumer<Answer> done) {
-        call(new StateRequest.GrantLease(durationMs), TIMEOUT_MS, done);
+    public void grant(long durationMs, Consumer<Answer> callback) {
+        call(new StateRequest.GrantLease(durationMs), CALL_TIMEOUT_MS, callback);
     }
 
     /** Renews a lease for its full duration. */
-    public void renew(long lease, long timeoutMs, Consumer<Answer> done) {
-        call(new StateRequest.RenewLease(lease), timeoutMs, done);
+    public void renew(long lease, long timeoutMs, Consumer<Answer> callback) {
+        call(new StateRequest.RenewLease(lease), timeoutMs, callback);
     }
 
     /** Releases a lease immediately. */
-    public void release(long lease, Consumer<Answer> done) {
-        call(new StateRequest.ReleaseLease(lease), TIMEOUT_MS, done);
+    public void release(long lease, Consumer<Answer> callback) {
+        call(new StateRequest.ReleaseLease(lease), CALL_TIMEOUT_MS, callback);
     }
 
-    private void call(StateRequest request, long timeoutMs, Consumer<Answer> done) {
+    private void call(StateRequest request, long timeoutMs, Consumer<Answer> callback) {
         http.call(
-                addr,
+                address,
                 request.method(),
                 request.path(),
                 request.body().map(Json::bytes).orElse(null),
                 timeoutMs,
-                reply -> done.accept(read(reply)));
+                reply -> callback.accept(toAnswer(reply)));
     }
 
-    private static Answer read(Http.Reply reply) {
+    private static Answer toAnswer(Http.Reply reply) {
         if (reply.outcome() != Http.Outcome.ANSWERED) {
             return new Answer(reply.outcome() == Http.Outcome.NOT_SENT ? Status.REFUSED : Status.UNKNOWN, null);
         }
@@ -170,14 +170,14 @@
             case 409 -> new Answer(Status.CONFLICT, body);
             case 404 -> new Answer(Status.NOT_FOUND, body);
             case 410 -> new Answer(Status.TOO_OLD, body);
-            case 400 -> new Answer(invalidOrNoLease(body), body);
+            case 400 -> new Answer(badRequestStatus(body), body);
             case 429 -> new Answer(Status.REFUSED, body, true);
             case 503 -> new Answer(Status.REFUSED, body);
             default -> new Answer(Status.UNKNOWN, body);
         };
     }
 
-    private static Status invalidOrNoLease(JsonNode body) {
+    private static Status badRequestStatus(JsonNode body) {
         return body != null && StateAnswer.missingLease(body) ? Status.NO_LEASE : Status.INVALID;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -40,18 +40,18 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
-    private static final long WATCH_MS = 10_000;
+    private static final long WATCH_TIMEOUT_MS = 10_000;
     private static final int PAGE_ENTRIES = 500;
     private static final long RETRY_LOAD_MS = 300;
     private static final long RETRY_WATCH_MS = 400;
     private final StateClient client;
     private final EventLoop loop;
     private final String prefix;
-    private final String watched;
+    private final String watchedPrefix;
     private final long pauseMs;
-    private final ActivityTimer busy;
+    private final ActivityTimer timer;
     private final Listener listener;
-    private final Map<String, Long> versions = new HashMap<>();
+    private final Map<String, Long> versionsByKey = new HashMap<>();
     private State state = State.LOADING;
     private long revision = -1;
     private long lastAnswer = Long.MIN_VALUE / 2;
@@ -59,47 +59,47 @@
     private long viewAt = Long.MIN_VALUE / 2;
 
     private boolean loaded;
-    private List<Waiter> waiting = new ArrayList<>();
-    private boolean barrierDue;
+    private List<BarrierCall> waiters = new ArrayList<>();
+    private boolean barrierScheduled;
     private boolean barrierRunning;
 
     /** The callbacks of one barrier call. */
-    private record Waiter(Runnable passed, Runnable failed) {}
+    private record BarrierCall(Runnable onPassed, Runnable onFailed) {}
 
     /**
      * The state of a full load, page by page.
      *
-     * @param unseen   keys that were cached before the load and have not appeared in any page yet
-     * @param revision revision of the first page; -1 until it arrives
-     * @param beganAt  time at which the first page was requested, on the loop's clock
+     * @param unseen    keys that were cached before the load and have not appeared in any page yet
+     * @param revision  revision of the first page; -1 until it arrives
+     * @param startedAt time at which the first page was requested, on the loop's clock
      */
-    private record Load(Set<String> unseen, long revision, long beganAt) {}
+    private record Load(Set<String> unseen, long revision, long startedAt) {}
 
     /**
-     * @param prefix  prefix of the keys that are loaded at the start and cached
-     * @param watched prefix of the keys that are watched; equal to {@code prefix} or shorter
-     * @param pauseMs pause between two watch requests and before a barrier, in milliseconds
+     * @param prefix        prefix of the keys that are loaded at the start and cached
+     * @param watchedPrefix prefix of the keys that are watched; equal to {@code prefix} or shorter
+     * @param pauseMs       pause between two watch requests and before a barrier, in milliseconds
      */
     public WatchCache(
             StateClient client,
             EventLoop loop,
             String prefix,
-            String watched,
+            String watchedPrefix,
             long pauseMs,
-            ActivityTimer busy,
+            ActivityTimer timer,
             Listener listener) {
         this.client = client;
         this.loop = loop;
         this.prefix = prefix;
-        this.watched = watched;
+        this.watchedPrefix = watchedPrefix;
         this.pauseMs = pauseMs;
-        this.busy = busy;
+        this.timer = timer;
         this.listener = listener;
     }
 
     /** Loads all keys, then follows their changes. */
     public void start() {
-        load(null, new Load(new HashSet<>(versions.keySet()), -1, loop.now()));
+        load(null, new Load(new HashSet<>(versionsByKey.keySet()), -1, loop.now()));
     }
 
     /** Returns true once all keys are loaded, and false during a reload. */
@@ -129,34 +129,34 @@
 
     /** Returns the version of a key; 0 if the key does not exist. */
     public long version(String key) {
-        return versions.getOrDefault(key, 0L);
+        return versionsByKey.getOrDefault(key, 0L);
     }
 
     /** Records the version of a key that this process has committed, before the watch delivers the change. */
     public void committed(String key, long version) {
         // Changes that the watch has delivered are as new or newer: a key deleted in the meantime must not reappear.
         if (version > revision && version > version(key)) {
-            versions.put(key, version);
+            versionsByKey.put(key, version);
         }
     }
 
     /** Records a deletion that this process has committed, before the watch delivers it. */
-    public void deleted(String key, long at) {
-        if (at > revision) {
-            versions.remove(key);
+    public void recordDeleted(String key, long deletionRevision) {
+        if (deletionRevision > revision) {
+            versionsByKey.remove(key);
         }
     }
 
     /** Drops the version of a key that the listener no longer needs. */
     public void forget(String key) {
-        versions.remove(key);
+        versionsByKey.remove(key);
     }
 
     /** Runs {@code passed} once the cache is at least as new as every answer sent before this call, else {@code failed}. */
-    public void barrier(Runnable passed, Runnable failed) {
-        waiting.add(new Waiter(passed, failed));
-        if (!barrierDue) {
-            barrierDue = true;
+    public void barrier(Runnable onPassed, Runnable onFailed) {
+        waiters.add(new BarrierCall(onPassed, onFailed));
+        if (!barrierScheduled) {
+            barrierScheduled = true;
             loop.after(pauseMs, this::runBarrier);
         }
     }
@@ -166,82 +166,82 @@
             loop.after(pauseMs, this::runBarrier);
             return;
         }
-        barrierDue = false;
-        List<Waiter> group = waiting;
-        waiting = new ArrayList<>();
+        barrierScheduled = false;
+        List<BarrierCall> group = waiters;
+        waiters = new ArrayList<>();
         if (state != State.FOLLOWING) {
-            group.forEach(waiter -> waiter.failed.run());
+            group.forEach(waiter -> waiter.onFailed.run());
             return;
         }
         barrierRunning = true;
         long sentAt = loop.now();
-        client.watch(watched, revision, 0, answer -> {
+        client.watch(watchedPrefix, revision, 0, answer -> {
             barrierRunning = false;
-            boolean passed = answer.ok() && apply(answer, sentAt);
-            note(answer);
-            for (Waiter waiter : group) {
-                (passed ? waiter.passed : waiter.failed).run();
+            boolean passed = answer.ok() && applyAnswer(answer, sentAt);
+            recordAnswerTime(answer);
+            for (BarrierCall waiter : group) {
+                (passed ? waiter.onPassed : waiter.onFailed).run();
             }
         });
     }
 
-    private void note(Answer answer) {
+    private void recordAnswerTime(Answer answer) {
         if (answer.status() != Status.REFUSED && answer.status() != Status.UNKNOWN) {
             lastAnswer = loop.now();
         }
     }
 
-    private void follow() {
-        long from = revision;
+    private void watchChanges() {
+        long fromRevision = revision;
         long sentAt = loop.now();
-        client.watch(watched, from, WATCH_MS, answer -> {
-            note(answer);
-            if (answer.ok() && apply(answer, sentAt)) {
+        client.watch(watchedPrefix, fromRevision, WATCH_TIMEOUT_MS, answer -> {
+            recordAnswerTime(answer);
+            if (answer.ok() && applyAnswer(answer, sentAt)) {
                 // The pause lets one request deliver many changes, which saves requests of the shared rate limit.
-                loop.after(pauseMs, this::follow);
+                loop.after(pauseMs, this::watchChanges);
             } else if (answer.status() == Status.TOO_OLD) {
                 LOG.info("the watch is too far behind, reading everything again");
                 state = State.LOADING;
                 listener.lost();
                 start();
             } else {
-                loop.after(RETRY_WATCH_MS, this::follow);
+                loop.after(RETRY_WATCH_MS, this::watchChanges);
             }
         });
     }
 
     /** Applies an answer to a watch; false if malformed. It reflects the store at {@code sentAt} or at any later time. */
-    private boolean apply(Answer answer, long sentAt) {
+    private boolean applyAnswer(Answer answer, long sentAt) {
         Optional<StateChanges> changes = answer.changes();
         if (changes.isEmpty()) {
             LOG.warn("an answer to a watch was malformed and is dropped");
             return false;
         }
-        busy.during(ActivityTimer.Part.WATCH, () -> apply(changes.get().changes()));
+        timer.during(ActivityTimer.Part.WATCH, () -> applyChanges(changes.get().changes()));
         revision = Math.max(revision, changes.get().revision());
         // During a reload, the changes from a watch alone do not make the cache complete.
         viewAt = state == State.FOLLOWING ? Math.max(viewAt, sentAt) : viewAt;
         return true;
     }
 
-    private void apply(List<StateChange> changes) {
-        long before = revision;
+    private void applyChanges(List<StateChange> changes) {
+        long revisionBefore = revision;
         for (StateChange change : changes) {
             // The watch and the barrier may deliver the same change: skip changes that are already applied.
-            if (change.version() > before) {
-                apply(change);
+            if (change.version() > revisionBefore) {
+                applyChange(change);
             }
         }
     }
 
-    private void apply(StateChange change) {
+    private void applyChange(StateChange change) {
         switch (change.kind()) {
             case PUT -> {
                 if (change.key().startsWith(prefix)) {
-                    versions.put(change.key(), change.version());
+                    versionsByKey.put(change.key(), change.version());
                 }
             }
-            case DELETE -> versions.remove(change.key());
+            case DELETE -> versionsByKey.remove(change.key());
         }
         listener.changed(change.key(), change.value(), change.version());
     }
@@ -252,7 +252,7 @@
      */
     private void load(String after, Load load) {
         client.list(prefix, after, PAGE_ENTRIES, answer -> {
-            note(answer);
+            recordAnswerTime(answer);
             StateListing page = answer.listing().orElse(null);
             if (page == null || page.revision() < 0) {
                 loop.after(
@@ -260,41 +260,41 @@
                         () -> load(after, after == null ? new Load(load.unseen, load.revision, loop.now()) : load));
                 return;
             }
-            long from = load.revision < 0 ? page.revision() : load.revision;
-            String last = after;
+            long firstRevision = load.revision < 0 ? page.revision() : load.revision;
+            String lastKey = after;
             for (StateEntry entry : page.entries()) {
-                last = entry.key();
-                loaded(entry, load);
+                lastKey = entry.key();
+                applyEntry(entry, load);
             }
-            if (page.more() && last != null) {
-                load(last, new Load(load.unseen, from, load.beganAt));
+            if (page.more() && lastKey != null) {
+                load(lastKey, new Load(load.unseen, firstRevision, load.startedAt));
             } else {
-                loaded(load, from);
+                completeLoad(load, firstRevision);
             }
         });
     }
 
-    private void loaded(StateEntry entry, Load load) {
+    private void applyEntry(StateEntry entry, Load load) {
         load.unseen.remove(entry.key());
         if (entry.version() != version(entry.key())) {
-            versions.put(entry.key(), entry.version());
+            versionsByKey.put(entry.key(), entry.version());
             listener.changed(entry.key(), entry.value(), entry.version());
         }
     }
 
-    private void loaded(Load load, long from) {
+    private void completeLoad(Load load, long firstRevision) {
         for (String key : load.unseen) {
-            if (versions.remove(key) != null) {
-                listener.changed(key, null, from);
+            if (versionsByKey.remove(key) != null) {
+                listener.changed(key, null, firstRevision);
             }
         }
         if (revision < 0) {
-            LOG.info("read {} keys of the state service at revision {}", versions.size(), from);
+            LOG.info("read {} keys of the state service at revision {}", versionsByKey.size(), firstRevision);
         }
-        revision = from;
+        revision = firstRevision;
         state = State.FOLLOWING;
         loaded = true;
-        viewAt = Math.max(viewAt, load.beganAt);
-        follow();
+        viewAt = Math.max(viewAt, load.startedAt);
+        watchChanges();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -31,57 +31,58 @@
         /** Jobs may await other jobs. A version without support would start their tasks too early. */
         PIPELINES("pipelines");
 
-        private final String field;
+        private final String jsonField;
 
-        Feature(String field) {
-            this.field = field;
+        Feature(String jsonField) {
+            this.jsonField = jsonField;
         }
     }
 
     /** Prefix of the announcements' keys; the controller's host name is appended. */
     public static final String ROOT = Keys.ROOT + "node/";
     /** Level at which this version supports every feature. */
-    private static final int LEVEL = 1;
+    private static final int SUPPORTED_LEVEL = 1;
 
-    private static final long RETRY_MS = 5_000;
+    private static final long ANNOUNCE_RETRY_MS = 5_000;
     private static final Logger LOG = LoggerFactory.getLogger(Capabilities.class);
     private final StateClient client;
     private final WatchCache watchCache;
     private final EventLoop loop;
     private final String host;
-    private final TreeSet<String> hosts;
+    private final TreeSet<String> controllerHosts;
     /** Announced levels by host. */
-    private final Map<String, Levels> announced = new HashMap<>();
+    private final Map<String, Levels> levelsByHost = new HashMap<>();
 
     /** The stored announcement of one controller: a level for each feature; 0 means not supported. */
     private static final class Levels {
-        private final Map<Feature, Integer> levels = new EnumMap<>(Feature.class);
+        private final Map<Feature, Integer> levelByFeature = new EnumMap<>(Feature.class);
 
         /** Reads an announcement; null means that the controller has announced nothing. */
         static Levels read(JsonNode announcement) {
-            Levels read = new Levels();
+            Levels result = new Levels();
             for (Feature feature : Feature.values()) {
-                read.levels.put(feature, announcement == null ? 0 : (int) Json.integer(announcement, feature.field, 0));
+                result.levelByFeature.put(
+                        feature, announcement == null ? 0 : (int) Json.integer(announcement, feature.jsonField, 0));
             }
-            return read;
+            return result;
         }
 
-        int of(Feature feature) {
-            return levels.get(feature);
+        int level(Feature feature) {
+            return levelByFeature.get(feature);
         }
 
         /** Returns these levels, each raised to at least the level of this version. */
-        Levels raised() {
-            Levels raised = new Levels();
+        Levels raisedToSupported() {
+            Levels result = new Levels();
             for (Feature feature : Feature.values()) {
-                raised.levels.put(feature, Math.max(of(feature), LEVEL));
+                result.levelByFeature.put(feature, Math.max(level(feature), SUPPORTED_LEVEL));
             }
-            return raised;
+            return result;
         }
 
         JsonNode toJson() {
             ObjectNode announcement = Json.object();
-            levels.forEach((feature, level) -> announcement.put(feature.field, level));
+            levelByFeature.forEach((feature, level) -> announcement.put(feature.jsonField, level));
             return announcement;
         }
     }
@@ -89,47 +90,48 @@
     /**
      * Creates the tracker; {@link #announce} stores this controller's announcement.
      *
-     * @param host   host name of this controller
-     * @param others host names of the other controllers
+     * @param host       host name of this controller
+     * @param otherHosts host names of the other controllers
      */
-    public Capabilities(StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> others) {
+    public Capabilities(
+            StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> otherHosts) {
         this.client = client;
         this.watchCache = watchCache;
         this.loop = loop;
         this.host = host;
-        this.hosts = new TreeSet<>(others);
-        hosts.add(host);
+        this.controllerHosts = new TreeSet<>(otherHosts);
+        controllerHosts.add(host);
     }
 
     /** Applies a change to a controller's announcement; {@code value} is null if it has been removed. */
     public void changed(String key, JsonNode value) {
-        announced.put(key.substring(ROOT.length()), Levels.read(value));
+        levelsByHost.put(key.substring(ROOT.length()), Levels.read(value));
     }
 
-    private Levels levels(String of) {
-        Levels levels = announced.get(of);
+    private Levels levelsOf(String controllerHost) {
+        Levels levels = levelsByHost.get(controllerHost);
         return levels == null ? Levels.read(null) : levels;
     }
 
     /** Announces the features of this version, unless an earlier process on this host has already done so. */
     public void announce() {
-        Levels before = levels(host);
-        boolean missing = false;
+        Levels stored = levelsOf(host);
+        boolean incomplete = false;
         for (Feature feature : Feature.values()) {
-            if (before.of(feature) > LEVEL) {
+            if (stored.level(feature) > SUPPORTED_LEVEL) {
                 LOG.error("a later version has run on {}: what it wrote may not be readable here ({})", host, feature);
             }
-            missing |= before.of(feature) < LEVEL;
+            incomplete |= stored.level(feature) < SUPPORTED_LEVEL;
         }
-        if (!missing) {
+        if (!incomplete) {
             return;
         }
         if (watchCache.following()) {
-            store(before.raised());
+            store(stored.raisedToSupported());
         }
         // Retries until the watch delivers the announcement, whatever the answer: a lost answer and a refusal look the
         // same.
-        loop.after(RETRY_MS, this::announce);
+        loop.after(ANNOUNCE_RETRY_MS, this::announce);
     }
 
     private void store(Levels levels) {
@@ -140,13 +142,13 @@
 
     /** Returns the hosts of the controllers that have not announced support for the feature. */
     public List<String> unaware(Feature feature) {
-        List<String> unaware = new ArrayList<>();
-        for (String controller : hosts) {
-            if (levels(controller).of(feature) < LEVEL) {
-                unaware.add(controller);
+        List<String> unawareHosts = new ArrayList<>();
+        for (String controllerHost : controllerHosts) {
+            if (levelsOf(controllerHost).level(feature) < SUPPORTED_LEVEL) {
+                unawareHosts.add(controllerHost);
             }
         }
-        return unaware;
+        return unawareHosts;
     }
 
     /** Returns true if every controller has announced support for the feature. */
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -30,20 +30,20 @@
  * endless retries of writes that the state service rejects for their size.
  */
 class PageTableTest {
-    private static final int ROW = 20;
-    private static final String LEADER = "lr/leader";
+    private static final int ROW_BYTES = 20;
+    private static final String LEADER_KEY = "lr/leader";
 
-    private final Simulation sim = new Simulation(1);
-    private final EmulatedStateService state = new EmulatedStateService(sim.host("state"));
-    private final Simulation.Host host = sim.host("leader");
+    private final Simulation simulation = new Simulation(1);
+    private final EmulatedStateService stateService = new EmulatedStateService(simulation.host("state"));
+    private final Simulation.Host leaderHost = simulation.host("leader");
     private final StateClient client;
     private final WatchCache watchCache;
 
     PageTableTest() {
-        sim.listen("state", sim.host("state"), state);
-        client = new StateClient(sim.client(host), "state");
+        simulation.listen("state", simulation.host("state"), stateService);
+        client = new StateClient(simulation.client(leaderHost), "state");
         watchCache = new WatchCache(
-                client, host, "lr/", "lr", 20, new Metrics(host::nanos).busy, (key, value, version) -> {});
+                client, leaderHost, "lr/", "lr", 20, new Metrics(leaderHost::nanos).busy, (key, value, version) -> {});
     }
 
     private static final class TextPage extends Page {
@@ -53,87 +53,89 @@
 
         @Override
         public JsonNode render() {
-            ObjectNode n = Json.object();
-            names().forEach(name -> n.put(name, "0123456789"));
-            return names().isEmpty() ? null : n;
+            ObjectNode value = Json.object();
+            names().forEach(name -> value.put(name, "0123456789"));
+            return names().isEmpty() ? null : value;
         }
     }
 
-    private Set<String> rows() {
+    private Set<String> storedRows() {
         Set<String> rows = new HashSet<>();
-        state.keys("lr/page/").forEach(key -> state.value(key).fieldNames().forEachRemaining(rows::add));
+        stateService
+                .keys("lr/page/")
+                .forEach(key -> stateService.value(key).fieldNames().forEachRemaining(rows::add));
         return rows;
     }
 
-    private static ObjectNode filled(int rows) {
-        ObjectNode n = Json.object();
-        for (int i = 0; i < rows; i++) {
-            n.put("row-" + i, "0123456789");
+    private static ObjectNode pageWithRows(int rowCount) {
+        ObjectNode value = Json.object();
+        for (int row = 0; row < rowCount; row++) {
+            value.put("row-" + row, "0123456789");
         }
-        return n;
+        return value;
     }
 
     /** With one write per transaction, the receiving pages must be written first although all pages have the same rank. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 4})
-    void noRowIsEverNowhere(int writesToATransaction) {
-        int count = 90;
-        state.seed(LEADER, Json.object());
-        state.seed("lr/page/0", filled(count));
+    void everyRowIsStoredAtEveryStepWhileOversizedPageIsSplit(int writesPerTransaction) {
+        int rowCount = 90;
+        stateService.seed(LEADER_KEY, Json.object());
+        stateService.seed("lr/page/0", pageWithRows(rowCount));
         watchCache.start();
-        sim.run(500);
+        simulation.run(500);
         BatchWriter writer = new BatchWriter(
-                new StoreAccess(client, watchCache, host),
-                new Settings.State(100, 10, 1, writesToATransaction),
+                new StoreAccess(client, watchCache, leaderHost),
+                new Settings.State(100, 10, 1, writesPerTransaction),
                 1.0,
-                LEADER,
-                () -> watchCache.version(LEADER),
-                new Metrics(host::nanos).busy);
+                LEADER_KEY,
+                () -> watchCache.version(LEADER_KEY),
+                new Metrics(leaderHost::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
         TextPage page = table.open("lr/page/0");
-        for (int i = 0; i < count; i++) {
-            table.put("row-" + i, ROW, page);
+        for (int row = 0; row < rowCount; row++) {
+            table.put("row-" + row, ROW_BYTES, page);
         }
         table.splitOversized();
         assertFalse(page.ready(), "it waits for its successors");
-        for (int t = 0; t < 400; t++) {
-            sim.run(sim.now + 10);
-            assertEquals(count, rows().size(), "at " + sim.now);
+        for (int step = 0; step < 400; step++) {
+            simulation.run(simulation.now + 10);
+            assertEquals(rowCount, storedRows().size(), "at " + simulation.now);
         }
         assertTrue(page.ready());
-        for (String key : state.keys("lr/page/")) {
-            assertTrue(Json.bytes(state.value(key)).length <= 1_024, key);
+        for (String key : stateService.keys("lr/page/")) {
+            assertTrue(Json.bytes(stateService.value(key)).length <= 1_024, key);
         }
-        assertEquals(3, state.keys("lr/page/").size());
-        assertEquals(0, state.tooLarge());
+        assertEquals(3, stateService.keys("lr/page/").size());
+        assertEquals(0, stateService.tooLarge());
     }
 
     /** The service accepts less than it announced: no batch is retried forever, and every document that fits alone is stored. */
     @Test
-    void refusedForSizeIsNotRepeatedForEver() {
-        state.seed(LEADER, Json.object());
-        state.limitSizes(600, 2);
+    void writesRejectedForSizeAreNotRetriedForeverWhenServiceAcceptsLessThanAnnounced() {
+        stateService.seed(LEADER_KEY, Json.object());
+        stateService.limitSizes(600, 2);
         watchCache.start();
-        sim.run(500);
+        simulation.run(500);
         BatchWriter writer = new BatchWriter(
-                new StoreAccess(client, watchCache, host),
+                new StoreAccess(client, watchCache, leaderHost),
                 new Settings.State(100, 10, 1, 8),
                 1.0,
-                LEADER,
-                () -> watchCache.version(LEADER),
-                new Metrics(host::nanos).busy);
+                LEADER_KEY,
+                () -> watchCache.version(LEADER_KEY),
+                new Metrics(leaderHost::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
-        for (int p = 0; p < 4; p++) {
-            TextPage page = table.open("lr/page/" + p);
-            int rows = p == 0 ? 38 : 5;
-            for (int i = 0; i < rows; i++) {
-                table.put("row-" + p + "-" + i, ROW, page);
+        for (int pageNumber = 0; pageNumber < 4; pageNumber++) {
+            TextPage page = table.open("lr/page/" + pageNumber);
+            int rowsInPage = pageNumber == 0 ? 38 : 5;
+            for (int row = 0; row < rowsInPage; row++) {
+                table.put("row-" + pageNumber + "-" + row, ROW_BYTES, page);
             }
             writer.mark(page);
         }
-        sim.run(20_000);
-        assertEquals(List.of("lr/page/1", "lr/page/2", "lr/page/3"), state.keys("lr/page/"));
-        assertTrue(state.tooLarge() < 10, state.tooLarge() + " were sent");
+        simulation.run(20_000);
+        assertEquals(List.of("lr/page/1", "lr/page/2", "lr/page/3"), stateService.keys("lr/page/"));
+        assertTrue(stateService.tooLarge() < 10, stateService.tooLarge() + " were sent");
         assertTrue(writer.idle());
     }
 }
