--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -75,7 +75,7 @@
                     jobTable.done(jobId, firstTask, CompletionPageCodec.decodeChunk(chunk.getValue()));
                 } catch (IllegalArgumentException e) {
                     // Harmless: a finished task that is started again ends immediately, because its result is kept.
-                    LOG.error("finished tasks unreadable, they are started again: chunk={}", chunkName);
+                    LOG.error("finished tasks unreadable and started again, chunk={}", chunkName);
                 }
             }
         }
@@ -107,7 +107,7 @@
                     .computeIfAbsent(chunkName, key -> new BitSet())
                     .or(CompletionPageCodec.decodeChunk(encodedBits));
         } catch (IllegalArgumentException e) {
-            LOG.error("finished tasks unreadable: chunk={} page={}", chunkName, page.key());
+            LOG.error("finished tasks unreadable, chunk={} page={}", chunkName, page.key());
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -181,7 +181,7 @@
             pending.remove(document);
             if (valueSize > maxValueBytes) {
                 // The service would reject every batch that contains this document.
-                LOG.error("{} takes {} bytes of {}: it cannot be stored", document.key(), valueSize, maxValueBytes);
+                LOG.error("value too large, key={} bytes={} limit={}", document.key(), valueSize, maxValueBytes);
                 document.refused();
                 continue;
             }
@@ -227,7 +227,7 @@
             case INVALID -> handleInvalid(batch.documents);
             case CONFLICT, NOT_FOUND, NO_LEASE, TOO_OLD, UNKNOWN -> {
                 // The outcome is unknown or a version differs: read the current versions before writing again.
-                LOG.info("a batch of {} writes ended {}: reading again", batch.writes.size(), answer.status());
+                LOG.info("batch outcome requires reread, writes={} status={}", batch.writes.size(), answer.status());
                 pending.addAll(batch.documents);
                 transitionTo(State.REREADING);
                 rereadVersions(epoch);
@@ -257,12 +257,10 @@
         documents.forEach(Document::refused);
         if (documents.size() > 1) {
             maxBatchWrites = documents.size() / 2;
-            LOG.warn("a batch of {} writes is invalid: {} at most from now on", documents.size(), maxBatchWrites);
+            LOG.warn("batch rejected as invalid, writes={} newMaxWrites={}", documents.size(), maxBatchWrites);
             pending.addAll(documents);
         } else {
-            LOG.error(
-                    "{} cannot be stored: the state service calls it invalid",
-                    documents.get(0).key());
+            LOG.error("document rejected as invalid, key={}", documents.get(0).key());
         }
         scheduleNext(RETRY_PAUSE_MS);
     }
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -200,7 +200,7 @@
                 // The pause lets one request deliver many changes, which saves requests of the shared rate limit.
                 loop.after(pauseMs, this::watchChanges);
             } else if (answer.status() == Status.TOO_OLD) {
-                LOG.info("the watch is too far behind, reading everything again");
+                LOG.info("watch revision too old and reload started, revision={}", fromRevision);
                 state = State.LOADING;
                 listener.lost();
                 start();
@@ -214,7 +214,7 @@
     private boolean applyAnswer(Answer answer, long sentAt) {
         Optional<StateChanges> changes = answer.changes();
         if (changes.isEmpty()) {
-            LOG.warn("an answer to a watch was malformed and is dropped");
+            LOG.warn("malformed watch answer dropped, prefix={}", watchedPrefix);
             return false;
         }
         timer.during(ActivityTimer.Part.WATCH, () -> applyChanges(changes.get().changes()));
@@ -289,7 +289,7 @@
             }
         }
         if (revision < 0) {
-            LOG.info("read {} keys of the state service at revision {}", versionsByKey.size(), firstRevision);
+            LOG.info("state loaded, keys={} revision={}", versionsByKey.size(), firstRevision);
         }
         revision = firstRevision;
         state = State.FOLLOWING;
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -119,7 +119,10 @@
         boolean incomplete = false;
         for (Feature feature : Feature.values()) {
             if (stored.level(feature) > SUPPORTED_LEVEL) {
-                LOG.error("a later version has run on {}: what it wrote may not be readable here ({})", host, feature);
+                LOG.error(
+                        "later version has run on this host and its data may be unreadable, host={} feature={}",
+                        host,
+                        feature);
             }
             incomplete |= stored.level(feature) < SUPPORTED_LEVEL;
         }
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -97,10 +97,10 @@
             table.put("row-" + row, ROW_BYTES, page);
         }
         table.splitOversized();
-        assertFalse(page.ready(), "it waits for its successors");
+        assertFalse(page.ready(), "the split page must wait until its successors are stored");
         for (int step = 0; step < 400; step++) {
             simulation.run(simulation.now + 10);
-            assertEquals(rowCount, storedRows().size(), "at " + simulation.now);
+            assertEquals(rowCount, storedRows().size(), "number of stored rows at " + simulation.now + " ms");
         }
         assertTrue(page.ready());
         for (String key : stateService.keys("lr/page/")) {
@@ -135,7 +135,9 @@
         }
         simulation.run(20_000);
         assertEquals(List.of("lr/page/1", "lr/page/2", "lr/page/3"), stateService.keys("lr/page/"));
-        assertTrue(stateService.tooLarge() < 10, stateService.tooLarge() + " were sent");
+        assertTrue(
+                stateService.tooLarge() < 10,
+                stateService.tooLarge() + " values or transactions were rejected for their size");
         assertTrue(writer.idle());
     }
 }
