--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -27,7 +27,7 @@
 public final class WatchCache {
     /** Receives the values that were loaded and the changes to watched keys. */
     public interface Listener {
-        /** Called for each change, in order of revision; {@code value} is null for a deletion. */
+        /** Called for each change, in the order of the watch; {@code value} is null for a deletion. */
         void changed(String key, JsonNode value, long version);
 
         /** Called when changes may have been missed. Keys outside the loaded prefix are not reloaded by the cache. */
@@ -152,7 +152,7 @@
         versionsByKey.remove(key);
     }
 
-    /** Runs {@code passed} once the cache is at least as new as every answer sent before this call, else {@code failed}. */
+    /** Runs {@code onPassed} once the cache is at least as new as all answers sent before this call, else {@code onFailed}. */
     public void barrier(Runnable onPassed, Runnable onFailed) {
         waiters.add(new BarrierCall(onPassed, onFailed));
         if (!barrierScheduled) {
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -132,8 +132,7 @@
         if (watchCache.following()) {
             store(stored.raisedToSupported());
         }
-        // Retries until the watch delivers the announcement, whatever the answer: a lost answer and a refusal look the
-        // same.
+        // Repeated until the watch delivers the announcement: a lost answer and a refusal look the same.
         loop.after(ANNOUNCE_RETRY_MS, this::announce);
     }
 
