--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -59,7 +59,7 @@
     private long viewAt = Long.MIN_VALUE / 2;
 
     private boolean loaded;
-    private List<BarrierCall> waiters = new ArrayList<>();
+    private List<BarrierCall> pendingCalls = new ArrayList<>();
     private boolean barrierScheduled;
     private boolean barrierRunning;
 
@@ -154,7 +154,7 @@
 
     /** Runs {@code onPassed} once the cache is at least as new as all answers sent before this call, else {@code onFailed}. */
     public void barrier(Runnable onPassed, Runnable onFailed) {
-        waiters.add(new BarrierCall(onPassed, onFailed));
+        pendingCalls.add(new BarrierCall(onPassed, onFailed));
         if (!barrierScheduled) {
             barrierScheduled = true;
             loop.after(pauseMs, this::runBarrier);
@@ -167,10 +167,10 @@
             return;
         }
         barrierScheduled = false;
-        List<BarrierCall> group = waiters;
-        waiters = new ArrayList<>();
+        List<BarrierCall> calls = pendingCalls;
+        pendingCalls = new ArrayList<>();
         if (state != State.FOLLOWING) {
-            group.forEach(waiter -> waiter.onFailed.run());
+            calls.forEach(call -> call.onFailed.run());
             return;
         }
         barrierRunning = true;
@@ -179,8 +179,8 @@
             barrierRunning = false;
             boolean passed = answer.ok() && applyAnswer(answer, sentAt);
             recordAnswerTime(answer);
-            for (BarrierCall waiter : group) {
-                (passed ? waiter.onPassed : waiter.onFailed).run();
+            for (BarrierCall call : calls) {
+                (passed ? call.onPassed : call.onFailed).run();
             }
         });
     }
