--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -19,110 +19,121 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which features each controller's version knows. What a controller of an earlier version would misread is not written before
- * all controllers have announced that they know it: each does so once, under a key of its own, which outlasts the process.
+ * Tracks which features the version of each controller supports. Data that an earlier version would misread is written only
+ * after all controllers have announced support for it. Each controller stores its announcement once, under its own key, which
+ * outlives the process.
  */
 public final class Capabilities {
-    /** What a version may know; the field names its level in the stored announcement. */
+    /** A feature that changes the stored data; the field stores its level in the announcement. */
     public enum Feature {
-        /** Ended jobs may stand in segments of the history: without knowing them a late retry is taken for a new job. */
+        /** Ended jobs move to history segments. A version without support would accept a late retry as a new job. */
         HISTORY("history"),
-        /** Jobs may await others: who ignores that starts their tasks too early. */
+        /** Jobs may await other jobs. A version without support would start their tasks too early. */
         PIPELINES("pipelines");
 
-        private final String field;
+        private final String jsonField;
 
-        Feature(String field) {
-            this.field = field;
+        Feature(String jsonField) {
+            this.jsonField = jsonField;
         }
     }
 
-    /** The announcements' keys are this and the controller's host name. */
+    /** Prefix of the announcements' keys; the controller's host name is appended. */
     public static final String ROOT = Keys.ROOT + "node/";
-    /** The level of every feature that this version knows. */
-    private static final int LEVEL = 1;
+    /** Level at which this version supports every feature. */
+    private static final int SUPPORTED_LEVEL = 1;
 
-    private static final long RETRY_MS = 5_000;
+    private static final long ANNOUNCE_RETRY_MS = 5_000;
     private static final Logger LOG = LoggerFactory.getLogger(Capabilities.class);
     private final StateClient client;
     private final WatchCache watchCache;
     private final EventLoop loop;
     private final String host;
-    private final TreeSet<String> hosts;
-    /** What each controller has announced, by host. */
-    private final Map<String, Levels> announced = new HashMap<>();
+    private final TreeSet<String> controllerHosts;
+    /** Announced levels by host. */
+    private final Map<String, Levels> levelsByHost = new HashMap<>();
 
-    /** The stored announcement of one controller: a level for each feature, 0 for one that it does not know. */
+    /** The stored announcement of one controller: a level for each feature; 0 means not supported. */
     private static final class Levels {
-        private final Map<Feature, Integer> levels = new EnumMap<>(Feature.class);
+        private final Map<Feature, Integer> levelByFeature = new EnumMap<>(Feature.class);
 
-        /** A controller that has announced nothing is read from null. */
+        /** Reads an announcement; null means that the controller has announced nothing. */
         static Levels read(JsonNode announcement) {
-            Levels read = new Levels();
+            Levels result = new Levels();
             for (Feature feature : Feature.values()) {
-                read.levels.put(feature, announcement == null ? 0 : (int) Json.integer(announcement, feature.field, 0));
+                result.levelByFeature.put(
+                        feature, announcement == null ? 0 : (int) Json.integer(announcement, feature.jsonField, 0));
             }
-            return read;
+            return result;
         }
 
-        int of(Feature feature) {
-            return levels.get(feature);
+        int level(Feature feature) {
+            return levelByFeature.get(feature);
         }
 
-        /** These levels, raised to what this version knows. */
-        Levels raised() {
-            Levels raised = new Levels();
+        /** Returns these levels, each raised to at least the level of this version. */
+        Levels raisedToSupported() {
+            Levels result = new Levels();
             for (Feature feature : Feature.values()) {
-                raised.levels.put(feature, Math.max(of(feature), LEVEL));
+                result.levelByFeature.put(feature, Math.max(level(feature), SUPPORTED_LEVEL));
             }
-            return raised;
+            return result;
         }
 
         JsonNode toJson() {
             ObjectNode announcement = Json.object();
-            levels.forEach((feature, level) -> announcement.put(feature.field, level));
+            levelByFeature.forEach((feature, level) -> announcement.put(feature.jsonField, level));
             return announcement;
         }
     }
 
-    /** @param others the other controllers' hosts */
-    public Capabilities(StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> others) {
+    /**
+     * Creates the tracker; {@link #announce} stores this controller's announcement.
+     *
+     * @param host       host name of this controller
+     * @param otherHosts host names of the other controllers
+     */
+    public Capabilities(
+            StateClient client, WatchCache watchCache, EventLoop loop, String host, List<String> otherHosts) {
         this.client = client;
         this.watchCache = watchCache;
         this.loop = loop;
         this.host = host;
-        this.hosts = new TreeSet<>(others);
-        hosts.add(host);
+        this.controllerHosts = new TreeSet<>(otherHosts);
+        controllerHosts.add(host);
     }
 
-    /** The watch's news of one controller's announcement; null: it has been removed. */
+    /** Applies a change to a controller's announcement; {@code value} is null if it has been removed. */
     public void changed(String key, JsonNode value) {
-        announced.put(key.substring(ROOT.length()), Levels.read(value));
+        levelsByHost.put(key.substring(ROOT.length()), Levels.read(value));
     }
 
-    private Levels levels(String of) {
-        Levels levels = announced.get(of);
+    private Levels levelsOf(String controllerHost) {
+        Levels levels = levelsByHost.get(controllerHost);
         return levels == null ? Levels.read(null) : levels;
     }
 
-    /** Announces what this version knows, where an earlier process of this host has not done so. */
+    /** Announces the features of this version, unless an earlier process on this host has already done so. */
     public void announce() {
-        Levels before = levels(host);
-        boolean missing = false;
+        Levels stored = levelsOf(host);
+        boolean incomplete = false;
         for (Feature feature : Feature.values()) {
-            if (before.of(feature) > LEVEL) {
-                LOG.error("a later version has run on {}: what it wrote may not be readable here ({})", host, feature);
+            if (stored.level(feature) > SUPPORTED_LEVEL) {
+                LOG.error(
+                        "later version has run on this host and its data may be unreadable, host={} feature={}",
+                        host,
+                        feature);
             }
-            missing |= before.of(feature) < LEVEL;
+            incomplete |= stored.level(feature) < SUPPORTED_LEVEL;
         }
-        if (!missing) {
+        if (!incomplete) {
             return;
         }
         if (watchCache.following()) {
-            store(before.raised());
+            store(stored.raisedToSupported());
         }
-        // Until the watch brings it back: an answer that got lost and a refusal are the same from here.
-        loop.after(RETRY_MS, this::announce);
+        // Repeated until the watch delivers the announcement: a lost answer and a refusal look the same.
+        loop.after(ANNOUNCE_RETRY_MS, this::announce);
     }
 
     private void store(Levels levels) {
@@ -131,18 +142,18 @@
         client.commit(guards, List.of(new Write(key, levels.toJson(), 0)), answer -> {});
     }
 
-    /** The controllers that have not announced that they know the feature. */
+    /** Returns the hosts of the controllers that have not announced support for the feature. */
     public List<String> unaware(Feature feature) {
-        List<String> unaware = new ArrayList<>();
-        for (String controller : hosts) {
-            if (levels(controller).of(feature) < LEVEL) {
-                unaware.add(controller);
+        List<String> unawareHosts = new ArrayList<>();
+        for (String controllerHost : controllerHosts) {
+            if (levelsOf(controllerHost).level(feature) < SUPPORTED_LEVEL) {
+                unawareHosts.add(controllerHost);
             }
         }
-        return unaware;
+        return unawareHosts;
     }
 
-    /** True if every controller has announced that it knows the feature. */
+    /** Returns true if every controller has announced support for the feature. */
     public boolean all(Feature feature) {
         return unaware(feature).isEmpty();
     }
