--- a/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
+++ b/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
@@ -9,42 +9,42 @@
 import java.util.function.LongSupplier;
 
 /**
- * How many submissions this controller may write now. After an outage everything submitted meanwhile is submitted at once:
- * that would take all changes that the state service allows, no controller could become the leader, and a leader could not
- * write the machine registry, without which no machine takes a task. So each controller keeps to its share while no leader is
- * heard, or while the leader says, with its heartbeat to the other controllers, that it comes short of changes. A submission
- * that is not admitted is refused at once, with the time after which to come back.
+ * Limits the rate at which this controller writes submissions. After an outage, all submissions that clients held back arrive
+ * at once. Unlimited, they would use up the write rate of the state service: no controller could become leader, and a leader
+ * could not write the machine registry, without which no machine can be given a task. Each controller therefore keeps to its
+ * share of the rate while it receives no heartbeat of the leader, or while the heartbeat says that the leader's own writes are
+ * starved. A submission that is not admitted is rejected immediately, with a time after which to retry.
  */
 final class AdmissionControl {
-    /** Tokens of the bucket to a submission: rates are fractions. */
+    /** Bucket tokens taken by one submission; more than 1, since rates are fractional. */
     private static final long TOKENS = 1_000;
-    /** So long a heartbeat of the leader counts. */
+    /** Time for which a heartbeat of the leader is valid, in milliseconds. */
     private static final long HEARD_MS = 2_500;
 
     private static final int MAX_RETRY_AFTER_S = 4;
     private final LongSupplier clock;
     private final double maxRate;
     private final double shareRate;
-    /** So many at once are admitted after a quiet time: users do not come evenly, nor to every controller. */
+    /** Burst of submissions admitted after an idle time, since requests are spread unevenly over time and over controllers. */
     private final double burst;
 
     private final Bucket bucket;
-    /** Submissions a second that are admitted now. */
+    /** Submissions a second that are currently admitted. */
     private double rate;
 
     private long heardUntil = Long.MIN_VALUE / 2;
-    /** In the second that began at {@code countedSince}. */
+    /** Submissions refused in the current counting second. */
     private int refused;
 
     private long countedSince;
 
     /**
-     * Admits this controller's share, until the leader is heard.
+     * Admits this controller's share until the first heartbeat of a leader arrives.
      *
-     * @param clock       milliseconds of the steady clock
-     * @param maxRate     changes a second that the state service can take at all
-     * @param share       of these, what all controllers together may always use for submissions
-     * @param controllers in all
+     * @param clock       monotonic clock, in milliseconds
+     * @param maxRate     write rate limit of the state service, in writes a second
+     * @param share       share of this rate that all controllers together may always use for submissions
+     * @param controllers number of controllers, including this one
      */
     AdmissionControl(LongSupplier clock, double maxRate, double share, int controllers) {
         this.clock = clock;
@@ -76,7 +76,7 @@
                 .build();
     }
 
-    /** The leader has been heard from, and says whether it comes short of changes. */
+    /** Handles a heartbeat of the leader, which says whether its own writes are starved. */
     void leaderHeard(boolean leaderShort) {
         heardUntil = clock.getAsLong() + HEARD_MS;
         setRate(leaderShort ? shareRate : maxRate);
@@ -90,7 +90,7 @@
         }
     }
 
-    /** True if a submission may be written now. */
+    /** Counts a submission and returns true if it may be written now. */
     boolean admit() {
         if (clock.getAsLong() > heardUntil) {
             setRate(shareRate);
@@ -104,7 +104,7 @@
         return admitted;
     }
 
-    /** Seconds after which those that were refused lately may come back, spread out by how many they are. */
+    /** Returns the retry delay for a refused submission, in seconds; it grows with the number of recent refusals. */
     int retryAfterS() {
         return (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, Math.round(refused / Math.max(0.1, rate))));
     }
--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cancels jobs: the end takes the place of the job's stored description, on the condition that nothing of that has changed. */
+/** Cancels jobs by a compare-and-set that replaces the stored description of the job by a cancellation record. */
 final class CancelHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancelHandler.class);
     private static final int MAX_ATTEMPTS = 4;
--- a/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
+++ b/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
@@ -8,8 +8,8 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * Looks up the jobs that a submission awaits. Those that are done already need not be awaited, and the history may forget them
- * for it; if one is cancelled the job is accepted as cancelled.
+ * Looks up the jobs that a submission awaits. Jobs that are already done are dropped from the stored list, so that the history
+ * may delete them. If an awaited job is cancelled, the submitted job is accepted as cancelled.
  */
 final class DependencyCheck {
     private final Exchange exchange;
@@ -20,10 +20,13 @@
     private final Set<String> unfinished = new LinkedHashSet<>();
     private int pending;
     private boolean cancelled;
-    /** Awaited jobs, by what makes the submission impossible; null where there is none. */
+    /** An awaited job that does not exist; null if all exist. */
     private String absent;
 
+    /** An awaited job that is a service; null if there is none. */
     private String service;
+
+    /** Reason why the state of an awaited job is unknown; null if all are known. */
     private String unavailable;
 
     DependencyCheck(
@@ -93,7 +96,7 @@
         }
     }
 
-    /** A job that is known already gets 200, whatever its repeated submission awaits. */
+    /** Rejects the submission, unless the job already exists: a repeated submission gets 200 whatever it awaits. */
     private void refuse(String why) {
         Runnable ifAbsent = () -> responses.error(exchange, 422, why);
         lookup.find(spec.id(), new JobStateResponder(responses, exchange, spec.id(), ifAbsent));
--- a/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
+++ b/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
@@ -5,63 +5,63 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whose submissions are written while the state service refuses changes for want of rate. One team's thousands of submissions
- * would take every change there is, and leave no room for the others' few. So what gets through is shared by max-min fairness:
- * each team may have an even share, and what a team does not ask for is lent to those that ask for more. Without refusals
- * nothing is limited.
+ * Shares the write rate among the teams while the state service refuses submissions over its rate limit. Otherwise one team
+ * with thousands of submissions would use up the whole rate and leave nothing for the few submissions of the others. The rate
+ * is shared by max-min fairness: each team is entitled to an even share, and the part that a team does not use goes to teams
+ * that submit more. Without refusals nothing is limited.
  */
 final class FairQueue {
     private static final long SLOT_MS = 1_000;
-    /** Weight of the newest second in what a team usually asks for. */
+    /** Weight of the newest second in the moving average of a team's submission rate. */
     private static final double NEWEST = 0.3;
-    /** A team that asks for less a second than this is forgotten. */
+    /** A team whose average rate, in submissions a second, is below this is removed. */
     private static final double QUIET = 0.02;
-    /** Of what gets through a little is left free: refused submissions cost changes too. */
+    /** Share of the estimated rate that is given to teams; the rest is reserved, as refused writes also use up rate. */
     private static final double USED = 0.95;
-    /** The rate grows by this factor, and by the step, in each second without a refusal. */
+    /** In each second without a refusal, the estimated rate is multiplied by this factor and then increased by the step. */
     private static final double GROWTH = 1.02;
 
     private static final double STEP = 0.2;
-    /** After so long without a refusal nothing is limited any more. */
+    /** Time without a refusal after which the limit is lifted, in milliseconds. */
     private static final long OPEN_MS = 10_000;
 
     private static final class Team {
-        /** Submissions in this second. */
+        /** Submissions in the current second, admitted or not. */
         private int asked;
-        /** Submissions a second, averaged. */
+        /** Moving average of the submissions a second. */
         private double usual;
-        /** Submissions that it may make now. */
+        /** Submissions that the team may make now. */
         private double tokens;
     }
 
     private final LongSupplier clock;
     private final Map<String, Team> teams = new TreeMap<>();
-    /** Start of the second that is being counted. */
+    /** Start of the current counting second. */
     private long since;
 
     private long filledAt;
     private int admitted;
     private int refused;
     private long refusedAt = Long.MIN_VALUE / 2;
-    /** Submissions a second that get through, by what did lately. */
+    /** Estimated submissions a second that the state service accepts; {@code MAX_VALUE} while nothing is limited. */
     private double rate = Double.MAX_VALUE;
-    /** What each team may submit a second, so that all that gets through is used. */
+    /** Submissions a second that each team may make, so that together the teams use the estimated rate. */
     private double level = Double.MAX_VALUE;
 
-    /** @param clock milliseconds of the steady clock */
+    /** @param clock monotonic clock, in milliseconds */
     FairQueue(LongSupplier clock) {
         this.clock = clock;
         since = clock.getAsLong();
         filledAt = since;
     }
 
-    /** An admitted submission found no rate left. */
+    /** Records that the write of an admitted submission was refused for lack of rate. */
     void refused() {
         refused++;
         refusedAt = clock.getAsLong();
     }
 
-    /** True if a submission of this team may be written now. */
+    /** Counts a submission of the team and returns true if it may be written now. */
     boolean admit(String name) {
         refill();
         Team team = teams.get(name);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Adjusts rate and level by what happened in the last second, or longer where nobody has asked. */
+    /** Updates the estimated rate and the teams' share from the last second, or a longer time if there were no submissions. */
     private void endSecond(double seconds) {
         long now = clock.getAsLong();
         double through = (admitted - refused) / seconds;
@@ -119,7 +119,7 @@
         level = level();
     }
 
-    /** Even shares; what a team does not ask for is shared among the others. */
+    /** Computes the max-min fair share: the part of a team's even share that it does not use is divided among the others. */
     private double level() {
         if (rate == Double.MAX_VALUE) {
             return Double.MAX_VALUE;
@@ -134,7 +134,7 @@
             left -= usual;
             sharing--;
         }
-        // All that is asked for gets through.
+        // The teams' average rates fit together: every submission gets through.
         return Math.max(1, rate);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -16,15 +16,15 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * Stores jobs that have passed all checks, as many as the state service takes. A job is accepted where it is neither under its
- * own key nor in the history. Both are conditions of the one put: the absence of the key alone would take a late retry of a job
- * that has ended, and left that key, for a new job, and run it again.
+ * Stores jobs that have passed all checks, within the write rate of the state service. A job is accepted if it exists neither
+ * under its own key nor in the history. The put is conditional on both. With the absence of the key as its only condition, a
+ * late retry of a job that has ended and moved to the history would be accepted as a new job and run again.
  */
 final class JobAcceptance {
     /**
-     * A job to be stored.
+     * A submitted job that is to be stored.
      *
-     * @param value of the job's key
+     * @param value the value to be stored under the job's key
      */
     private record Submission(Exchange exchange, JobSpec spec, ObjectNode value) {
         String id() {
@@ -33,7 +33,7 @@
     }
 
     private static final int MAX_ATTEMPTS = 4;
-    /** A team that submits more than its share is asked to come back after so many seconds. */
+    /** Retry delay for a team that submits more than its share, in seconds. */
     private static final int OVER_SHARE_RETRY_S = 2;
 
     private final StateClient client;
@@ -60,12 +60,12 @@
         this.admission = admission;
     }
 
-    /** Accepts a job that is to run. */
+    /** Accepts a job to be run. */
     void accept(Exchange exchange, JobSpec spec) {
         accept(new Submission(exchange, spec, StoredJobCodec.accepted(spec, loop.timeOfDay())));
     }
 
-    /** Accepts a job as cancelled, since one that it awaits is. */
+    /** Accepts a job as cancelled, because a job that it awaits is cancelled. */
     void acceptCancelled(Exchange exchange, JobSpec spec) {
         accept(new Submission(exchange, spec, StoredJobCodec.cancelled(spec)));
     }
@@ -100,7 +100,7 @@
         return new JobStateResponder(responses, submission.exchange, submission.id(), ifAbsent);
     }
 
-    /** @param repeated whether the outcome of the same put is unknown */
+    /** @param repeated true if the same put was sent before and its outcome is unknown */
     private void put(Submission submission, long segmentVersion, int attempt, boolean repeated) {
         String key = Keys.JOBS + submission.id();
         String segment = SegmentAddress.of(submission.id()).key();
@@ -126,12 +126,12 @@
         responses.accepted(submission.exchange, submission.id(), cancelled);
     }
 
-    /** The job is there already, or other jobs of its range have moved into the history meanwhile: then once more. */
+    /** Handles a conflict: the job already exists, or its history segment has changed in the meantime and the put is retried. */
     private void conflict(Submission submission, int attempt) {
         lookup.find(submission.id(), respond(submission, () -> attempt(submission, attempt + 1)));
     }
 
-    /** The same conditional put once more decides whether the first was carried out. */
+    /** Handles an unknown outcome: repeating the same conditional put shows whether the first one took effect. */
     private void unknown(Submission submission, long segmentVersion, int attempt, boolean repeated) {
         if (repeated) {
             responses.unavailable(submission.exchange, "the state service does not answer");
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -20,22 +20,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds a job wherever it may be: in the table, under a key of its own that the table does not keep, or in the history. An end
- * that is known here is final; everything else is asked for past the watch cache's read barrier.
+ * Finds a job in the job table, under its own key in the state service if the table does not keep it, or in the history. A
+ * termination that this controller already knows is final and returned immediately; every other answer is given only after
+ * the watch cache's read barrier.
  */
 public final class JobLookup {
-    /** What follows from where a job was found; exactly one of these is called, at once or later. */
+    /** Receives the result of a lookup; exactly one method is called, either immediately or later. */
     public interface Callback {
-        /** The job is neither done nor cancelled, and all that it awaits is known here. */
+        /** The job is neither done nor cancelled, and the state of every job that it awaits is known to this controller. */
         void active(Job job);
 
         /** The job has ended. */
         void terminated(TerminatedJob end);
 
-        /** There is no such job as of the call. */
+        /** The job did not exist at the time of the lookup. */
         void absent();
 
-        /** Nothing can be said now. */
+        /** The state of the job cannot be determined now. */
         void unavailable(String why);
     }
 
@@ -45,10 +46,10 @@
     private final WatchCache watchCache;
     private final JobTable table;
     private final History history;
-    /** Awaited jobs that are being looked up, by id, with those who wait for it; they are passed what failed. */
+    /** Callbacks waiting for the lookup of an awaited job, by its id; they are passed the reason if the lookup fails. */
     private final Map<String, List<Consumer<Optional<String>>>> resolving = new HashMap<>();
 
-    /** A lookup in the places where jobs are kept. */
+    /** Creates a lookup over the places where jobs are kept. */
     public JobLookup(StateClient client, WatchCache watchCache, JobTable table, History history) {
         this.client = client;
         this.watchCache = watchCache;
@@ -56,7 +57,7 @@
         this.history = history;
     }
 
-    /** Finds the job. */
+    /** Finds the job and passes the result to the callback. */
     public void find(String id, Callback callback) {
         TerminatedJob known = knownEnd(id);
         if (known != null) {
@@ -87,8 +88,8 @@
     }
 
     /**
-     * A terminated job may have a key of its own that the table does not keep. If it is gone from there it may have moved since
-     * the history was read, so that is read again, past another barrier.
+     * Looks for a terminated job under its own key, which the table need not keep. If the key does not exist, the job may have
+     * moved to the history after the history was read; the history is then read again after another barrier.
      */
     private void findByKey(String id, Callback callback) {
         client.get(Keys.JOBS + id, answer -> {
@@ -107,7 +108,7 @@
         return answer.ok() ? StoredJobCodec.termination(answer.body().path("data")) : Optional.empty();
     }
 
-    /** Finds the job in the table or the history, which are past the barrier. */
+    /** Finds the job in the table or the history; the caller has passed the barrier. */
     private void findCurrent(String id, Callback callback, Runnable absent) {
         Job job = table.get(id);
         if (job != null && job.active()) {
@@ -122,8 +123,8 @@
     }
 
     /**
-     * A job that awaits one that the table does not keep may be cancelled with it: another controller may know that already, and
-     * may have told a user.
+     * Reports an active job, after resolving every awaited job that the table does not keep. If one of those is cancelled, so is
+     * this job, and another controller may already have reported that to a user.
      */
     private void findActive(Job job, Callback callback) {
         if (!table.unresolved(job)) {
@@ -141,7 +142,7 @@
         });
     }
 
-    /** Looks the job up in the history; one of the last two is called, or the callback's {@code unavailable}. */
+    /** Looks the job up in the history; calls {@code terminated}, {@code absent} or the callback's {@code unavailable}. */
     void findInHistory(
             String id, Callback callback, Consumer<History.Found> terminated, Consumer<History.Found> absent) {
         history.find(id, found -> {
@@ -157,12 +158,12 @@
         watchCache.barrier(passed, () -> callback.unavailable(NO_ANSWER));
     }
 
-    /** Looks up every awaited job that the table does not keep, as a leader has to before it can start what awaits them. */
+    /** Looks up every awaited job that the table does not keep; a leader cannot start the dependants of these jobs before. */
     public void resolveAll() {
         table.unresolved().forEach(id -> resolve(id, failure -> {}));
     }
 
-    /** Looks up what the job awaits and the table does not keep; {@code done} is passed what failed. */
+    /** Looks up the jobs that the job awaits and the table does not keep; the callback is passed the reason of a failure. */
     private void resolveAwaited(Job job, Consumer<Optional<String>> done) {
         List<String> missing =
                 job.awaited().stream().filter(id -> table.get(id) == null).toList();
@@ -170,7 +171,7 @@
         missing.forEach(id -> resolve(id, resolution::resolved));
     }
 
-    /** The lookups of all jobs that one awaits. */
+    /** Tracks the lookups of all jobs that one job awaits. */
     private static final class Resolution {
         private final Consumer<Optional<String>> done;
         private int pending;
@@ -211,7 +212,8 @@
 
             @Override
             public void absent() {
-                // No job is accepted before all that it awaits are: an operator has removed this one's key.
+                // A job is accepted only after all jobs that it awaits, so an operator must have removed this job's
+                // key.
                 LOG.error("awaited job not found, its dependants go on waiting: job={}", id);
                 resolved(id, Optional.empty());
             }
--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -17,15 +17,15 @@
     }
 
     /**
-     * The job has been accepted.
+     * Responds that the job has been accepted.
      *
-     * @param cancelled together with a job that it awaits
+     * @param cancelled true if the job was accepted as cancelled, because a job that it awaits is cancelled
      */
     void accepted(Exchange exchange, String id, boolean cancelled) {
         exchange.answer(201, Json.bytes(state(id, cancelled ? "cancelled" : "queued", 0, 0)));
     }
 
-    /** The state of an active job. */
+    /** Responds with the state of an active job. */
     void active(Exchange exchange, Job job) {
         String status = job.running() > 0 ? "running" : "queued";
         ObjectNode body = state(job.id(), status, job.doneCount(), job.running());
@@ -35,32 +35,32 @@
         exchange.answer(200, Json.bytes(body));
     }
 
-    /** The state of a job that has ended. */
+    /** Responds with the state of a job that has ended. */
     void terminated(Exchange exchange, String id, TerminatedJob end) {
         exchange.answer(200, Json.bytes(state(id, status(end.how()), end.tasks(), 0)));
     }
 
-    /** What a cancellation came to: cancelled, or done before. */
+    /** Responds to a cancellation with the job's final status: cancelled, or done if it had already finished. */
     void ended(Exchange exchange, String id, Job.Status how) {
         exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", status(how))));
     }
 
-    /** There is no such job. */
+    /** Responds that there is no such job. */
     void notFound(Exchange exchange) {
         error(exchange, 404, "no such job");
     }
 
-    /** The request can never succeed as it is. */
+    /** Rejects a request that can never succeed as it is. */
     void error(Exchange exchange, int status, String why) {
         exchange.answer(status, Json.bytes(Json.object().put("error", why)));
     }
 
-    /** Refused for now, at once. */
+    /** Rejects the request for now; the client may retry after the default delay. */
     void unavailable(Exchange exchange, String why) {
         unavailable(exchange, why, RETRY_AFTER_S);
     }
 
-    /** Refused for now, at once, with the time after which to come back. */
+    /** Rejects the request for now; the client may retry after the given delay, in seconds. */
     void unavailable(Exchange exchange, String why, int retryAfterS) {
         metrics.refused.increment();
         exchange.answer(503, Json.bytes(Json.object().put("error", why)), retryAfterS);
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -12,9 +12,12 @@
 import org.landingridge.net.Http.Exchange;
 import org.landingridge.wire.MachineType;
 
-/** The users' requests for jobs: submit, poll, cancel. Every request is answered once, at once or later on the event loop. */
+/**
+ * Serves the users' requests to submit, poll and cancel jobs. Each request is answered exactly once, either immediately or
+ * later on the event loop.
+ */
 public final class JobService {
-    /** What the handlers of requests work on and with. */
+    /** Dependencies that the request handlers share. */
     public record Dependencies(
             StateClient client,
             WatchCache watchCache,
@@ -23,7 +26,7 @@
             JobLookup lookup,
             Metrics metrics) {}
 
-    /** Of the state service's changes, for submissions: the leader's writes take the other half. */
+    /** Share of the state service's write rate for submissions; the leader's writes take the other half. */
     private static final double SUBMISSION_SHARE = 0.5;
 
     private final JobLookup lookup;
@@ -33,10 +36,10 @@
     private final CancelHandler cancellations;
 
     /**
-     * A service without requests under way.
+     * Creates a service without pending requests.
      *
-     * @param types     machine types by name, as the cloud lists them; empty until it has
-     * @param pipelines whether every controller runs a version that heeds what a job awaits
+     * @param types     machine types by name; empty until the cloud has listed them
+     * @param pipelines true if every controller runs a version that supports jobs that await other jobs
      */
     public JobService(
             Dependencies dependencies,
@@ -58,15 +61,15 @@
     }
 
     /**
-     * The leader has been heard from.
+     * Handles a heartbeat of the leader.
      *
-     * @param comesShort whether it has more to write than the state service takes
+     * @param comesShort true if the leader has more to write than the state service accepts
      */
     public void leaderHeard(boolean comesShort) {
         admission.leaderHeard(comesShort);
     }
 
-    /** Submits the job that the body describes. */
+    /** Submits the job described by the request body. */
     public void submit(Exchange exchange) {
         submissions.submit(exchange);
     }
@@ -76,7 +79,7 @@
         lookup.find(id, new JobStateResponder(responses, exchange, id, () -> responses.notFound(exchange)));
     }
 
-    /** Cancels the job, unless it has ended. */
+    /** Cancels the job unless it has already ended. */
     public void cancel(Exchange exchange, String id) {
         cancellations.cancel(exchange, id);
     }
--- a/controller/src/main/java/org/landingridge/controller/api/JobStateResponder.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobStateResponder.java
@@ -4,7 +4,7 @@
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.net.Http.Exchange;
 
-/** Responds with the state of a job wherever it was found; what follows from its absence differs by request. */
+/** Responds with the state of the job that a lookup has found; the request decides what happens if there is no such job. */
 final class JobStateResponder implements JobLookup.Callback {
     private final JobResponses responses;
     private final Exchange exchange;
--- a/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
@@ -11,9 +11,9 @@
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
 
-/** Whether a well-formed job can ever run here, by the configuration in force and the machine types. */
+/** Checks whether a well-formed job could ever run, given the current configuration and the machine types of the cloud. */
 final class SubmissionValidator {
-    /** What sums of amounts may be off by. */
+    /** Tolerance for rounding errors in sums of CPUs or GPUs. */
     private static final double TOLERANCE = 1e-6;
 
     private final ConfigurationView configuration;
@@ -22,8 +22,8 @@
     private final EventLoop loop;
 
     /**
-     * @param types      by name, as the cloud lists them; empty until it has
-     * @param valueBytes what the state service takes for a value
+     * @param types      machine types by name; empty until the cloud has listed them
+     * @param valueBytes largest value that the state service accepts, in bytes
      */
     SubmissionValidator(
             ConfigurationView configuration, Map<String, MachineType> types, int valueBytes, EventLoop loop) {
@@ -33,12 +33,12 @@
         this.loop = loop;
     }
 
-    /** True once the machine types are known. */
+    /** Returns true once the machine types are known. */
     boolean ready() {
         return !types.isEmpty();
     }
 
-    /** Why the job can never run; empty where it can. */
+    /** Returns the reason why the job can never run, or empty if it can. */
     Optional<String> impossible(JobSpec spec) {
         ConfiguredTeam configured = configuration.current().teams().get(spec.team());
         if (configured == null) {
@@ -59,7 +59,7 @@
         return Optional.empty();
     }
 
-    /** All tasks of a service run at once; of another job one has to fit. */
+    /** A service runs all its tasks at once; any other job needs room for at least one task. */
     private static boolean exceeds(JobSpec spec, Settings.Team limits) {
         int together = spec.service() ? spec.tasks() : 1;
         boolean cpus = limits.cpusMax() > 0 && spec.cpus() * together > limits.cpusMax() + TOLERANCE;
--- a/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
@@ -10,7 +10,7 @@
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
-/** Checks submissions. A job that is known already gets 200 with its state, whatever is wrong with a repeated submission. */
+/** Checks submissions. If the job already exists, the response is 200 with its state, even if the new request is invalid. */
 final class SubmitHandler {
     private final JobTable table;
     private final JobLookup lookup;
@@ -20,7 +20,7 @@
     private final JobAcceptance acceptance;
     private final BooleanSupplier pipelines;
 
-    /** @param pipelines whether every controller runs a version that heeds what a job awaits */
+    /** @param pipelines true if every controller runs a version that supports jobs that await other jobs */
     SubmitHandler(
             JobService.Dependencies dependencies,
             JobResponses responses,
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Responds with the job's state where the table has it, and saves the checks. */
+    /** Responds with the job's state if the table has the job, which saves the checks; otherwise runs the given action. */
     private void ifNotInTable(Exchange exchange, String id, Runnable otherwise) {
         if (table.get(id) != null) {
             ifAbsent(exchange, id, otherwise);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Responds with the job's state where there is such a job anywhere. */
+    /** Responds with the job's state if the job exists; otherwise runs the given action. */
     private void ifAbsent(Exchange exchange, String id, Runnable otherwise) {
         lookup.find(id, new JobStateResponder(responses, exchange, id, otherwise));
     }
@@ -78,14 +78,14 @@
         } else if (spec.awaits().isEmpty()) {
             acceptance.accept(exchange, spec);
         } else if (!pipelines.getAsBoolean()) {
-            // A leader of an earlier version would start its tasks at once.
+            // A leader that runs an earlier version would start the job's tasks immediately.
             responses.unavailable(exchange, "not every controller knows yet that jobs can await others");
         } else {
             new DependencyCheck(exchange, spec, lookup, responses, acceptance).start();
         }
     }
 
-    /** The job is unknown as of the call. What made it impossible may have been changed by an operator a moment ago. */
+    /** Rejects a job that does not exist yet; validates it again, since an operator may have just changed the configuration. */
     private void refuse(Exchange exchange, JobSpec spec) {
         Optional<String> impossible = validator.impossible(spec);
         if (impossible.isPresent()) {
--- a/controller/src/main/java/org/landingridge/controller/api/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/api/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The users' requests for jobs: submit, poll, cancel. Any controller serves them; the state service decides.
+ * Handles the users' requests to submit, poll and cancel jobs. Every controller serves them; conditional writes to the state
+ * service decide the outcome.
  *
- * <p>State: what limits submissions ({@link org.landingridge.controller.api.FairQueue},
- * {@link org.landingridge.controller.api.AdmissionControl}) and the lookups that are under way
- * ({@link org.landingridge.controller.api.JobLookup}). All of it belongs to the event loop. Depends on packages {@code jobs},
- * {@code history}, {@code liveconfig}, {@code settings}, {@code store} and {@code observability}.
+ * <p>State: the limits on submissions ({@link org.landingridge.controller.api.FairQueue},
+ * {@link org.landingridge.controller.api.AdmissionControl}) and the pending lookups
+ * ({@link org.landingridge.controller.api.JobLookup}). All state is confined to the event loop. The package depends on
+ * packages {@code jobs}, {@code history}, {@code liveconfig}, {@code settings}, {@code store} and {@code observability}.
  */
 package org.landingridge.controller.api;
--- a/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
@@ -7,10 +7,11 @@
 import org.landingridge.wire.RentResponse;
 
 /**
- * What one call of an operation showed.
+ * The outcome of one call of an operation to the cloud.
  *
- * @param text     the same for people; it is stored with the operation
- * @param machines names that the answer lists: of the machines rented
+ * @param observation what the call showed about the operation
+ * @param text        the outcome as readable text, which is stored with the operation
+ * @param machines    names of the rented machines; empty unless a rent succeeded
  */
 record CallOutcome(Observation observation, String text, List<String> machines) {
     static CallOutcome of(Http.Reply reply) {
--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -16,13 +16,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Calls to the cloud, paced to its rate; operations go before lists. */
+/** Calls the cloud within its rate limit; rents and returns have priority over reads. */
 public final class CloudClient {
     private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
     private static final long TIMEOUT_MS = 5_000;
-    /** Calls not made for so long may be made at once; the cloud permits two seconds' worth. */
+    /** Calls left unused for up to this time, in milliseconds, may be made in a burst; the cloud permits 2 s. */
     private static final long BURST_MS = 1_000;
-    /** The rate is shared with the other controllers, which ask for little but the machine types. */
+    /** Share of the rate used by this controller; the others need little, as they mostly read only the machine types. */
     private static final double RATE_SHARE = 0.8;
 
     private static final int PAGE_SIZE = 500;
@@ -31,14 +31,14 @@
     private final EventLoop loop;
     private final String addr;
     private final long gapMs;
-    /** Rents and returns, in the order in which they were decided: the first are the largest. */
+    /** Pending rents and returns in the order of their creation: the first ones are the largest. */
     private final Deque<Runnable> operations = new ArrayDeque<>();
 
     private final Deque<Runnable> reads = new ArrayDeque<>();
     private boolean waiting;
     private long nextAllowed = Long.MIN_VALUE / 2;
 
-    /** @param rps calls a second that the cloud permits to all controllers together */
+    /** @param rps calls a second that the cloud permits for all controllers together */
     public CloudClient(Http http, EventLoop loop, String addr, double rps) {
         this.http = http;
         this.loop = loop;
@@ -47,9 +47,10 @@
     }
 
     /**
-     * Sends a request under its key.
+     * Sends a rent or return request.
      *
-     * @param done called once, with the outcome as far as it is known
+     * @param key  idempotency key
+     * @param done called once with the outcome, which may be unknown
      */
     void operate(String key, CloudRequest request, Consumer<CallOutcome> done) {
         operations.addLast(() -> http.call(
@@ -62,7 +63,7 @@
         pump();
     }
 
-    /** The machine types, or null where there is no proper answer. */
+    /** Reads the machine types; passes null if there is no valid response. */
     public void types(Consumer<List<MachineType>> done) {
         reads.addLast(() ->
                 http.call(addr, "GET", MachineType.PATH, null, TIMEOUT_MS, reply -> done.accept(readTypes(reply))));
@@ -81,7 +82,7 @@
         }
     }
 
-    /** All machines listed, or null where a page is missing. */
+    /** Lists all machines; passes null if a page cannot be read. */
     public void list(Consumer<List<CloudMachine>> done) {
         page(null, new ArrayList<>(), done);
     }
--- a/controller/src/main/java/org/landingridge/controller/cloud/NextAction.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/NextAction.java
@@ -1,37 +1,37 @@
 package org.landingridge.controller.cloud;
 
-/** What to do next about an operation, given what was last observed of it. */
+/** The next action on an operation, given its last observed outcome. */
 public enum NextAction {
     /** The operation took effect. */
     RECORD_SUCCESS,
-    /** It did not, and never will. */
+    /** The operation did not take effect and never will. */
     RECORD_FAILURE,
-    /** It may still take effect: ask later, and do not send it again. */
+    /** The operation may still take effect: query it later, and do not send it again. */
     WAIT_AND_QUERY,
-    /** Send the same request again, under the same key. */
+    /** Send the same request again, with the same idempotency key. */
     RETRY_ORIGINAL_INTENT,
-    /** Nothing safe can be done automatically but to compare with what is there, or to call a person. */
+    /** No automatic retry is safe: compare with the actual state, or escalate to an operator. */
     RECONCILE_OR_ESCALATE;
 
-    /** What a call or a lookup showed. */
+    /** The result of a call or a lookup. */
     public enum Observation {
         /** The operation took effect. */
         SUCCEEDED,
-        /** It was refused for good. */
+        /** The operation was rejected permanently. */
         FAILED_TERMINAL,
-        /** It is being carried out. */
+        /** The operation is being carried out. */
         IN_PROGRESS,
-        /** A lookup does not know it. */
+        /** The lookup found no such operation. */
         NOT_FOUND,
-        /** There is no answer, or one that says nothing about the operation. */
+        /** There was no response, or one that says nothing about the operation. */
         UNAVAILABLE
     }
 
     /**
-     * Decides; it has no state of its own.
+     * Returns the next action. The decision depends only on the arguments.
      *
-     * @param replaySafe   the destination deduplicates this very key
-     * @param absenceFinal the lookup proves that the original attempt can no longer take effect
+     * @param replaySafe   true if the receiver deduplicates requests by this idempotency key
+     * @param absenceFinal true if the lookup proves that the original attempt can no longer take effect
      */
     public static NextAction decide(Observation observation, boolean replaySafe, boolean absenceFinal) {
         return switch (observation) {
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -7,9 +7,9 @@
 import org.landingridge.wire.RentRequest;
 import org.landingridge.wire.ReturnRequest;
 
-/** One rent or return. Its key and request never change; what was observed of it does. */
+/** One rent or return of machines. Its key and request never change; its state and last outcome do. */
 public final class Operation implements Document {
-    /** What the operation does; the names are stored and shown. */
+    /** What the operation does; the names are stored and shown in the status. */
     public enum Kind {
         /** Scale out: a {@link RentRequest}. */
         RENT,
@@ -24,22 +24,22 @@
         }
     }
 
-    /** How far the operation has come; the names are stored and shown. */
+    /** Progress of the operation; the names are stored and shown in the status. */
     public enum State {
-        /** From the writing of the record to the first answer. */
+        /** Created; the first call has not completed yet. */
         DISPATCHED,
-        /** A call had no clear outcome; it is sent again. */
+        /** The outcome of a call is unknown; the call is repeated. */
         UNKNOWN,
-        /** The outcome has been unclear for longer than the query limit; it is still sent again. */
+        /** The outcome has been unknown for longer than the query limit; the call is still repeated. */
         ESCALATED,
-        /** The cloud has confirmed it. */
+        /** The cloud has confirmed the operation. */
         SUCCEEDED,
-        /** The cloud has refused it for good. */
+        /** The cloud has rejected the operation permanently. */
         FAILED,
         /** The record is being deleted. */
         FORGOTTEN;
 
-        /** True while the outcome is not known. */
+        /** Returns true while the outcome is not known. */
         boolean open() {
             return this == DISPATCHED || this == UNKNOWN || this == ESCALATED;
         }
@@ -53,10 +53,10 @@
         }
     }
 
-    /** The last part of the key prefix of operations. */
+    /** Last part of the key prefix of operation records. */
     public static final String PREFIX = "op/";
 
-    /** Ranks among the documents to be written: a closed operation follows the registry with the machines it brought. */
+    /** Write ranks, lowest first; a closed operation is written after the registry, which then has the rented machines. */
     private static final int RANK_NEW = 3;
 
     private static final int RANK_OPEN = 6;
@@ -66,7 +66,7 @@
     private final String name;
     private final CloudRequest request;
     private final long dispatchedAt;
-    /** Fencing token of the leader that works on it. */
+    /** Fencing token of the leader that has claimed the operation. */
     private final long claimedBy;
 
     private final Consumer<Operation> onStored;
@@ -87,7 +87,7 @@
         this.onStored = onStored;
     }
 
-    /** A new operation, whose record is not stored yet. */
+    /** Creates an operation whose record is not stored yet. */
     static Operation create(
             String root,
             String name,
@@ -99,7 +99,7 @@
         return new Operation(root, name, record, token, onStored);
     }
 
-    /** An operation of an earlier leader. An open one counts as unwritten until this leader's claim is stored. */
+    /** Takes over an operation of an earlier leader. An open one counts as unwritten until this leader's claim is stored. */
     static Operation takeOver(
             String root, String name, StoredOperation record, long token, Consumer<Operation> onStored) {
         Operation operation = new Operation(root, name, record, token, onStored);
@@ -107,37 +107,37 @@
         return operation;
     }
 
-    /** The operation key: unique for good, and the idempotency key of its calls. */
+    /** Returns the name, which is never reused and serves as the idempotency key of all calls. */
     public String name() {
         return name;
     }
 
-    /** Whether it rents or returns. */
+    /** Returns whether the operation rents or returns machines. */
     public Kind kind() {
         return Kind.of(request);
     }
 
-    /** How far it has come. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    /** What the last call that changed the state showed, for people; empty before. */
+    /** Returns the outcome of the last call that changed the state, as readable text; empty before the first. */
     public String lastOutcome() {
         return lastOutcome;
     }
 
-    /** When it was decided, in milliseconds of the day's clock. */
+    /** Returns the time at which the operation was created, in wall-clock milliseconds. */
     public long dispatchedAt() {
         return dispatchedAt;
     }
 
-    /** What is asked of the cloud. */
+    /** Returns the request to the cloud. */
     public CloudRequest request() {
         return request;
     }
 
-    /** True while the outcome is not known. */
+    /** Returns true while the outcome is not known. */
     public boolean open() {
         return state.open();
     }
@@ -146,12 +146,12 @@
         return claimedBy;
     }
 
-    /** Calls made in this leader term. */
+    /** Returns the number of calls made in this leader term. */
     int calls() {
         return calls;
     }
 
-    /** Notes that a call is made now. */
+    /** Records that a call is made now. */
     void called(long now) {
         calls++;
         if (firstCallAt < 0) {
@@ -159,19 +159,19 @@
         }
     }
 
-    /** Milliseconds since the first call of this leader term. */
+    /** Returns the time since the first call of this leader term, in milliseconds. */
     long openFor(long now) {
         return now - firstCallAt;
     }
 
-    /** Notes that the record is stored; true at the first time. */
+    /** Records that the record is stored; returns true the first time. */
     boolean markWritten() {
         boolean first = !written;
         written = true;
         return first;
     }
 
-    /** The only place where an operation changes its state. */
+    /** Changes the state; no other method does. */
     void transition(State next, String outcome) {
         if (!state.leadsTo(next)) {
             throw new IllegalStateException("operation " + name + ": " + state + " does not lead to " + next);
--- a/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
@@ -10,7 +10,7 @@
 import org.landingridge.wire.RentRequest;
 import org.landingridge.wire.ReturnRequest;
 
-/** The stored form of an {@link Operation}. */
+/** Converts an {@link Operation} to and from its stored JSON form. */
 final class OperationCodec {
     private OperationCodec() {}
 
@@ -25,7 +25,7 @@
         return node;
     }
 
-    /** Reads a record; empty where its kind, its state or its request is none. */
+    /** Decodes a stored record; returns empty if its kind or state is unknown or its request is missing. */
     static Optional<StoredOperation> decode(JsonNode record) {
         Kind kind = constant(Kind.values(), Json.text(record, "kind"));
         State state = constant(State.values(), Json.text(record, "state"));
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -17,40 +17,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and returns of one leader term. Each is written before it is dispatched and keeps its key; a call without an
- * answer leaves its outcome unknown, and {@link NextAction} says what follows.
+ * The machine rents and returns of one leader term. The record of an operation is stored before its first call, and every call
+ * uses the same idempotency key. A call without a response leaves the outcome unknown; {@link NextAction} decides what to do.
  */
 public final class Operations {
-    /** What the operations report to the rest of the leader term. */
+    /** Receives the results of operations. */
     public interface Events {
-        /** Machines that a rent brought; fewer than wanted means that the pool is empty. */
+        /** A rent succeeded with these machines; fewer than requested means that the pool has no more capacity. */
         void rented(RentRequest request, List<String> machines);
 
-        /** A rent failed for good. */
+        /** A rent was rejected permanently, for instance for lack of capacity. */
         void noCapacity(RentRequest request);
 
-        /** The cloud has confirmed that it took these machines back. */
+        /** The cloud has confirmed the return of these machines. */
         void returned(List<String> machines);
 
-        /** The outcome of an operation stays unknown beyond the query limit. */
+        /** The outcome of an operation is still unknown after the query limit. */
         void escalated(Operation operation);
 
-        /** True while this controller may act as leader. */
+        /** Returns true while this controller may act as leader. */
         boolean mayAct();
     }
 
     /**
-     * What the operations of one leader term have in common.
+     * Parameters shared by the operations of one leader term.
      *
-     * @param root        key prefix of everything that is stored
+     * @param root        key prefix of all stored data
      * @param token       fencing token of the leader term
-     * @param queryLimitS after so many seconds without a clear outcome an operation is escalated
-     * @param valueBytes  largest value that the state service takes
+     * @param queryLimitS time without a known outcome after which an operation is escalated, in seconds
+     * @param valueBytes  largest value that the state service accepts, in bytes
      */
     public record Scope(String root, long token, double queryLimitS, int valueBytes) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
-    /** How long the record of a closed operation stays. */
+    /** Time for which the record of a finished operation is kept, in milliseconds. */
     private static final long RETENTION_MS = 30_000;
 
     private static final long RETRY_WHEN_NOT_LEADING_MS = 500;
@@ -58,12 +58,14 @@
     private static final long RETRY_FIRST_MS = 500;
     private static final long RETRY_MOST_MS = 8_000;
     private static final int RETRY_MOST_DOUBLINGS = 4;
-    /** Machines that one call to the cloud may return. */
+    /** Limit on the machines that one call to the cloud returns. */
     private static final int MOST_RETURNED = 100;
-    /** What the record of an operation takes beside the names of machines, and each of these beside its letters. */
+    /** Assumed size of an operation's record without the machine names, in bytes. */
     private static final int RECORD_BYTES = 300;
 
+    /** Size of a machine name in the record in addition to its characters, in bytes. */
     private static final int NAME_BYTES = 3;
+
     private final EventLoop loop;
     private final RandomGenerator random;
     private final CloudClient cloud;
@@ -75,7 +77,7 @@
     private int counter;
     private boolean closed;
 
-    /** Begins without operations: those of earlier leaders are handed in by {@link #takeOver}. */
+    /** Creates an empty set; operations of earlier leaders are added by {@link #takeOver}. */
     public Operations(
             EventLoop loop, RandomGenerator random, CloudClient cloud, BatchWriter writer, Scope scope, Events events) {
         this.loop = loop;
@@ -87,19 +89,20 @@
         this.events = events;
     }
 
-    /** Ends with the leader term: nothing is dispatched or recorded any more. */
+    /** Ends the leader term: from now on no call is made and nothing is recorded. */
     public void close() {
         closed = true;
     }
 
-    /** All operations whose records are or will be stored, oldest first. */
+    /** Returns all operations whose records are stored or about to be stored, oldest first. */
     public Iterable<Operation> all() {
         return operations.values();
     }
 
     /**
-     * Takes over a record of an earlier leader: it is claimed by a conditional write before anything is done. Empty where it
-     * cannot be read: it stays as it is, and what a rent of it brought is taken in once it is listed or reports.
+     * Takes over an operation record of an earlier leader. An open operation is claimed by a conditional write before any call.
+     * Returns empty if the record cannot be read: it then stays unchanged, and machines that its rent brought are added when
+     * the cloud lists them or they send a heartbeat.
      */
     public Optional<Operation> takeOver(String name, JsonNode record) {
         Optional<StoredOperation> read = OperationCodec.decode(record);
@@ -118,8 +121,8 @@
     }
 
     /**
-     * True while a rent of this pool waits for its first answer. What is wanted meanwhile goes into one request after
-     * it: at a few calls a second, many small ones would keep a large one waiting for half a minute.
+     * Returns true until the first call of a rent from this pool has completed. Further demand is combined into one later
+     * request: at a few calls a second, many small requests would delay a large one by half a minute.
      */
     public boolean rentPending(String type, String zone, boolean spot) {
         for (Operation operation : operations.values()) {
@@ -134,12 +137,12 @@
         return false;
     }
 
-    /** Rents machines; they are reported by {@link Events#rented}. */
+    /** Rents machines; the result is reported through {@link Events}. */
     public void rent(RentRequest request) {
         create("r-", request);
     }
 
-    /** Returns the machines, in as many calls as their number needs. */
+    /** Returns the machines to the cloud, in several calls if necessary. */
     public void returnMachines(List<String> machines) {
         int next = 0;
         while (next < machines.size()) {
@@ -167,7 +170,7 @@
                 Json.text(request.toJson()));
     }
 
-    /** The record is stored in its present form. */
+    /** Called when the record is stored in its current form. */
     private void stored(Operation operation) {
         if (closed) {
             return;
@@ -196,8 +199,9 @@
         if (closed || !operation.open()) {
             return;
         }
-        // The cloud deduplicates a rent under its key for good, and a return names the machines: both are safe to send
-        // again, with the same key and the same request.
+        // Both kinds are safe to send again with the same key and request: the cloud deduplicates rents by their key
+        // without a
+        // time limit, and a return names its machines.
         switch (NextAction.decide(outcome.observation(), true, false)) {
             case RECORD_SUCCESS -> succeed(operation, outcome);
             case RECORD_FAILURE -> fail(operation, outcome);
--- a/controller/src/main/java/org/landingridge/controller/cloud/StoredOperation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/StoredOperation.java
@@ -3,9 +3,9 @@
 import org.landingridge.wire.CloudRequest;
 
 /**
- * What is stored of an operation, beside the leader that works on it.
+ * The stored fields of an operation, except for the leader that has claimed it.
  *
- * @param lastOutcome  what the last call that changed the state showed; null where the record does not say
- * @param dispatchedAt when it was decided, in milliseconds of the day's clock
+ * @param lastOutcome  outcome of the last call that changed the state; null if the record has none
+ * @param dispatchedAt time at which the operation was created, in wall-clock milliseconds
  */
 record StoredOperation(CloudRequest request, Operation.State state, String lastOutcome, long dispatchedAt) {}
--- a/controller/src/main/java/org/landingridge/controller/cloud/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Calls to the cloud: the rents and returns of one leader term, each with a stored record, and the machine list.
+ * Makes the calls to the cloud: machine rents and returns of one leader term, each with a stored record, and machine lists.
  *
- * <p>The package owns the operations and their records (key prefix {@code op/}), and the pace of the calls. Everything runs
- * on the event loop. It depends on the store, on module {@code net} and on the cloud's records in module {@code wire}, and
- * reports by {@link org.landingridge.controller.cloud.Operations.Events}.
+ * <p>The package owns the operations, their records (key prefix {@code op/}) and the rate limit of the calls. All code runs on
+ * the event loop. The package depends on package {@code store}, on module {@code net} and on the cloud messages in module
+ * {@code wire}. It reports results through {@link org.landingridge.controller.cloud.Operations.Events}.
  */
 package org.landingridge.controller.cloud;
--- a/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -6,12 +6,15 @@
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 
-/** Seven controllers, 15 changes a second, half of them for submissions. */
+/**
+ * Guards against submissions that use up the write rate while there is no leader or its writes are starved. Setting: seven
+ * controllers, 15 writes a second, half of them for submissions.
+ */
 class AdmissionControlTest {
     private long now = 1_000;
     private final AdmissionControl admission = new AdmissionControl(() -> now, 15, 0.5, 7);
 
-    /** How many of a flood are let in, with the leader's sign of life every second, or none. */
+    /** Returns how many submissions of a flood are admitted; the leader sends a heartbeat each second, or none if null. */
     private int flood(int seconds, Boolean leaderShort) {
         int in = 0;
         for (int ms = 0; ms < seconds * 1_000; ms += 10) {
--- a/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A state service that takes so many changes a second stands behind the turns. */
+/** Guards against one team's flood of submissions crowding out the others, with a state service that limits its write rate. */
 class FairQueueTest {
     private long now = 1_000;
     private final FairQueue turns = new FairQueue(() -> now);
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Teams ask so many times a second, in random order, for some time. */
+    /** Simulates teams that submit at the given rates, in random order, for some seconds. */
     private void play(long seed, int seconds, int most, Map<String, Double> perS) {
         SplittableRandom random = new SplittableRandom(seed);
         asked.clear();
@@ -56,7 +56,7 @@
         return taken.getOrDefault(team, 0) / (double) asked.get(team);
     }
 
-    /** The plain model: even shares of what there is, what one does not need is dealt out to the others again. */
+    /** Reference model: even shares of the write rate; what a team does not need is divided among the others. */
     private static Map<String, Double> model(Map<String, Double> perS, double most) {
         Map<String, Double> given = new LinkedHashMap<>();
         Map<String, Double> left = new LinkedHashMap<>(perS);
--- a/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
+++ b/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The decision table, row by row. */
+/** Checks the decision table row by row; an unsafe retry could carry out an operation twice. */
 class NextActionTest {
     @Test
     void finalOutcomesAreRecorded() {
