--- a/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
+++ b/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
@@ -41,16 +41,16 @@
     /**
      * Admits this controller's share until the first heartbeat of a leader arrives.
      *
-     * @param clock       monotonic clock, in milliseconds
-     * @param maxRate     write rate limit of the state service, in writes a second
-     * @param share       share of this rate that all controllers together may always use for submissions
-     * @param controllers number of controllers, including this one
+     * @param clock           monotonic clock, in milliseconds
+     * @param maxWriteRate    write rate limit of the state service, in writes a second
+     * @param share           share of this rate that all controllers together may always use for submissions
+     * @param controllerCount number of controllers, including this one
      */
-    AdmissionControl(LongSupplier clock, double maxRate, double share, int controllers) {
+    AdmissionControl(LongSupplier clock, double maxWriteRate, double share, int controllerCount) {
         this.clock = clock;
-        this.maxRate = maxRate;
-        this.shareRate = maxRate * share / controllers;
-        this.burst = maxRate * share;
+        this.maxRate = maxWriteRate;
+        this.shareRate = maxWriteRate * share / controllerCount;
+        this.burst = maxWriteRate * share;
         this.rate = shareRate;
         bucket = Bucket.builder()
                 .addLimit(limit(rate))
@@ -77,9 +77,9 @@
     }
 
     /** Handles a heartbeat of the leader, which says whether its own writes are starved. */
-    void leaderHeard(boolean leaderShort) {
+    void leaderHeard(boolean writesStarved) {
         heardUntil = clock.getAsLong() + HEARD_MS;
-        setRate(leaderShort ? shareRate : maxRate);
+        setRate(writesStarved ? shareRate : maxRate);
     }
 
     private void setRate(double perSecond) {
--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -38,20 +38,20 @@
         attempt(exchange, id, 0);
     }
 
-    private void attempt(Exchange exchange, String id, int attempt) {
+    private void attempt(Exchange exchange, String id, int attempts) {
         lookup.find(id, new JobLookup.Callback() {
             @Override
             public void active(Job job) {
-                if (attempt >= MAX_ATTEMPTS) {
+                if (attempts >= MAX_ATTEMPTS) {
                     responses.unavailable(exchange, "the state service does not answer");
                 } else {
-                    write(exchange, job, attempt);
+                    write(exchange, job, attempts);
                 }
             }
 
             @Override
-            public void terminated(TerminatedJob end) {
-                responses.ended(exchange, id, end.how());
+            public void terminated(TerminatedJob terminatedJob) {
+                responses.ended(exchange, id, terminatedJob.how());
             }
 
             @Override
@@ -60,13 +60,13 @@
             }
 
             @Override
-            public void unavailable(String why) {
-                responses.unavailable(exchange, why);
+            public void unavailable(String reason) {
+                responses.unavailable(exchange, reason);
             }
         });
     }
 
-    private void write(Exchange exchange, Job job, int attempt) {
+    private void write(Exchange exchange, Job job, int attempts) {
         String key = Keys.JOBS + job.id();
         List<Guard> guards = List.of(new Guard(key, watchCache.version(key)));
         List<Write> writes = List.of(new Write(key, StoredJobCodec.terminated(job, Job.Status.CANCELLED), 0));
@@ -74,7 +74,7 @@
             if (answer.ok()) {
                 cancelled(exchange, job, answer.revision());
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
-                attempt(exchange, job.id(), attempt + 1);
+                attempt(exchange, job.id(), attempts + 1);
             } else {
                 responses.unavailable(exchange, "the state service refuses");
             }
--- a/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
+++ b/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
@@ -60,8 +60,8 @@
         }
 
         @Override
-        public void terminated(TerminatedJob end) {
-            cancelled |= end.how() == Job.Status.CANCELLED;
+        public void terminated(TerminatedJob terminatedJob) {
+            cancelled |= terminatedJob.how() == Job.Status.CANCELLED;
             checked();
         }
 
@@ -72,8 +72,8 @@
         }
 
         @Override
-        public void unavailable(String why) {
-            unavailable = why;
+        public void unavailable(String reason) {
+            unavailable = reason;
             checked();
         }
     }
@@ -97,8 +97,8 @@
     }
 
     /** Rejects the submission, unless the job already exists: a repeated submission gets 200 whatever it awaits. */
-    private void refuse(String why) {
-        Runnable ifAbsent = () -> responses.error(exchange, 422, why);
+    private void refuse(String reason) {
+        Runnable ifAbsent = () -> responses.error(exchange, 422, reason);
         lookup.find(spec.id(), new JobStateResponder(responses, exchange, spec.id(), ifAbsent));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
+++ b/controller/src/main/java/org/landingridge/controller/api/FairQueue.java
@@ -62,13 +62,13 @@
     }
 
     /** Counts a submission of the team and returns true if it may be written now. */
-    boolean admit(String name) {
+    boolean admit(String teamName) {
         refill();
-        Team team = teams.get(name);
+        Team team = teams.get(teamName);
         if (team == null) {
             team = new Team();
             team.tokens = maxTokens();
-            teams.put(name, team);
+            teams.put(teamName, team);
         }
         team.asked++;
         boolean unlimited = rate == Double.MAX_VALUE || teams.size() == 1;
@@ -87,8 +87,8 @@
     private void refill() {
         long now = clock.getAsLong();
         if (rate < Double.MAX_VALUE) {
-            double refilled = level * (now - filledAt) / 1_000.0;
-            teams.values().forEach(team -> team.tokens = Math.min(maxTokens(), team.tokens + refilled));
+            double addedTokens = level * (now - filledAt) / 1_000.0;
+            teams.values().forEach(team -> team.tokens = Math.min(maxTokens(), team.tokens + addedTokens));
         }
         filledAt = now;
         if (now - since >= SLOT_MS) {
@@ -100,9 +100,9 @@
     /** Updates the estimated rate and the teams' share from the last second, or a longer time if there were no submissions. */
     private void endSecond(double seconds) {
         long now = clock.getAsLong();
-        double through = (admitted - refused) / seconds;
+        double throughput = (admitted - refused) / seconds;
         if (refused > 0) {
-            rate = Math.max(1, rate == Double.MAX_VALUE ? through : Math.min(rate, through));
+            rate = Math.max(1, rate == Double.MAX_VALUE ? throughput : Math.min(rate, throughput));
         } else if (now - refusedAt > OPEN_MS) {
             rate = Double.MAX_VALUE;
         } else if (rate < Double.MAX_VALUE) {
@@ -110,9 +110,9 @@
         }
         admitted = 0;
         refused = 0;
-        double kept = Math.pow(1 - NEWEST, seconds);
+        double oldWeight = Math.pow(1 - NEWEST, seconds);
         teams.values().forEach(team -> {
-            team.usual = team.usual * kept + team.asked / seconds * (1 - kept);
+            team.usual = team.usual * oldWeight + team.asked / seconds * (1 - oldWeight);
             team.asked = 0;
         });
         teams.values().removeIf(team -> team.usual < QUIET);
@@ -124,15 +124,15 @@
         if (rate == Double.MAX_VALUE) {
             return Double.MAX_VALUE;
         }
-        double left = rate * USED;
-        int sharing = teams.size();
-        for (double usual :
+        double remainingRate = rate * USED;
+        int remainingTeams = teams.size();
+        for (double averageRate :
                 teams.values().stream().map(team -> team.usual).sorted().toList()) {
-            if (usual * sharing >= left) {
-                return left / sharing;
+            if (averageRate * remainingTeams >= remainingRate) {
+                return remainingRate / remainingTeams;
             }
-            left -= usual;
-            sharing--;
+            remainingRate -= averageRate;
+            remainingTeams--;
         }
         // The teams' average rates fit together: every submission gets through.
         return Math.max(1, rate);
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -83,8 +83,8 @@
         }
     }
 
-    private void attempt(Submission submission, int attempt) {
-        if (attempt >= MAX_ATTEMPTS) {
+    private void attempt(Submission submission, int attempts) {
+        if (attempts >= MAX_ATTEMPTS) {
             responses.unavailable(submission.exchange, "the history of this range of jobs changes too often");
             return;
         }
@@ -93,15 +93,15 @@
                 submission.id(),
                 responder,
                 found -> responder.terminated(found.ended()),
-                found -> put(submission, found.version(), attempt, false));
+                found -> put(submission, found.version(), attempts, false));
     }
 
     private JobStateResponder respond(Submission submission, Runnable ifAbsent) {
         return new JobStateResponder(responses, submission.exchange, submission.id(), ifAbsent);
     }
 
-    /** @param repeated true if the same put was sent before and its outcome is unknown */
-    private void put(Submission submission, long segmentVersion, int attempt, boolean repeated) {
+    /** @param isRepeat true if the same put was sent before and its outcome is unknown */
+    private void put(Submission submission, long segmentVersion, int attempts, boolean isRepeat) {
         String key = Keys.JOBS + submission.id();
         String segment = SegmentAddress.of(submission.id()).key();
         client.commit(
@@ -110,8 +110,8 @@
                 answer -> {
                     switch (answer.status()) {
                         case OK -> accepted(submission, key, answer);
-                        case CONFLICT -> conflict(submission, attempt);
-                        case UNKNOWN -> unknown(submission, segmentVersion, attempt, repeated);
+                        case CONFLICT -> conflict(submission, attempts);
+                        case UNKNOWN -> unknown(submission, segmentVersion, attempts, isRepeat);
                         default -> refused(submission, answer);
                     }
                 });
@@ -127,16 +127,16 @@
     }
 
     /** Handles a conflict: the job already exists, or its history segment has changed in the meantime and the put is retried. */
-    private void conflict(Submission submission, int attempt) {
-        lookup.find(submission.id(), respond(submission, () -> attempt(submission, attempt + 1)));
+    private void conflict(Submission submission, int attempts) {
+        lookup.find(submission.id(), respond(submission, () -> attempt(submission, attempts + 1)));
     }
 
     /** Handles an unknown outcome: repeating the same conditional put shows whether the first one took effect. */
-    private void unknown(Submission submission, long segmentVersion, int attempt, boolean repeated) {
-        if (repeated) {
+    private void unknown(Submission submission, long segmentVersion, int attempts, boolean isRepeat) {
+        if (isRepeat) {
             responses.unavailable(submission.exchange, "the state service does not answer");
         } else {
-            put(submission, segmentVersion, attempt, true);
+            put(submission, segmentVersion, attempts, true);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -31,13 +31,13 @@
         void active(Job job);
 
         /** The job has ended. */
-        void terminated(TerminatedJob end);
+        void terminated(TerminatedJob terminatedJob);
 
         /** The job did not exist at the time of the lookup. */
         void absent();
 
         /** The state of the job cannot be determined now. */
-        void unavailable(String why);
+        void unavailable(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
@@ -59,9 +59,9 @@
 
     /** Finds the job and passes the result to the callback. */
     public void find(String id, Callback callback) {
-        TerminatedJob known = knownEnd(id);
-        if (known != null) {
-            callback.terminated(known);
+        TerminatedJob terminatedJob = knownEnd(id);
+        if (terminatedJob != null) {
+            callback.terminated(terminatedJob);
         } else {
             barrier(
                     callback,
@@ -93,9 +93,9 @@
      */
     private void findByKey(String id, Callback callback) {
         client.get(Keys.JOBS + id, answer -> {
-            Optional<TerminatedJob> end = storedEnd(answer);
-            if (end.isPresent()) {
-                callback.terminated(end.get());
+            Optional<TerminatedJob> terminatedJob = storedEnd(answer);
+            if (terminatedJob.isPresent()) {
+                callback.terminated(terminatedJob.get());
             } else if (answer.status() == Status.NOT_FOUND) {
                 barrier(callback, () -> findCurrent(id, callback, callback::absent));
             } else {
@@ -154,8 +154,8 @@
         });
     }
 
-    private void barrier(Callback callback, Runnable passed) {
-        watchCache.barrier(passed, () -> callback.unavailable(NO_ANSWER));
+    private void barrier(Callback callback, Runnable onPassed) {
+        watchCache.barrier(onPassed, () -> callback.unavailable(NO_ANSWER));
     }
 
     /** Looks up every awaited job that the table does not keep; a leader cannot start the dependants of these jobs before. */
@@ -164,11 +164,11 @@
     }
 
     /** Looks up the jobs that the job awaits and the table does not keep; the callback is passed the reason of a failure. */
-    private void resolveAwaited(Job job, Consumer<Optional<String>> done) {
-        List<String> missing =
+    private void resolveAwaited(Job job, Consumer<Optional<String>> callback) {
+        List<String> missingIds =
                 job.awaited().stream().filter(id -> table.get(id) == null).toList();
-        Resolution resolution = new Resolution(missing.size(), done);
-        missing.forEach(id -> resolve(id, resolution::resolved));
+        Resolution resolution = new Resolution(missingIds.size(), callback);
+        missingIds.forEach(id -> resolve(id, resolution::resolved));
     }
 
     /** Tracks the lookups of all jobs that one job awaits. */
@@ -177,13 +177,13 @@
         private int pending;
         private Optional<String> failure = Optional.empty();
 
-        Resolution(int pending, Consumer<Optional<String>> done) {
+        Resolution(int pending, Consumer<Optional<String>> callback) {
             this.pending = pending;
-            this.done = done;
+            this.done = callback;
         }
 
-        void resolved(Optional<String> failed) {
-            failure = failed.isPresent() ? failed : failure;
+        void resolved(Optional<String> lookupFailure) {
+            failure = lookupFailure.isPresent() ? lookupFailure : failure;
             pending--;
             if (pending == 0) {
                 done.accept(failure);
@@ -191,13 +191,13 @@
         }
     }
 
-    private void resolve(String id, Consumer<Optional<String>> done) {
-        List<Consumer<Optional<String>>> waiting = resolving.get(id);
-        if (waiting != null) {
-            waiting.add(done);
+    private void resolve(String id, Consumer<Optional<String>> callback) {
+        List<Consumer<Optional<String>>> waitingCallbacks = resolving.get(id);
+        if (waitingCallbacks != null) {
+            waitingCallbacks.add(callback);
             return;
         }
-        resolving.put(id, new ArrayList<>(List.of(done)));
+        resolving.put(id, new ArrayList<>(List.of(callback)));
         find(id, new Callback() {
             @Override
             public void active(Job job) {
@@ -205,8 +205,8 @@
             }
 
             @Override
-            public void terminated(TerminatedJob end) {
-                table.resolved(id, end.how(), watchCache.revision());
+            public void terminated(TerminatedJob terminatedJob) {
+                table.resolved(id, terminatedJob.how(), watchCache.revision());
                 resolved(id, Optional.empty());
             }
 
@@ -219,13 +219,13 @@
             }
 
             @Override
-            public void unavailable(String why) {
-                resolved(id, Optional.of(why));
+            public void unavailable(String reason) {
+                resolved(id, Optional.of(reason));
             }
         });
     }
 
     private void resolved(String id, Optional<String> failure) {
-        resolving.remove(id).forEach(done -> done.accept(failure));
+        resolving.remove(id).forEach(callback -> callback.accept(failure));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -36,13 +36,13 @@
     }
 
     /** Responds with the state of a job that has ended. */
-    void terminated(Exchange exchange, String id, TerminatedJob end) {
-        exchange.answer(200, Json.bytes(state(id, status(end.how()), end.tasks(), 0)));
+    void terminated(Exchange exchange, String id, TerminatedJob terminatedJob) {
+        exchange.answer(200, Json.bytes(state(id, status(terminatedJob.how()), terminatedJob.tasks(), 0)));
     }
 
     /** Responds to a cancellation with the job's final status: cancelled, or done if it had already finished. */
-    void ended(Exchange exchange, String id, Job.Status how) {
-        exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", status(how))));
+    void ended(Exchange exchange, String id, Job.Status finalStatus) {
+        exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", status(finalStatus))));
     }
 
     /** Responds that there is no such job. */
@@ -51,30 +51,30 @@
     }
 
     /** Rejects a request that can never succeed as it is. */
-    void error(Exchange exchange, int status, String why) {
-        exchange.answer(status, Json.bytes(Json.object().put("error", why)));
+    void error(Exchange exchange, int status, String reason) {
+        exchange.answer(status, Json.bytes(Json.object().put("error", reason)));
     }
 
     /** Rejects the request for now; the client may retry after the default delay. */
-    void unavailable(Exchange exchange, String why) {
-        unavailable(exchange, why, RETRY_AFTER_S);
+    void unavailable(Exchange exchange, String reason) {
+        unavailable(exchange, reason, RETRY_AFTER_S);
     }
 
     /** Rejects the request for now; the client may retry after the given delay, in seconds. */
-    void unavailable(Exchange exchange, String why, int retryAfterS) {
+    void unavailable(Exchange exchange, String reason, int retryAfterS) {
         metrics.refused.increment();
-        exchange.answer(503, Json.bytes(Json.object().put("error", why)), retryAfterS);
+        exchange.answer(503, Json.bytes(Json.object().put("error", reason)), retryAfterS);
     }
 
-    private static String status(Job.Status how) {
-        return how == Job.Status.DONE ? "done" : "cancelled";
+    private static String status(Job.Status finalStatus) {
+        return finalStatus == Job.Status.DONE ? "done" : "cancelled";
     }
 
-    private static ObjectNode state(String id, String status, int done, int running) {
+    private static ObjectNode state(String id, String status, int doneTasks, int runningTasks) {
         return Json.object()
                 .put("id", id)
                 .put("status", status)
-                .put("done", done)
-                .put("running", running);
+                .put("done", doneTasks)
+                .put("running", runningTasks);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -38,35 +38,36 @@
     /**
      * Creates a service without pending requests.
      *
-     * @param types     machine types by name; empty until the cloud has listed them
-     * @param pipelines true if every controller runs a version that supports jobs that await other jobs
+     * @param machineTypes        machine types by name; empty until the cloud has listed them
+     * @param allSupportPipelines true if every controller runs a version that supports jobs that await other jobs
      */
     public JobService(
             Dependencies dependencies,
             ConfigurationView configuration,
             Settings settings,
-            Map<String, MachineType> types,
-            BooleanSupplier pipelines) {
+            Map<String, MachineType> machineTypes,
+            BooleanSupplier allSupportPipelines) {
         EventLoop loop = dependencies.loop;
-        Settings.State limits = settings.stateLimits();
+        Settings.State stateLimits = settings.stateLimits();
         this.lookup = dependencies.lookup;
         this.responses = new JobResponses(dependencies.metrics);
         FairQueue fairQueue = new FairQueue(loop::now);
         int controllers = settings.peers().size() + 1;
-        this.admission = new AdmissionControl(loop::now, limits.writeRps(), SUBMISSION_SHARE, controllers);
+        this.admission = new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_SHARE, controllers);
         JobAcceptance acceptance = new JobAcceptance(dependencies, responses, fairQueue, admission);
-        SubmissionValidator validator = new SubmissionValidator(configuration, types, limits.valueBytes(), loop);
-        this.submissions = new SubmitHandler(dependencies, responses, validator, acceptance, pipelines);
+        SubmissionValidator validator =
+                new SubmissionValidator(configuration, machineTypes, stateLimits.valueBytes(), loop);
+        this.submissions = new SubmitHandler(dependencies, responses, validator, acceptance, allSupportPipelines);
         this.cancellations = new CancelHandler(dependencies, responses);
     }
 
     /**
      * Handles a heartbeat of the leader.
      *
-     * @param comesShort true if the leader has more to write than the state service accepts
+     * @param writesStarved true if the leader has more to write than the state service accepts
      */
-    public void leaderHeard(boolean comesShort) {
-        admission.leaderHeard(comesShort);
+    public void leaderHeard(boolean writesStarved) {
+        admission.leaderHeard(writesStarved);
     }
 
     /** Submits the job described by the request body. */
--- a/controller/src/main/java/org/landingridge/controller/api/JobStateResponder.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobStateResponder.java
@@ -24,8 +24,8 @@
     }
 
     @Override
-    public void terminated(TerminatedJob end) {
-        responses.terminated(exchange, id, end);
+    public void terminated(TerminatedJob terminatedJob) {
+        responses.terminated(exchange, id, terminatedJob);
     }
 
     @Override
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void unavailable(String why) {
-        responses.unavailable(exchange, why);
+    public void unavailable(String reason) {
+        responses.unavailable(exchange, reason);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
@@ -22,14 +22,14 @@
     private final EventLoop loop;
 
     /**
-     * @param types      machine types by name; empty until the cloud has listed them
-     * @param valueBytes largest value that the state service accepts, in bytes
+     * @param machineTypes  machine types by name; empty until the cloud has listed them
+     * @param maxValueBytes largest value that the state service accepts, in bytes
      */
     SubmissionValidator(
-            ConfigurationView configuration, Map<String, MachineType> types, int valueBytes, EventLoop loop) {
+            ConfigurationView configuration, Map<String, MachineType> machineTypes, int maxValueBytes, EventLoop loop) {
         this.configuration = configuration;
-        this.types = types;
-        this.valueBytes = valueBytes;
+        this.types = machineTypes;
+        this.valueBytes = maxValueBytes;
         this.loop = loop;
     }
 
@@ -40,17 +40,17 @@
 
     /** Returns the reason why the job can never run, or empty if it can. */
     Optional<String> impossible(JobSpec spec) {
-        ConfiguredTeam configured = configuration.current().teams().get(spec.team());
-        if (configured == null) {
+        ConfiguredTeam team = configuration.current().teams().get(spec.team());
+        if (team == null) {
             return Optional.of("field crew: there is no team " + spec.team());
         }
-        if (configured.removed()) {
+        if (team.removed()) {
             return Optional.of("field crew: team " + spec.team() + " has been removed");
         }
         if (types.values().stream().noneMatch(type -> type.fits(spec))) {
             return Optional.of("a task fits no allowed machine type");
         }
-        if (exceeds(spec, configured.limits())) {
+        if (exceeds(spec, team.limits())) {
             return Optional.of("the job needs more than the limit of team " + spec.team());
         }
         if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length > valueBytes) {
@@ -61,9 +61,9 @@
 
     /** A service runs all its tasks at once; any other job needs room for at least one task. */
     private static boolean exceeds(JobSpec spec, Settings.Team limits) {
-        int together = spec.service() ? spec.tasks() : 1;
-        boolean cpus = limits.cpusMax() > 0 && spec.cpus() * together > limits.cpusMax() + TOLERANCE;
-        boolean gpus = limits.gpusMax() > 0 && spec.gpus() * together > limits.gpusMax() + TOLERANCE;
-        return cpus || gpus;
+        int concurrentTasks = spec.service() ? spec.tasks() : 1;
+        boolean exceedsCpus = limits.cpusMax() > 0 && spec.cpus() * concurrentTasks > limits.cpusMax() + TOLERANCE;
+        boolean exceedsGpus = limits.gpusMax() > 0 && spec.gpus() * concurrentTasks > limits.gpusMax() + TOLERANCE;
+        return exceedsCpus || exceedsGpus;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
@@ -20,20 +20,20 @@
     private final JobAcceptance acceptance;
     private final BooleanSupplier pipelines;
 
-    /** @param pipelines true if every controller runs a version that supports jobs that await other jobs */
+    /** @param allSupportPipelines true if every controller runs a version that supports jobs that await other jobs */
     SubmitHandler(
             JobService.Dependencies dependencies,
             JobResponses responses,
             SubmissionValidator validator,
             JobAcceptance acceptance,
-            BooleanSupplier pipelines) {
+            BooleanSupplier allSupportPipelines) {
         this.table = dependencies.table();
         this.lookup = dependencies.lookup();
         this.metrics = dependencies.metrics();
         this.responses = responses;
         this.validator = validator;
         this.acceptance = acceptance;
-        this.pipelines = pipelines;
+        this.pipelines = allSupportPipelines;
     }
 
     void submit(Exchange exchange) {
@@ -87,9 +87,9 @@
 
     /** Rejects a job that does not exist yet; validates it again, since an operator may have just changed the configuration. */
     private void refuse(Exchange exchange, JobSpec spec) {
-        Optional<String> impossible = validator.impossible(spec);
-        if (impossible.isPresent()) {
-            responses.error(exchange, 422, impossible.get());
+        Optional<String> rejectionReason = validator.impossible(spec);
+        if (rejectionReason.isPresent()) {
+            responses.error(exchange, 422, rejectionReason.get());
         } else {
             responses.unavailable(exchange, "the configuration has just changed");
         }
--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -39,34 +39,34 @@
     private long nextAllowed = Long.MIN_VALUE / 2;
 
     /** @param rps calls a second that the cloud permits for all controllers together */
-    public CloudClient(Http http, EventLoop loop, String addr, double rps) {
+    public CloudClient(Http http, EventLoop loop, String address, double rps) {
         this.http = http;
         this.loop = loop;
-        this.addr = addr;
+        this.addr = address;
         this.gapMs = Math.round(1000 / (rps * RATE_SHARE));
     }
 
     /**
      * Sends a rent or return request.
      *
-     * @param key  idempotency key
-     * @param done called once with the outcome, which may be unknown
+     * @param key      idempotency key
+     * @param callback called once with the outcome, which may be unknown
      */
-    void operate(String key, CloudRequest request, Consumer<CallOutcome> done) {
+    void operate(String key, CloudRequest request, Consumer<CallOutcome> callback) {
         operations.addLast(() -> http.call(
                 addr,
                 "POST",
                 request.path(),
                 Json.bytes(request.toCall(key)),
                 TIMEOUT_MS,
-                reply -> done.accept(CallOutcome.of(reply))));
+                reply -> callback.accept(CallOutcome.of(reply))));
         pump();
     }
 
     /** Reads the machine types; passes null if there is no valid response. */
-    public void types(Consumer<List<MachineType>> done) {
+    public void types(Consumer<List<MachineType>> callback) {
         reads.addLast(() ->
-                http.call(addr, "GET", MachineType.PATH, null, TIMEOUT_MS, reply -> done.accept(readTypes(reply))));
+                http.call(addr, "GET", MachineType.PATH, null, TIMEOUT_MS, reply -> callback.accept(readTypes(reply))));
         pump();
     }
 
@@ -83,23 +83,23 @@
     }
 
     /** Lists all machines; passes null if a page cannot be read. */
-    public void list(Consumer<List<CloudMachine>> done) {
-        page(null, new ArrayList<>(), done);
+    public void list(Consumer<List<CloudMachine>> callback) {
+        page(null, new ArrayList<>(), callback);
     }
 
-    private void page(String after, List<CloudMachine> all, Consumer<List<CloudMachine>> done) {
-        String path = CloudMachinePage.path(after, PAGE_SIZE);
+    private void page(String afterId, List<CloudMachine> machines, Consumer<List<CloudMachine>> callback) {
+        String path = CloudMachinePage.path(afterId, PAGE_SIZE);
         reads.addLast(() -> http.call(addr, "GET", path, null, TIMEOUT_MS, reply -> {
             CloudMachinePage page = readPage(reply);
             if (page == null) {
-                done.accept(null);
+                callback.accept(null);
                 return;
             }
-            all.addAll(page.machines());
-            if (page.more() && !all.isEmpty()) {
-                page(all.get(all.size() - 1).id(), all, done);
+            machines.addAll(page.machines());
+            if (page.more() && !machines.isEmpty()) {
+                page(machines.get(machines.size() - 1).id(), machines, callback);
             } else {
-                done.accept(all);
+                callback.accept(machines);
             }
         }));
         pump();
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -166,18 +166,18 @@
 
     /** Records that the record is stored; returns true the first time. */
     boolean markWritten() {
-        boolean first = !written;
+        boolean isFirst = !written;
         written = true;
-        return first;
+        return isFirst;
     }
 
     /** Changes the state; no other method does. */
-    void transition(State next, String outcome) {
+    void transition(State next, String outcomeText) {
         if (!state.leadsTo(next)) {
             throw new IllegalStateException("operation " + name + ": " + state + " does not lead to " + next);
         }
         state = next;
-        lastOutcome = outcome;
+        lastOutcome = outcomeText;
     }
 
     @Override
--- a/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
@@ -44,9 +44,9 @@
     }
 
     private static <E extends Enum<E>> E constant(E[] constants, String name) {
-        for (E constant : constants) {
-            if (constant.name().equals(name)) {
-                return constant;
+        for (E candidate : constants) {
+            if (candidate.name().equals(name)) {
+                return candidate;
             }
         }
         return null;
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -105,12 +105,13 @@
      * the cloud lists them or they send a heartbeat.
      */
     public Optional<Operation> takeOver(String name, JsonNode record) {
-        Optional<StoredOperation> read = OperationCodec.decode(record);
-        if (read.isEmpty()) {
+        Optional<StoredOperation> storedOperation = OperationCodec.decode(record);
+        if (storedOperation.isEmpty()) {
             LOG.error("operation record cannot be read, operation={}", name);
             return Optional.empty();
         }
-        Operation operation = Operation.takeOver(scope.root(), name, read.get(), scope.token(), this::stored);
+        Operation operation =
+                Operation.takeOver(scope.root(), name, storedOperation.get(), scope.token(), this::stored);
         operations.put(name, operation);
         if (operation.open()) {
             writer.mark(operation);
@@ -127,10 +128,10 @@
     public boolean rentPending(String type, String zone, boolean spot) {
         for (Operation operation : operations.values()) {
             if (operation.state() == State.DISPATCHED
-                    && operation.request() instanceof RentRequest rent
-                    && rent.type().equals(type)
-                    && rent.zone().equals(zone)
-                    && rent.spot() == spot) {
+                    && operation.request() instanceof RentRequest rentRequest
+                    && rentRequest.type().equals(type)
+                    && rentRequest.zone().equals(zone)
+                    && rentRequest.spot() == spot) {
                 return true;
             }
         }
@@ -144,16 +145,16 @@
 
     /** Returns the machines to the cloud, in several calls if necessary. */
     public void returnMachines(List<String> machines) {
-        int next = 0;
-        while (next < machines.size()) {
-            int first = next;
-            int bytes = RECORD_BYTES;
+        int end = 0;
+        while (end < machines.size()) {
+            int start = end;
+            int recordBytes = RECORD_BYTES;
             do {
-                bytes += machines.get(next++).length() + NAME_BYTES;
-            } while (next < machines.size()
-                    && next - first < MOST_RETURNED
-                    && bytes + machines.get(next).length() + NAME_BYTES <= scope.valueBytes());
-            create("b-", new ReturnRequest(machines.subList(first, next)));
+                recordBytes += machines.get(end++).length() + NAME_BYTES;
+            } while (end < machines.size()
+                    && end - start < MOST_RETURNED
+                    && recordBytes + machines.get(end).length() + NAME_BYTES <= scope.valueBytes());
+            create("b-", new ReturnRequest(machines.subList(start, end)));
         }
     }
 
@@ -211,26 +212,26 @@
 
     private void succeed(Operation operation, CallOutcome outcome) {
         CloudRequest request = operation.request();
-        if (request instanceof RentRequest rent) {
-            events.rented(rent, outcome.machines());
-        } else if (request instanceof ReturnRequest back) {
-            events.returned(back.machines());
+        if (request instanceof RentRequest rentRequest) {
+            events.rented(rentRequest, outcome.machines());
+        } else if (request instanceof ReturnRequest returnRequest) {
+            events.returned(returnRequest.machines());
         }
         finish(operation, State.SUCCEEDED, outcome);
     }
 
     private void fail(Operation operation, CallOutcome outcome) {
-        if (operation.request() instanceof RentRequest rent) {
-            events.noCapacity(rent);
+        if (operation.request() instanceof RentRequest rentRequest) {
+            events.noCapacity(rentRequest);
         }
         finish(operation, State.FAILED, outcome);
     }
 
     private void retry(Operation operation, CallOutcome outcome) {
-        boolean late = operation.openFor(loop.now()) > queryLimitMs;
-        State next = late ? State.ESCALATED : State.UNKNOWN;
-        if (operation.state() != next) {
-            if (late) {
+        boolean isOverdue = operation.openFor(loop.now()) > queryLimitMs;
+        State end = isOverdue ? State.ESCALATED : State.UNKNOWN;
+        if (operation.state() != end) {
+            if (isOverdue) {
                 LOG.warn(
                         "operation escalated, operation={} openForS={} lastOutcome={}",
                         operation.name(),
@@ -238,20 +239,24 @@
                         outcome.text());
                 events.escalated(operation);
             }
-            operation.transition(next, outcome.text());
+            operation.transition(end, outcome.text());
             writer.mark(operation);
         }
-        long pauseMs = late ? RETRY_ESCALATED_MS : backoffMs(operation.calls());
-        loop.after(pauseMs / 2 + random.nextLong(pauseMs), () -> dispatch(operation));
+        long delayMs = isOverdue ? RETRY_ESCALATED_MS : backoffMs(operation.calls());
+        loop.after(delayMs / 2 + random.nextLong(delayMs), () -> dispatch(operation));
     }
 
     private static long backoffMs(int calls) {
         return Math.min(RETRY_MOST_MS, RETRY_FIRST_MS << Math.min(RETRY_MOST_DOUBLINGS, calls));
     }
 
-    private void finish(Operation operation, State how, CallOutcome outcome) {
-        operation.transition(how, outcome.text());
-        LOG.info("operation finished, operation={} state={} lastOutcome={}", operation.name(), how, outcome.text());
+    private void finish(Operation operation, State finalState, CallOutcome outcome) {
+        operation.transition(finalState, outcome.text());
+        LOG.info(
+                "operation finished, operation={} state={} lastOutcome={}",
+                operation.name(),
+                finalState,
+                outcome.text());
         writer.mark(operation);
         loop.after(RETENTION_MS, () -> forget(operation));
     }
--- a/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -15,27 +15,27 @@
     private final AdmissionControl admission = new AdmissionControl(() -> now, 15, 0.5, 7);
 
     /** Returns how many submissions of a flood are admitted; the leader sends a heartbeat each second, or none if null. */
-    private int flood(int seconds, Boolean leaderShort) {
-        int in = 0;
+    private int flood(int seconds, Boolean writesStarved) {
+        int admitted = 0;
         for (int ms = 0; ms < seconds * 1_000; ms += 10) {
-            if (ms % 1_000 == 0 && leaderShort != null) {
-                admission.leaderHeard(leaderShort);
+            if (ms % 1_000 == 0 && writesStarved != null) {
+                admission.leaderHeard(writesStarved);
             }
-            in += admission.admit() ? 1 : 0;
+            admitted += admission.admit() ? 1 : 0;
             now += 10;
         }
-        return in;
+        return admitted;
     }
 
     @Test
     @DisplayName("no leader, or one that comes short: a controller's share, after a first burst; else all there is")
     void shares() {
-        int first = flood(10, null);
-        assertTrue(first >= 17 && first <= 18, "7.5 at once and 1.07 a second: " + first);
-        int shortOf = flood(20, true);
-        assertTrue(shortOf >= 21 && shortOf <= 22, "1.07 a second: " + shortOf);
-        int open = flood(10, false);
-        assertTrue(open >= 148 && open <= 151, "15 a second: " + open);
+        int withoutLeader = flood(10, null);
+        assertTrue(withoutLeader >= 17 && withoutLeader <= 18, "7.5 at once and 1.07 a second: " + withoutLeader);
+        int withStarvedLeader = flood(20, true);
+        assertTrue(withStarvedLeader >= 21 && withStarvedLeader <= 22, "1.07 a second: " + withStarvedLeader);
+        int withHealthyLeader = flood(10, false);
+        assertTrue(withHealthyLeader >= 148 && withHealthyLeader <= 151, "15 a second: " + withHealthyLeader);
     }
 
     @Test
@@ -43,8 +43,8 @@
     void unheard() {
         flood(10, false);
         flood(3, null);
-        int after = flood(10, null);
-        assertTrue(after >= 10 && after <= 11, "1.07 a second: " + after);
+        int withoutHeartbeats = flood(10, null);
+        assertTrue(withoutHeartbeats >= 10 && withoutHeartbeats <= 11, "1.07 a second: " + withoutHeartbeats);
     }
 
     @Test
--- a/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
@@ -20,14 +20,14 @@
     private final Map<String, Integer> asked = new LinkedHashMap<>();
     private final Map<String, Integer> taken = new LinkedHashMap<>();
 
-    private void ask(String team, int most) {
+    private void ask(String team, int writesPerS) {
         asked.merge(team, 1, Integer::sum);
         if (now / 1_000 != second) {
             second = now / 1_000;
             takenInSecond = 0;
         }
         if (turns.admit(team)) {
-            if (takenInSecond < most) {
+            if (takenInSecond < writesPerS) {
                 takenInSecond++;
                 taken.merge(team, 1, Integer::sum);
             } else {
@@ -37,15 +37,15 @@
     }
 
     /** Simulates teams that submit at the given rates, in random order, for some seconds. */
-    private void play(long seed, int seconds, int most, Map<String, Double> perS) {
+    private void play(long seed, int seconds, int writesPerS, Map<String, Double> rateByTeam) {
         SplittableRandom random = new SplittableRandom(seed);
         asked.clear();
         taken.clear();
         for (int ms = 0; ms < seconds * 1_000; ms += 5, now += 5) {
-            perS.forEach((team, rate) -> {
-                for (double left = rate * 0.005; left > 0; left--) {
-                    if (random.nextDouble() < left) {
-                        ask(team, most);
+            rateByTeam.forEach((team, rate) -> {
+                for (double remaining = rate * 0.005; remaining > 0; remaining--) {
+                    if (random.nextDouble() < remaining) {
+                        ask(team, writesPerS);
                     }
                 }
             });
@@ -57,39 +57,40 @@
     }
 
     /** Reference model: even shares of the write rate; what a team does not need is divided among the others. */
-    private static Map<String, Double> model(Map<String, Double> perS, double most) {
-        Map<String, Double> given = new LinkedHashMap<>();
-        Map<String, Double> left = new LinkedHashMap<>(perS);
-        while (!left.isEmpty()) {
-            double even = most / left.size();
-            var least =
-                    left.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow();
-            double gets = Math.min(even, least.getValue());
-            given.put(least.getKey(), gets);
-            most -= gets;
-            left.remove(least.getKey());
+    private static Map<String, Double> model(Map<String, Double> rateByTeam, double writesPerS) {
+        Map<String, Double> shareByTeam = new LinkedHashMap<>();
+        Map<String, Double> remaining = new LinkedHashMap<>(rateByTeam);
+        while (!remaining.isEmpty()) {
+            double evenShare = writesPerS / remaining.size();
+            var leastDemand = remaining.entrySet().stream()
+                    .min(Map.Entry.comparingByValue())
+                    .orElseThrow();
+            double share = Math.min(evenShare, leastDemand.getValue());
+            shareByTeam.put(leastDemand.getKey(), share);
+            writesPerS -= share;
+            remaining.remove(leastDemand.getKey());
         }
-        return given;
+        return shareByTeam;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     @DisplayName("a flood takes what the others leave, and no more; they find room at once")
     void aFlood(long seed) {
-        Map<String, Double> perS = new LinkedHashMap<>(Map.of("desk", 1.0, "edit", 0.5, "guests", 60.0));
-        play(seed, 10, 10, perS);
-        play(seed, 60, 10, perS);
+        Map<String, Double> rateByTeam = new LinkedHashMap<>(Map.of("desk", 1.0, "edit", 0.5, "guests", 60.0));
+        play(seed, 10, 10, rateByTeam);
+        play(seed, 60, 10, rateByTeam);
         assertTrue(share("desk") > 0.8 && share("edit") > 0.8, taken + " of " + asked);
-        double guests = taken.get("guests") / 60.0;
-        double ideal = model(perS, 10).get("guests");
-        assertTrue(guests > ideal * 0.75, guests + " a second of " + ideal);
+        double guestsPerS = taken.get("guests") / 60.0;
+        double fairPerS = model(rateByTeam, 10).get("guests");
+        assertTrue(guestsPerS > fairPerS * 0.75, guestsPerS + " a second of " + fairPerS);
     }
 
     @Test
     @DisplayName("two floods share evenly")
     void twoFloods() {
-        Map<String, Double> perS = new LinkedHashMap<>(Map.of("a", 30.0, "b", 90.0, "c", 0.5));
-        play(9, 60, 12, perS);
+        Map<String, Double> rateByTeam = new LinkedHashMap<>(Map.of("a", 30.0, "b", 90.0, "c", 0.5));
+        play(9, 60, 12, rateByTeam);
         assertTrue(Math.abs(taken.get("a") - taken.get("b")) < 0.2 * taken.get("a"), taken.toString());
         assertTrue(share("c") > 0.9, taken + " of " + asked);
     }
@@ -103,10 +104,10 @@
         play(13, 12, 1_000, Map.of("b", 1.0));
         play(14, 10, 1_000, Map.of("a", 50.0, "b", 1.0));
         assertEquals(asked, taken);
-        FairQueue alone = new FairQueue(() -> now);
+        FairQueue singleTeam = new FairQueue(() -> now);
         for (int i = 0; i < 500; i++) {
-            assertTrue(alone.admit("a"));
-            alone.refused();
+            assertTrue(singleTeam.admit("a"));
+            singleTeam.refused();
             now += 10;
         }
     }
--- a/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
+++ b/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
@@ -13,11 +13,11 @@
 class NextActionTest {
     @Test
     void finalOutcomesAreRecorded() {
-        for (boolean replay : new boolean[] {false, true}) {
-            for (boolean absence : new boolean[] {false, true}) {
-                assertEquals(NextAction.RECORD_SUCCESS, NextAction.decide(SUCCEEDED, replay, absence));
-                assertEquals(NextAction.RECORD_FAILURE, NextAction.decide(FAILED_TERMINAL, replay, absence));
-                assertEquals(NextAction.WAIT_AND_QUERY, NextAction.decide(IN_PROGRESS, replay, absence));
+        for (boolean replaySafe : new boolean[] {false, true}) {
+            for (boolean absenceFinal : new boolean[] {false, true}) {
+                assertEquals(NextAction.RECORD_SUCCESS, NextAction.decide(SUCCEEDED, replaySafe, absenceFinal));
+                assertEquals(NextAction.RECORD_FAILURE, NextAction.decide(FAILED_TERMINAL, replaySafe, absenceFinal));
+                assertEquals(NextAction.WAIT_AND_QUERY, NextAction.decide(IN_PROGRESS, replaySafe, absenceFinal));
             }
         }
     }
