--- a/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
+++ b/controller/src/main/java/org/landingridge/controller/api/AdmissionControl.java
@@ -17,26 +17,26 @@
  */
 final class AdmissionControl {
     /** Bucket tokens taken by one submission; more than 1, since rates are fractional. */
-    private static final long TOKENS = 1_000;
+    private static final long TOKENS_PER_SUBMISSION = 1_000;
     /** Time for which a heartbeat of the leader is valid, in milliseconds. */
-    private static final long HEARD_MS = 2_500;
+    private static final long LEADER_HEARTBEAT_VALID_MS = 2_500;
 
     private static final int MAX_RETRY_AFTER_S = 4;
     private final LongSupplier clock;
-    private final double maxRate;
-    private final double shareRate;
+    private final double maxWriteRate;
+    private final double controllerShareRate;
     /** Burst of submissions admitted after an idle time, since requests are spread unevenly over time and over controllers. */
-    private final double burst;
+    private final double burstSubmissions;
 
     private final Bucket bucket;
     /** Submissions a second that are currently admitted. */
-    private double rate;
+    private double currentRate;
 
-    private long heardUntil = Long.MIN_VALUE / 2;
+    private long leaderHeartbeatValidUntil = Long.MIN_VALUE / 2;
     /** Submissions refused in the current counting second. */
-    private int refused;
+    private int refusedInWindow;
 
-    private long countedSince;
+    private long windowStart;
 
     /**
      * Admits this controller's share until the first heartbeat of a leader arrives.
@@ -48,12 +48,12 @@
      */
     AdmissionControl(LongSupplier clock, double maxWriteRate, double share, int controllerCount) {
         this.clock = clock;
-        this.maxRate = maxWriteRate;
-        this.shareRate = maxWriteRate * share / controllerCount;
-        this.burst = maxWriteRate * share;
-        this.rate = shareRate;
+        this.maxWriteRate = maxWriteRate;
+        this.controllerShareRate = maxWriteRate * share / controllerCount;
+        this.burstSubmissions = maxWriteRate * share;
+        this.currentRate = controllerShareRate;
         bucket = Bucket.builder()
-                .addLimit(limit(rate))
+                .addLimit(bandwidth(currentRate))
                 .withCustomTimePrecision(new TimeMeter() {
                     @Override
                     public long currentTimeNanos() {
@@ -68,44 +68,45 @@
                 .build();
     }
 
-    private Bandwidth limit(double perSecond) {
-        long tokens = Math.max(TOKENS / 10, Math.round(perSecond * TOKENS));
+    private Bandwidth bandwidth(double perSecond) {
+        long tokens = Math.max(TOKENS_PER_SUBMISSION / 10, Math.round(perSecond * TOKENS_PER_SUBMISSION));
         return Bandwidth.builder()
-                .capacity(Math.max(TOKENS, Math.round(burst * TOKENS)))
+                .capacity(Math.max(TOKENS_PER_SUBMISSION, Math.round(burstSubmissions * TOKENS_PER_SUBMISSION)))
                 .refillGreedy(tokens, Duration.ofSeconds(1))
                 .build();
     }
 
     /** Handles a heartbeat of the leader, which says whether its own writes are starved. */
-    void leaderHeard(boolean writesStarved) {
-        heardUntil = clock.getAsLong() + HEARD_MS;
-        setRate(writesStarved ? shareRate : maxRate);
+    void handleLeaderHeartbeat(boolean writesStarved) {
+        leaderHeartbeatValidUntil = clock.getAsLong() + LEADER_HEARTBEAT_VALID_MS;
+        setRate(writesStarved ? controllerShareRate : maxWriteRate);
     }
 
     private void setRate(double perSecond) {
-        if (Math.abs(perSecond - rate) > 0.1) {
-            rate = perSecond;
+        if (Math.abs(perSecond - currentRate) > 0.1) {
+            currentRate = perSecond;
             bucket.replaceConfiguration(
-                    BucketConfiguration.builder().addLimit(limit(perSecond)).build(), TokensInheritanceStrategy.AS_IS);
+                    BucketConfiguration.builder().addLimit(bandwidth(perSecond)).build(),
+                    TokensInheritanceStrategy.AS_IS);
         }
     }
 
     /** Counts a submission and returns true if it may be written now. */
     boolean admit() {
-        if (clock.getAsLong() > heardUntil) {
-            setRate(shareRate);
+        if (clock.getAsLong() > leaderHeartbeatValidUntil) {
+            setRate(controllerShareRate);
         }
-        boolean admitted = bucket.tryConsume(TOKENS);
-        if (clock.getAsLong() - countedSince >= 1_000) {
-            countedSince = clock.getAsLong();
-            refused = 0;
+        boolean admitted = bucket.tryConsume(TOKENS_PER_SUBMISSION);
+        if (clock.getAsLong() - windowStart >= 1_000) {
+            windowStart = clock.getAsLong();
+            refusedInWindow = 0;
         }
-        refused += admitted ? 0 : 1;
+        refusedInWindow += admitted ? 0 : 1;
         return admitted;
     }
 
     /** Returns the retry delay for a refused submission, in seconds; it grows with the number of recent refusals. */
     int retryAfterS() {
-        return (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, Math.round(refused / Math.max(0.1, rate))));
+        return (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, Math.round(refusedInWindow / Math.max(0.1, currentRate))));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -35,23 +35,23 @@
     }
 
     void cancel(Exchange exchange, String id) {
-        attempt(exchange, id, 0);
+        tryCancel(exchange, id, 0);
     }
 
-    private void attempt(Exchange exchange, String id, int attempts) {
+    private void tryCancel(Exchange exchange, String id, int attempts) {
         lookup.find(id, new JobLookup.Callback() {
             @Override
             public void active(Job job) {
                 if (attempts >= MAX_ATTEMPTS) {
                     responses.unavailable(exchange, "the state service does not answer");
                 } else {
-                    write(exchange, job, attempts);
+                    storeCancellation(exchange, job, attempts);
                 }
             }
 
             @Override
             public void terminated(TerminatedJob terminatedJob) {
-                responses.ended(exchange, id, terminatedJob.how());
+                responses.finalStatus(exchange, id, terminatedJob.how());
             }
 
             @Override
@@ -66,25 +66,25 @@
         });
     }
 
-    private void write(Exchange exchange, Job job, int attempts) {
+    private void storeCancellation(Exchange exchange, Job job, int attempts) {
         String key = Keys.JOBS + job.id();
         List<Guard> guards = List.of(new Guard(key, watchCache.version(key)));
         List<Write> writes = List.of(new Write(key, StoredJobCodec.terminated(job, Job.Status.CANCELLED), 0));
         client.commit(guards, writes, answer -> {
             if (answer.ok()) {
-                cancelled(exchange, job, answer.revision());
+                recordCancelled(exchange, job, answer.revision());
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
-                attempt(exchange, job.id(), attempts + 1);
+                tryCancel(exchange, job.id(), attempts + 1);
             } else {
                 responses.unavailable(exchange, "the state service refuses");
             }
         });
     }
 
-    private void cancelled(Exchange exchange, Job job, long revision) {
+    private void recordCancelled(Exchange exchange, Job job, long revision) {
         watchCache.committed(Keys.JOBS + job.id(), revision);
         table.end(job, Job.Status.CANCELLED, job.tasks(), revision, true);
         LOG.info("job cancelled: job={}", job.id());
-        responses.ended(exchange, job.id(), Job.Status.CANCELLED);
+        responses.finalStatus(exchange, job.id(), Job.Status.CANCELLED);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
+++ b/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
@@ -17,17 +17,17 @@
     private final JobLookup lookup;
     private final JobResponses responses;
     private final JobAcceptance acceptance;
-    private final Set<String> unfinished = new LinkedHashSet<>();
-    private int pending;
-    private boolean cancelled;
+    private final Set<String> unfinishedIds = new LinkedHashSet<>();
+    private int pendingLookups;
+    private boolean anyCancelled;
     /** An awaited job that does not exist; null if all exist. */
-    private String absent;
+    private String absentId;
 
     /** An awaited job that is a service; null if there is none. */
-    private String service;
+    private String serviceId;
 
     /** Reason why the state of an awaited job is unknown; null if all are known. */
-    private String unavailable;
+    private String unavailableReason;
 
     DependencyCheck(
             Exchange exchange, JobSpec spec, JobLookup lookup, JobResponses responses, JobAcceptance acceptance) {
@@ -36,68 +36,68 @@
         this.lookup = lookup;
         this.responses = responses;
         this.acceptance = acceptance;
-        this.pending = spec.awaits().size();
+        this.pendingLookups = spec.awaits().size();
     }
 
     void start() {
         for (String id : spec.awaits()) {
-            lookup.find(id, new Awaited(id));
+            lookup.find(id, new AwaitedJobCallback(id));
         }
     }
 
-    private final class Awaited implements JobLookup.Callback {
+    private final class AwaitedJobCallback implements JobLookup.Callback {
         private final String id;
 
-        Awaited(String id) {
+        AwaitedJobCallback(String id) {
             this.id = id;
         }
 
         @Override
         public void active(Job job) {
-            service = job.spec().service() ? id : service;
-            unfinished.add(id);
-            checked();
+            serviceId = job.spec().service() ? id : serviceId;
+            unfinishedIds.add(id);
+            completeLookup();
         }
 
         @Override
         public void terminated(TerminatedJob terminatedJob) {
-            cancelled |= terminatedJob.how() == Job.Status.CANCELLED;
-            checked();
+            anyCancelled |= terminatedJob.how() == Job.Status.CANCELLED;
+            completeLookup();
         }
 
         @Override
         public void absent() {
-            absent = id;
-            checked();
+            absentId = id;
+            completeLookup();
         }
 
         @Override
         public void unavailable(String reason) {
-            unavailable = reason;
-            checked();
+            unavailableReason = reason;
+            completeLookup();
         }
     }
 
-    private void checked() {
-        pending--;
-        if (pending > 0) {
+    private void completeLookup() {
+        pendingLookups--;
+        if (pendingLookups > 0) {
             return;
         }
-        if (absent != null) {
-            refuse("field awaits: there is no job " + absent);
-        } else if (service != null) {
-            refuse("field awaits: " + service + " is a service, which is never done");
-        } else if (unavailable != null) {
-            responses.unavailable(exchange, unavailable);
-        } else if (cancelled) {
+        if (absentId != null) {
+            rejectIfNew("field awaits: there is no job " + absentId);
+        } else if (serviceId != null) {
+            rejectIfNew("field awaits: " + serviceId + " is a service, which is never done");
+        } else if (unavailableReason != null) {
+            responses.unavailable(exchange, unavailableReason);
+        } else if (anyCancelled) {
             acceptance.acceptCancelled(exchange, spec);
         } else {
-            acceptance.accept(exchange, spec.awaiting(unfinished));
+            acceptance.accept(exchange, spec.awaiting(unfinishedIds));
         }
     }
 
     /** Rejects the submission, unless the job already exists: a repeated submission gets 200 whatever it awaits. */
-    private void refuse(String reason) {
+    private void rejectIfNew(String reason) {
         Runnable ifAbsent = () -> responses.error(exchange, 422, reason);
         lookup.find(spec.id(), new JobStateResponder(responses, exchange, spec.id(), ifAbsent));
     }
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -24,9 +24,9 @@
     /**
      * A submitted job that is to be stored.
      *
-     * @param value the value to be stored under the job's key
+     * @param storedValue the value to be stored under the job's key
      */
-    private record Submission(Exchange exchange, JobSpec spec, ObjectNode value) {
+    private record Submission(Exchange exchange, JobSpec spec, ObjectNode storedValue) {
         String id() {
             return spec.id();
         }
@@ -34,7 +34,7 @@
 
     private static final int MAX_ATTEMPTS = 4;
     /** Retry delay for a team that submits more than its share, in seconds. */
-    private static final int OVER_SHARE_RETRY_S = 2;
+    private static final int OVER_SHARE_RETRY_AFTER_S = 2;
 
     private final StateClient client;
     private final WatchCache watchCache;
@@ -74,21 +74,23 @@
         Exchange exchange = submission.exchange;
         if (!fairQueue.admit(submission.spec.team())) {
             responses.unavailable(
-                    exchange, "more is submitted than can be stored now, most of it by this team", OVER_SHARE_RETRY_S);
+                    exchange,
+                    "more is submitted than can be stored now, most of it by this team",
+                    OVER_SHARE_RETRY_AFTER_S);
         } else if (!admission.admit()) {
-            fairQueue.refused();
+            fairQueue.recordRefusal();
             responses.unavailable(exchange, "more is submitted than can be stored now", admission.retryAfterS());
         } else {
-            attempt(submission, 0);
+            checkHistoryAndPut(submission, 0);
         }
     }
 
-    private void attempt(Submission submission, int attempts) {
+    private void checkHistoryAndPut(Submission submission, int attempts) {
         if (attempts >= MAX_ATTEMPTS) {
             responses.unavailable(submission.exchange, "the history of this range of jobs changes too often");
             return;
         }
-        JobStateResponder responder = respond(submission, () -> {});
+        JobStateResponder responder = responder(submission, () -> {});
         lookup.findInHistory(
                 submission.id(),
                 responder,
@@ -96,7 +98,7 @@
                 found -> put(submission, found.version(), attempts, false));
     }
 
-    private JobStateResponder respond(Submission submission, Runnable ifAbsent) {
+    private JobStateResponder responder(Submission submission, Runnable ifAbsent) {
         return new JobStateResponder(responses, submission.exchange, submission.id(), ifAbsent);
     }
 
@@ -106,33 +108,33 @@
         String segment = SegmentAddress.of(submission.id()).key();
         client.commit(
                 List.of(new Guard(key, 0), new Guard(segment, segmentVersion)),
-                List.of(new Write(key, submission.value, 0)),
+                List.of(new Write(key, submission.storedValue, 0)),
                 answer -> {
                     switch (answer.status()) {
-                        case OK -> accepted(submission, key, answer);
-                        case CONFLICT -> conflict(submission, attempts);
-                        case UNKNOWN -> unknown(submission, segmentVersion, attempts, isRepeat);
-                        default -> refused(submission, answer);
+                        case OK -> completeAccepted(submission, key, answer);
+                        case CONFLICT -> handleConflict(submission, attempts);
+                        case UNKNOWN -> handleUnknownOutcome(submission, segmentVersion, attempts, isRepeat);
+                        default -> handleRefusal(submission, answer);
                     }
                 });
     }
 
-    private void accepted(Submission submission, String key, Answer answer) {
+    private void completeAccepted(Submission submission, String key, Answer answer) {
         if (answer.revision() > watchCache.revision()) {
             watchCache.committed(key, answer.revision());
-            table.changed(submission.id(), submission.value, answer.revision());
+            table.changed(submission.id(), submission.storedValue, answer.revision());
         }
-        boolean cancelled = StoredJobCodec.termination(submission.value).isPresent();
+        boolean cancelled = StoredJobCodec.termination(submission.storedValue).isPresent();
         responses.accepted(submission.exchange, submission.id(), cancelled);
     }
 
     /** Handles a conflict: the job already exists, or its history segment has changed in the meantime and the put is retried. */
-    private void conflict(Submission submission, int attempts) {
-        lookup.find(submission.id(), respond(submission, () -> attempt(submission, attempts + 1)));
+    private void handleConflict(Submission submission, int attempts) {
+        lookup.find(submission.id(), responder(submission, () -> checkHistoryAndPut(submission, attempts + 1)));
     }
 
     /** Handles an unknown outcome: repeating the same conditional put shows whether the first one took effect. */
-    private void unknown(Submission submission, long segmentVersion, int attempts, boolean isRepeat) {
+    private void handleUnknownOutcome(Submission submission, long segmentVersion, int attempts, boolean isRepeat) {
         if (isRepeat) {
             responses.unavailable(submission.exchange, "the state service does not answer");
         } else {
@@ -140,9 +142,9 @@
         }
     }
 
-    private void refused(Submission submission, Answer answer) {
+    private void handleRefusal(Submission submission, Answer answer) {
         if (answer.overRate()) {
-            fairQueue.refused();
+            fairQueue.recordRefusal();
         }
         responses.unavailable(submission.exchange, "the state service refuses");
     }
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -41,13 +41,13 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
-    private static final String NO_ANSWER = "the state service does not answer";
+    private static final String STATE_SERVICE_UNAVAILABLE = "the state service does not answer";
     private final StateClient client;
     private final WatchCache watchCache;
     private final JobTable table;
     private final History history;
     /** Callbacks waiting for the lookup of an awaited job, by its id; they are passed the reason if the lookup fails. */
-    private final Map<String, List<Consumer<Optional<String>>>> resolving = new HashMap<>();
+    private final Map<String, List<Consumer<Optional<String>>>> callbacksByAwaitedId = new HashMap<>();
 
     /** Creates a lookup over the places where jobs are kept. */
     public JobLookup(StateClient client, WatchCache watchCache, JobTable table, History history) {
@@ -59,13 +59,13 @@
 
     /** Finds the job and passes the result to the callback. */
     public void find(String id, Callback callback) {
-        TerminatedJob terminatedJob = knownEnd(id);
+        TerminatedJob terminatedJob = knownTermination(id);
         if (terminatedJob != null) {
             callback.terminated(terminatedJob);
         } else {
-            barrier(
+            afterBarrier(
                     callback,
-                    () -> findCurrent(id, callback, () -> {
+                    () -> findAfterBarrier(id, callback, () -> {
                         if (table.terminated().partial()) {
                             findByKey(id, callback);
                         } else {
@@ -75,15 +75,15 @@
         }
     }
 
-    private TerminatedJob knownEnd(String id) {
+    private TerminatedJob knownTermination(String id) {
         Job job = table.get(id);
         if (job == null) {
             return history.known(id);
         }
-        return job.active() ? null : end(job);
+        return job.active() ? null : terminatedJob(job);
     }
 
-    private static TerminatedJob end(Job job) {
+    private static TerminatedJob terminatedJob(Job job) {
         return new TerminatedJob(job.status(), job.tasks());
     }
 
@@ -93,32 +93,32 @@
      */
     private void findByKey(String id, Callback callback) {
         client.get(Keys.JOBS + id, answer -> {
-            Optional<TerminatedJob> terminatedJob = storedEnd(answer);
+            Optional<TerminatedJob> terminatedJob = storedTermination(answer);
             if (terminatedJob.isPresent()) {
                 callback.terminated(terminatedJob.get());
             } else if (answer.status() == Status.NOT_FOUND) {
-                barrier(callback, () -> findCurrent(id, callback, callback::absent));
+                afterBarrier(callback, () -> findAfterBarrier(id, callback, callback::absent));
             } else {
-                callback.unavailable(NO_ANSWER);
+                callback.unavailable(STATE_SERVICE_UNAVAILABLE);
             }
         });
     }
 
-    private static Optional<TerminatedJob> storedEnd(Answer answer) {
+    private static Optional<TerminatedJob> storedTermination(Answer answer) {
         return answer.ok() ? StoredJobCodec.termination(answer.body().path("data")) : Optional.empty();
     }
 
     /** Finds the job in the table or the history; the caller has passed the barrier. */
-    private void findCurrent(String id, Callback callback, Runnable absent) {
+    private void findAfterBarrier(String id, Callback callback, Runnable onAbsent) {
         Job job = table.get(id);
         if (job != null && job.active()) {
-            findActive(job, callback);
+            reportActive(job, callback);
         } else if (job != null) {
-            callback.terminated(end(job));
+            callback.terminated(terminatedJob(job));
         } else if (table.unreadable(id)) {
             callback.unavailable("what is stored of the job cannot be read");
         } else {
-            findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> absent.run());
+            findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> onAbsent.run());
         }
     }
 
@@ -126,7 +126,7 @@
      * Reports an active job, after resolving every awaited job that the table does not keep. If one of those is cancelled, so is
      * this job, and another controller may already have reported that to a user.
      */
-    private void findActive(Job job, Callback callback) {
+    private void reportActive(Job job, Callback callback) {
         if (!table.unresolved(job)) {
             callback.active(job);
             return;
@@ -137,25 +137,25 @@
             } else if (job.active()) {
                 callback.active(job);
             } else {
-                callback.terminated(end(job));
+                callback.terminated(terminatedJob(job));
             }
         });
     }
 
-    /** Looks the job up in the history; calls {@code terminated}, {@code absent} or the callback's {@code unavailable}. */
+    /** Looks the job up in the history; calls {@code onTerminated}, {@code onAbsent} or {@link Callback#unavailable}. */
     void findInHistory(
-            String id, Callback callback, Consumer<History.Found> terminated, Consumer<History.Found> absent) {
+            String id, Callback callback, Consumer<History.Found> onTerminated, Consumer<History.Found> onAbsent) {
         history.find(id, found -> {
             switch (found.outcome()) {
-                case UNAVAILABLE -> callback.unavailable(NO_ANSWER);
+                case UNAVAILABLE -> callback.unavailable(STATE_SERVICE_UNAVAILABLE);
                 case UNREADABLE -> callback.unavailable("the history of this range of jobs cannot be read");
-                case READ -> (found.ended() != null ? terminated : absent).accept(found);
+                case READ -> (found.ended() != null ? onTerminated : onAbsent).accept(found);
             }
         });
     }
 
-    private void barrier(Callback callback, Runnable onPassed) {
-        watchCache.barrier(onPassed, () -> callback.unavailable(NO_ANSWER));
+    private void afterBarrier(Callback callback, Runnable onPassed) {
+        watchCache.barrier(onPassed, () -> callback.unavailable(STATE_SERVICE_UNAVAILABLE));
     }
 
     /** Looks up every awaited job that the table does not keep; a leader cannot start the dependants of these jobs before. */
@@ -168,46 +168,46 @@
         List<String> missingIds =
                 job.awaited().stream().filter(id -> table.get(id) == null).toList();
         Resolution resolution = new Resolution(missingIds.size(), callback);
-        missingIds.forEach(id -> resolve(id, resolution::resolved));
+        missingIds.forEach(id -> resolve(id, resolution::completeLookup));
     }
 
     /** Tracks the lookups of all jobs that one job awaits. */
     private static final class Resolution {
-        private final Consumer<Optional<String>> done;
-        private int pending;
+        private final Consumer<Optional<String>> callback;
+        private int pendingLookups;
         private Optional<String> failure = Optional.empty();
 
-        Resolution(int pending, Consumer<Optional<String>> callback) {
-            this.pending = pending;
-            this.done = callback;
+        Resolution(int pendingLookups, Consumer<Optional<String>> callback) {
+            this.pendingLookups = pendingLookups;
+            this.callback = callback;
         }
 
-        void resolved(Optional<String> lookupFailure) {
+        void completeLookup(Optional<String> lookupFailure) {
             failure = lookupFailure.isPresent() ? lookupFailure : failure;
-            pending--;
-            if (pending == 0) {
-                done.accept(failure);
+            pendingLookups--;
+            if (pendingLookups == 0) {
+                callback.accept(failure);
             }
         }
     }
 
     private void resolve(String id, Consumer<Optional<String>> callback) {
-        List<Consumer<Optional<String>>> waitingCallbacks = resolving.get(id);
+        List<Consumer<Optional<String>>> waitingCallbacks = callbacksByAwaitedId.get(id);
         if (waitingCallbacks != null) {
             waitingCallbacks.add(callback);
             return;
         }
-        resolving.put(id, new ArrayList<>(List.of(callback)));
+        callbacksByAwaitedId.put(id, new ArrayList<>(List.of(callback)));
         find(id, new Callback() {
             @Override
             public void active(Job job) {
-                resolved(id, Optional.empty());
+                completeResolution(id, Optional.empty());
             }
 
             @Override
             public void terminated(TerminatedJob terminatedJob) {
                 table.resolved(id, terminatedJob.how(), watchCache.revision());
-                resolved(id, Optional.empty());
+                completeResolution(id, Optional.empty());
             }
 
             @Override
@@ -215,17 +215,17 @@
                 // A job is accepted only after all jobs that it awaits, so an operator must have removed this job's
                 // key.
                 LOG.error("awaited job not found, its dependants go on waiting: job={}", id);
-                resolved(id, Optional.empty());
+                completeResolution(id, Optional.empty());
             }
 
             @Override
             public void unavailable(String reason) {
-                resolved(id, Optional.of(reason));
+                completeResolution(id, Optional.of(reason));
             }
         });
     }
 
-    private void resolved(String id, Optional<String> failure) {
-        resolving.remove(id).forEach(callback -> callback.accept(failure));
+    private void completeResolution(String id, Optional<String> failure) {
+        callbacksByAwaitedId.remove(id).forEach(callback -> callback.accept(failure));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -22,13 +22,13 @@
      * @param cancelled true if the job was accepted as cancelled, because a job that it awaits is cancelled
      */
     void accepted(Exchange exchange, String id, boolean cancelled) {
-        exchange.answer(201, Json.bytes(state(id, cancelled ? "cancelled" : "queued", 0, 0)));
+        exchange.answer(201, Json.bytes(stateBody(id, cancelled ? "cancelled" : "queued", 0, 0)));
     }
 
     /** Responds with the state of an active job. */
     void active(Exchange exchange, Job job) {
         String status = job.running() > 0 ? "running" : "queued";
-        ObjectNode body = state(job.id(), status, job.doneCount(), job.running());
+        ObjectNode body = stateBody(job.id(), status, job.doneCount(), job.running());
         if (!job.ready()) {
             job.awaited().forEach(body.putArray("awaits")::add);
         }
@@ -37,12 +37,12 @@
 
     /** Responds with the state of a job that has ended. */
     void terminated(Exchange exchange, String id, TerminatedJob terminatedJob) {
-        exchange.answer(200, Json.bytes(state(id, status(terminatedJob.how()), terminatedJob.tasks(), 0)));
+        exchange.answer(200, Json.bytes(stateBody(id, statusText(terminatedJob.how()), terminatedJob.tasks(), 0)));
     }
 
     /** Responds to a cancellation with the job's final status: cancelled, or done if it had already finished. */
-    void ended(Exchange exchange, String id, Job.Status finalStatus) {
-        exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", status(finalStatus))));
+    void finalStatus(Exchange exchange, String id, Job.Status finalStatus) {
+        exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", statusText(finalStatus))));
     }
 
     /** Responds that there is no such job. */
@@ -66,11 +66,11 @@
         exchange.answer(503, Json.bytes(Json.object().put("error", reason)), retryAfterS);
     }
 
-    private static String status(Job.Status finalStatus) {
+    private static String statusText(Job.Status finalStatus) {
         return finalStatus == Job.Status.DONE ? "done" : "cancelled";
     }
 
-    private static ObjectNode state(String id, String status, int doneTasks, int runningTasks) {
+    private static ObjectNode stateBody(String id, String status, int doneTasks, int runningTasks) {
         return Json.object()
                 .put("id", id)
                 .put("status", status)
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -27,13 +27,13 @@
             Metrics metrics) {}
 
     /** Share of the state service's write rate for submissions; the leader's writes take the other half. */
-    private static final double SUBMISSION_SHARE = 0.5;
+    private static final double SUBMISSION_WRITE_SHARE = 0.5;
 
     private final JobLookup lookup;
     private final JobResponses responses;
     private final AdmissionControl admission;
-    private final SubmitHandler submissions;
-    private final CancelHandler cancellations;
+    private final SubmitHandler submitHandler;
+    private final CancelHandler cancelHandler;
 
     /**
      * Creates a service without pending requests.
@@ -53,12 +53,12 @@
         this.responses = new JobResponses(dependencies.metrics);
         FairQueue fairQueue = new FairQueue(loop::now);
         int controllers = settings.peers().size() + 1;
-        this.admission = new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_SHARE, controllers);
+        this.admission = new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_WRITE_SHARE, controllers);
         JobAcceptance acceptance = new JobAcceptance(dependencies, responses, fairQueue, admission);
         SubmissionValidator validator =
                 new SubmissionValidator(configuration, machineTypes, stateLimits.valueBytes(), loop);
-        this.submissions = new SubmitHandler(dependencies, responses, validator, acceptance, allSupportPipelines);
-        this.cancellations = new CancelHandler(dependencies, responses);
+        this.submitHandler = new SubmitHandler(dependencies, responses, validator, acceptance, allSupportPipelines);
+        this.cancelHandler = new CancelHandler(dependencies, responses);
     }
 
     /**
@@ -67,12 +67,12 @@
      * @param writesStarved true if the leader has more to write than the state service accepts
      */
     public void leaderHeard(boolean writesStarved) {
-        admission.leaderHeard(writesStarved);
+        admission.handleLeaderHeartbeat(writesStarved);
     }
 
     /** Submits the job described by the request body. */
     public void submit(Exchange exchange) {
-        submissions.submit(exchange);
+        submitHandler.submit(exchange);
     }
 
     /** Responds with the job's state. */
@@ -82,6 +82,6 @@
 
     /** Cancels the job unless it has already ended. */
     public void cancel(Exchange exchange, String id) {
-        cancellations.cancel(exchange, id);
+        cancelHandler.cancel(exchange, id);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
@@ -17,8 +17,8 @@
     private static final double TOLERANCE = 1e-6;
 
     private final ConfigurationView configuration;
-    private final Map<String, MachineType> types;
-    private final int valueBytes;
+    private final Map<String, MachineType> machineTypes;
+    private final int maxValueBytes;
     private final EventLoop loop;
 
     /**
@@ -28,18 +28,18 @@
     SubmissionValidator(
             ConfigurationView configuration, Map<String, MachineType> machineTypes, int maxValueBytes, EventLoop loop) {
         this.configuration = configuration;
-        this.types = machineTypes;
-        this.valueBytes = maxValueBytes;
+        this.machineTypes = machineTypes;
+        this.maxValueBytes = maxValueBytes;
         this.loop = loop;
     }
 
     /** Returns true once the machine types are known. */
-    boolean ready() {
-        return !types.isEmpty();
+    boolean knowsMachineTypes() {
+        return !machineTypes.isEmpty();
     }
 
     /** Returns the reason why the job can never run, or empty if it can. */
-    Optional<String> impossible(JobSpec spec) {
+    Optional<String> rejectionReason(JobSpec spec) {
         ConfiguredTeam team = configuration.current().teams().get(spec.team());
         if (team == null) {
             return Optional.of("field crew: there is no team " + spec.team());
@@ -47,20 +47,20 @@
         if (team.removed()) {
             return Optional.of("field crew: team " + spec.team() + " has been removed");
         }
-        if (types.values().stream().noneMatch(type -> type.fits(spec))) {
+        if (machineTypes.values().stream().noneMatch(type -> type.fits(spec))) {
             return Optional.of("a task fits no allowed machine type");
         }
-        if (exceeds(spec, team.limits())) {
+        if (exceedsTeamLimits(spec, team.limits())) {
             return Optional.of("the job needs more than the limit of team " + spec.team());
         }
-        if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length > valueBytes) {
-            return Optional.of("its description takes more than the " + valueBytes + " bytes that can be stored");
+        if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length > maxValueBytes) {
+            return Optional.of("its description takes more than the " + maxValueBytes + " bytes that can be stored");
         }
         return Optional.empty();
     }
 
     /** A service runs all its tasks at once; any other job needs room for at least one task. */
-    private static boolean exceeds(JobSpec spec, Settings.Team limits) {
+    private static boolean exceedsTeamLimits(JobSpec spec, Settings.Team limits) {
         int concurrentTasks = spec.service() ? spec.tasks() : 1;
         boolean exceedsCpus = limits.cpusMax() > 0 && spec.cpus() * concurrentTasks > limits.cpusMax() + TOLERANCE;
         boolean exceedsGpus = limits.gpusMax() > 0 && spec.gpus() * concurrentTasks > limits.gpusMax() + TOLERANCE;
--- a/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
@@ -18,7 +18,7 @@
     private final JobResponses responses;
     private final SubmissionValidator validator;
     private final JobAcceptance acceptance;
-    private final BooleanSupplier pipelines;
+    private final BooleanSupplier allSupportPipelines;
 
     /** @param allSupportPipelines true if every controller runs a version that supports jobs that await other jobs */
     SubmitHandler(
@@ -33,7 +33,7 @@
         this.responses = responses;
         this.validator = validator;
         this.acceptance = acceptance;
-        this.pipelines = allSupportPipelines;
+        this.allSupportPipelines = allSupportPipelines;
     }
 
     void submit(Exchange exchange) {
@@ -41,43 +41,44 @@
         JsonNode body = Json.parse(exchange.body());
         try {
             JobSpec spec = JobSpec.parse(body);
-            ifNotInTable(exchange, spec.id(), () -> check(exchange, spec));
+            respondIfInTable(exchange, spec.id(), () -> validateAndAccept(exchange, spec));
         } catch (InvalidMessageException e) {
-            malformed(exchange, body, e.getMessage());
+            rejectMalformed(exchange, body, e.getMessage());
         }
     }
 
-    private void malformed(Exchange exchange, JsonNode body, String error) {
+    private void rejectMalformed(Exchange exchange, JsonNode body, String error) {
         String id = body == null || !body.isObject() ? null : Json.text(body, "id");
         if (JobSpec.validId(id)) {
-            ifNotInTable(exchange, id, () -> ifAbsent(exchange, id, () -> responses.error(exchange, 400, error)));
+            respondIfInTable(
+                    exchange, id, () -> respondIfExists(exchange, id, () -> responses.error(exchange, 400, error)));
         } else {
             responses.error(exchange, 400, error);
         }
     }
 
     /** Responds with the job's state if the table has the job, which saves the checks; otherwise runs the given action. */
-    private void ifNotInTable(Exchange exchange, String id, Runnable otherwise) {
+    private void respondIfInTable(Exchange exchange, String id, Runnable otherwise) {
         if (table.get(id) != null) {
-            ifAbsent(exchange, id, otherwise);
+            respondIfExists(exchange, id, otherwise);
         } else {
             otherwise.run();
         }
     }
 
     /** Responds with the job's state if the job exists; otherwise runs the given action. */
-    private void ifAbsent(Exchange exchange, String id, Runnable otherwise) {
+    private void respondIfExists(Exchange exchange, String id, Runnable otherwise) {
         lookup.find(id, new JobStateResponder(responses, exchange, id, otherwise));
     }
 
-    private void check(Exchange exchange, JobSpec spec) {
-        if (!validator.ready()) {
+    private void validateAndAccept(Exchange exchange, JobSpec spec) {
+        if (!validator.knowsMachineTypes()) {
             responses.unavailable(exchange, "the machine types are not known yet");
-        } else if (validator.impossible(spec).isPresent()) {
-            ifAbsent(exchange, spec.id(), () -> refuse(exchange, spec));
+        } else if (validator.rejectionReason(spec).isPresent()) {
+            respondIfExists(exchange, spec.id(), () -> rejectOrRetryLater(exchange, spec));
         } else if (spec.awaits().isEmpty()) {
             acceptance.accept(exchange, spec);
-        } else if (!pipelines.getAsBoolean()) {
+        } else if (!allSupportPipelines.getAsBoolean()) {
             // A leader that runs an earlier version would start the job's tasks immediately.
             responses.unavailable(exchange, "not every controller knows yet that jobs can await others");
         } else {
@@ -86,8 +87,8 @@
     }
 
     /** Rejects a job that does not exist yet; validates it again, since an operator may have just changed the configuration. */
-    private void refuse(Exchange exchange, JobSpec spec) {
-        Optional<String> rejectionReason = validator.impossible(spec);
+    private void rejectOrRetryLater(Exchange exchange, JobSpec spec) {
+        Optional<String> rejectionReason = validator.rejectionReason(spec);
         if (rejectionReason.isPresent()) {
             responses.error(exchange, 422, rejectionReason.get());
         } else {
--- a/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
@@ -20,19 +20,19 @@
             return new CallOutcome(Observation.SUCCEEDED, "200", machines);
         }
         if (reply.is(400)) {
-            return without(Observation.FAILED_TERMINAL, "malformed");
+            return withoutMachines(Observation.FAILED_TERMINAL, "malformed");
         }
         if (reply.is(503) && CloudError.parse(reply.body()).isNoCapacity()) {
-            return without(Observation.FAILED_TERMINAL, "no capacity");
+            return withoutMachines(Observation.FAILED_TERMINAL, "no capacity");
         }
-        return without(
+        return withoutMachines(
                 Observation.UNAVAILABLE,
                 reply.outcome() == Http.Outcome.ANSWERED
                         ? "status " + reply.status()
                         : reply.outcome().name());
     }
 
-    private static CallOutcome without(Observation observation, String text) {
+    private static CallOutcome withoutMachines(Observation observation, String text) {
         return new CallOutcome(observation, text, List.of());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -19,9 +19,9 @@
 /** Calls the cloud within its rate limit; rents and returns have priority over reads. */
 public final class CloudClient {
     private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
-    private static final long TIMEOUT_MS = 5_000;
+    private static final long CALL_TIMEOUT_MS = 5_000;
     /** Calls left unused for up to this time, in milliseconds, may be made in a burst; the cloud permits 2 s. */
-    private static final long BURST_MS = 1_000;
+    private static final long MAX_BURST_MS = 1_000;
     /** Share of the rate used by this controller; the others need little, as they mostly read only the machine types. */
     private static final double RATE_SHARE = 0.8;
 
@@ -29,21 +29,21 @@
 
     private final Http http;
     private final EventLoop loop;
-    private final String addr;
-    private final long gapMs;
+    private final String address;
+    private final long callIntervalMs;
     /** Pending rents and returns in the order of their creation: the first ones are the largest. */
     private final Deque<Runnable> operations = new ArrayDeque<>();
 
     private final Deque<Runnable> reads = new ArrayDeque<>();
-    private boolean waiting;
-    private long nextAllowed = Long.MIN_VALUE / 2;
+    private boolean callScheduled;
+    private long nextCallAt = Long.MIN_VALUE / 2;
 
     /** @param rps calls a second that the cloud permits for all controllers together */
     public CloudClient(Http http, EventLoop loop, String address, double rps) {
         this.http = http;
         this.loop = loop;
-        this.addr = address;
-        this.gapMs = Math.round(1000 / (rps * RATE_SHARE));
+        this.address = address;
+        this.callIntervalMs = Math.round(1000 / (rps * RATE_SHARE));
     }
 
     /**
@@ -52,25 +52,30 @@
      * @param key      idempotency key
      * @param callback called once with the outcome, which may be unknown
      */
-    void operate(String key, CloudRequest request, Consumer<CallOutcome> callback) {
+    void sendOperation(String key, CloudRequest request, Consumer<CallOutcome> callback) {
         operations.addLast(() -> http.call(
-                addr,
+                address,
                 "POST",
                 request.path(),
                 Json.bytes(request.toCall(key)),
-                TIMEOUT_MS,
+                CALL_TIMEOUT_MS,
                 reply -> callback.accept(CallOutcome.of(reply))));
-        pump();
+        scheduleNextCall();
     }
 
     /** Reads the machine types; passes null if there is no valid response. */
     public void types(Consumer<List<MachineType>> callback) {
-        reads.addLast(() ->
-                http.call(addr, "GET", MachineType.PATH, null, TIMEOUT_MS, reply -> callback.accept(readTypes(reply))));
-        pump();
+        reads.addLast(() -> http.call(
+                address,
+                "GET",
+                MachineType.PATH,
+                null,
+                CALL_TIMEOUT_MS,
+                reply -> callback.accept(parseMachineTypes(reply))));
+        scheduleNextCall();
     }
 
-    private static List<MachineType> readTypes(Http.Reply reply) {
+    private static List<MachineType> parseMachineTypes(Http.Reply reply) {
         if (!reply.is(200)) {
             return null;
         }
@@ -84,28 +89,28 @@
 
     /** Lists all machines; passes null if a page cannot be read. */
     public void list(Consumer<List<CloudMachine>> callback) {
-        page(null, new ArrayList<>(), callback);
+        readPages(null, new ArrayList<>(), callback);
     }
 
-    private void page(String afterId, List<CloudMachine> machines, Consumer<List<CloudMachine>> callback) {
+    private void readPages(String afterId, List<CloudMachine> machines, Consumer<List<CloudMachine>> callback) {
         String path = CloudMachinePage.path(afterId, PAGE_SIZE);
-        reads.addLast(() -> http.call(addr, "GET", path, null, TIMEOUT_MS, reply -> {
-            CloudMachinePage page = readPage(reply);
+        reads.addLast(() -> http.call(address, "GET", path, null, CALL_TIMEOUT_MS, reply -> {
+            CloudMachinePage page = parsePage(reply);
             if (page == null) {
                 callback.accept(null);
                 return;
             }
             machines.addAll(page.machines());
             if (page.more() && !machines.isEmpty()) {
-                page(machines.get(machines.size() - 1).id(), machines, callback);
+                readPages(machines.get(machines.size() - 1).id(), machines, callback);
             } else {
                 callback.accept(machines);
             }
         }));
-        pump();
+        scheduleNextCall();
     }
 
-    private static CloudMachinePage readPage(Http.Reply reply) {
+    private static CloudMachinePage parsePage(Http.Reply reply) {
         if (!reply.is(200)) {
             return null;
         }
@@ -118,16 +123,16 @@
         }
     }
 
-    private void pump() {
-        if (waiting || (operations.isEmpty() && reads.isEmpty())) {
+    private void scheduleNextCall() {
+        if (callScheduled || (operations.isEmpty() && reads.isEmpty())) {
             return;
         }
-        waiting = true;
-        loop.after(Math.max(0, nextAllowed - loop.now()), () -> {
-            waiting = false;
-            nextAllowed = Math.max(nextAllowed, loop.now() - BURST_MS) + gapMs;
+        callScheduled = true;
+        loop.after(Math.max(0, nextCallAt - loop.now()), () -> {
+            callScheduled = false;
+            nextCallAt = Math.max(nextCallAt, loop.now() - MAX_BURST_MS) + callIntervalMs;
             (operations.isEmpty() ? reads : operations).poll().run();
-            pump();
+            scheduleNextCall();
         });
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -40,11 +40,11 @@
         FORGOTTEN;
 
         /** Returns true while the outcome is not known. */
-        boolean open() {
+        boolean isOpen() {
             return this == DISPATCHED || this == UNKNOWN || this == ESCALATED;
         }
 
-        private boolean leadsTo(State next) {
+        private boolean canTransitionTo(State next) {
             return switch (this) {
                 case DISPATCHED, UNKNOWN, ESCALATED -> next != FORGOTTEN && next != DISPATCHED;
                 case SUCCEEDED, FAILED -> next == FORGOTTEN;
@@ -139,7 +139,7 @@
 
     /** Returns true while the outcome is not known. */
     public boolean open() {
-        return state.open();
+        return state.isOpen();
     }
 
     long claimedBy() {
@@ -152,7 +152,7 @@
     }
 
     /** Records that a call is made now. */
-    void called(long now) {
+    void recordCall(long now) {
         calls++;
         if (firstCallAt < 0) {
             firstCallAt = now;
@@ -160,7 +160,7 @@
     }
 
     /** Returns the time since the first call of this leader term, in milliseconds. */
-    long openFor(long now) {
+    long openForMs(long now) {
         return now - firstCallAt;
     }
 
@@ -173,7 +173,7 @@
 
     /** Changes the state; no other method does. */
     void transition(State next, String outcomeText) {
-        if (!state.leadsTo(next)) {
+        if (!state.canTransitionTo(next)) {
             throw new IllegalStateException("operation " + name + ": " + state + " does not lead to " + next);
         }
         state = next;
--- a/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/OperationCodec.java
@@ -27,23 +27,26 @@
 
     /** Decodes a stored record; returns empty if its kind or state is unknown or its request is missing. */
     static Optional<StoredOperation> decode(JsonNode record) {
-        Kind kind = constant(Kind.values(), Json.text(record, "kind"));
-        State state = constant(State.values(), Json.text(record, "state"));
+        Kind kind = constantByName(Kind.values(), Json.text(record, "kind"));
+        State state = constantByName(State.values(), Json.text(record, "state"));
         if (kind == null || state == null || !(record.get("request") instanceof ObjectNode request)) {
             return Optional.empty();
         }
         return Optional.of(new StoredOperation(
-                request(kind, request), state, Json.text(record, "seen"), Json.integer(record, "dispatchedAt", 0)));
+                decodeRequest(kind, request),
+                state,
+                Json.text(record, "seen"),
+                Json.integer(record, "dispatchedAt", 0)));
     }
 
-    private static CloudRequest request(Kind kind, ObjectNode node) {
+    private static CloudRequest decodeRequest(Kind kind, ObjectNode node) {
         return switch (kind) {
             case RENT -> RentRequest.parse(node);
             case GIVE_BACK -> ReturnRequest.parse(node);
         };
     }
 
-    private static <E extends Enum<E>> E constant(E[] constants, String name) {
+    private static <E extends Enum<E>> E constantByName(E[] constants, String name) {
         for (E candidate : constants) {
             if (candidate.name().equals(name)) {
                 return candidate;
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -53,18 +53,18 @@
     /** Time for which the record of a finished operation is kept, in milliseconds. */
     private static final long RETENTION_MS = 30_000;
 
-    private static final long RETRY_WHEN_NOT_LEADING_MS = 500;
-    private static final long RETRY_ESCALATED_MS = 15_000;
-    private static final long RETRY_FIRST_MS = 500;
-    private static final long RETRY_MOST_MS = 8_000;
-    private static final int RETRY_MOST_DOUBLINGS = 4;
+    private static final long NOT_LEADING_RETRY_MS = 500;
+    private static final long ESCALATED_RETRY_MS = 15_000;
+    private static final long INITIAL_BACKOFF_MS = 500;
+    private static final long MAX_BACKOFF_MS = 8_000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /** Limit on the machines that one call to the cloud returns. */
-    private static final int MOST_RETURNED = 100;
+    private static final int MAX_MACHINES_PER_RETURN = 100;
     /** Assumed size of an operation's record without the machine names, in bytes. */
-    private static final int RECORD_BYTES = 300;
+    private static final int RECORD_BASE_BYTES = 300;
 
     /** Size of a machine name in the record in addition to its characters, in bytes. */
-    private static final int NAME_BYTES = 3;
+    private static final int NAME_OVERHEAD_BYTES = 3;
 
     private final EventLoop loop;
     private final RandomGenerator random;
@@ -74,7 +74,7 @@
     private final long queryLimitMs;
     private final Events events;
     private final Map<String, Operation> operations = new LinkedHashMap<>();
-    private int counter;
+    private int lastOperationNumber;
     private boolean closed;
 
     /** Creates an empty set; operations of earlier leaders are added by {@link #takeOver}. */
@@ -111,7 +111,7 @@
             return Optional.empty();
         }
         Operation operation =
-                Operation.takeOver(scope.root(), name, storedOperation.get(), scope.token(), this::stored);
+                Operation.takeOver(scope.root(), name, storedOperation.get(), scope.token(), this::recordStored);
         operations.put(name, operation);
         if (operation.open()) {
             writer.mark(operation);
@@ -148,20 +148,20 @@
         int end = 0;
         while (end < machines.size()) {
             int start = end;
-            int recordBytes = RECORD_BYTES;
+            int recordBytes = RECORD_BASE_BYTES;
             do {
-                recordBytes += machines.get(end++).length() + NAME_BYTES;
+                recordBytes += machines.get(end++).length() + NAME_OVERHEAD_BYTES;
             } while (end < machines.size()
-                    && end - start < MOST_RETURNED
-                    && recordBytes + machines.get(end).length() + NAME_BYTES <= scope.valueBytes());
+                    && end - start < MAX_MACHINES_PER_RETURN
+                    && recordBytes + machines.get(end).length() + NAME_OVERHEAD_BYTES <= scope.valueBytes());
             create("b-", new ReturnRequest(machines.subList(start, end)));
         }
     }
 
     private void create(String prefix, CloudRequest request) {
-        String name = prefix + scope.token() + "-" + ++counter;
+        String name = prefix + scope.token() + "-" + ++lastOperationNumber;
         Operation operation =
-                Operation.create(scope.root(), name, request, loop.timeOfDay(), scope.token(), this::stored);
+                Operation.create(scope.root(), name, request, loop.timeOfDay(), scope.token(), this::recordStored);
         operations.put(name, operation);
         writer.mark(operation);
         LOG.info(
@@ -172,7 +172,7 @@
     }
 
     /** Called when the record is stored in its current form. */
-    private void stored(Operation operation) {
+    private void recordStored(Operation operation) {
         if (closed) {
             return;
         }
@@ -189,14 +189,14 @@
             return;
         }
         if (!events.mayAct()) {
-            loop.after(RETRY_WHEN_NOT_LEADING_MS, () -> dispatch(operation));
+            loop.after(NOT_LEADING_RETRY_MS, () -> dispatch(operation));
             return;
         }
-        operation.called(loop.now());
-        cloud.operate(operation.name(), operation.request(), outcome -> observe(operation, outcome));
+        operation.recordCall(loop.now());
+        cloud.sendOperation(operation.name(), operation.request(), outcome -> handleOutcome(operation, outcome));
     }
 
-    private void observe(Operation operation, CallOutcome outcome) {
+    private void handleOutcome(Operation operation, CallOutcome outcome) {
         if (closed || !operation.open()) {
             return;
         }
@@ -228,7 +228,7 @@
     }
 
     private void retry(Operation operation, CallOutcome outcome) {
-        boolean isOverdue = operation.openFor(loop.now()) > queryLimitMs;
+        boolean isOverdue = operation.openForMs(loop.now()) > queryLimitMs;
         State end = isOverdue ? State.ESCALATED : State.UNKNOWN;
         if (operation.state() != end) {
             if (isOverdue) {
@@ -242,12 +242,12 @@
             operation.transition(end, outcome.text());
             writer.mark(operation);
         }
-        long delayMs = isOverdue ? RETRY_ESCALATED_MS : backoffMs(operation.calls());
+        long delayMs = isOverdue ? ESCALATED_RETRY_MS : backoffMs(operation.calls());
         loop.after(delayMs / 2 + random.nextLong(delayMs), () -> dispatch(operation));
     }
 
     private static long backoffMs(int calls) {
-        return Math.min(RETRY_MOST_MS, RETRY_FIRST_MS << Math.min(RETRY_MOST_DOUBLINGS, calls));
+        return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS << Math.min(MAX_BACKOFF_DOUBLINGS, calls));
     }
 
     private void finish(Operation operation, State finalState, CallOutcome outcome) {
--- a/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -15,11 +15,11 @@
     private final AdmissionControl admission = new AdmissionControl(() -> now, 15, 0.5, 7);
 
     /** Returns how many submissions of a flood are admitted; the leader sends a heartbeat each second, or none if null. */
-    private int flood(int seconds, Boolean writesStarved) {
+    private int submitFlood(int seconds, Boolean writesStarved) {
         int admitted = 0;
         for (int ms = 0; ms < seconds * 1_000; ms += 10) {
             if (ms % 1_000 == 0 && writesStarved != null) {
-                admission.leaderHeard(writesStarved);
+                admission.handleLeaderHeartbeat(writesStarved);
             }
             admitted += admission.admit() ? 1 : 0;
             now += 10;
@@ -29,29 +29,29 @@
 
     @Test
     @DisplayName("no leader, or one that comes short: a controller's share, after a first burst; else all there is")
-    void shares() {
-        int withoutLeader = flood(10, null);
+    void rateIsControllerShareWithoutLeaderOrWithStarvedLeader() {
+        int withoutLeader = submitFlood(10, null);
         assertTrue(withoutLeader >= 17 && withoutLeader <= 18, "7.5 at once and 1.07 a second: " + withoutLeader);
-        int withStarvedLeader = flood(20, true);
+        int withStarvedLeader = submitFlood(20, true);
         assertTrue(withStarvedLeader >= 21 && withStarvedLeader <= 22, "1.07 a second: " + withStarvedLeader);
-        int withHealthyLeader = flood(10, false);
+        int withHealthyLeader = submitFlood(10, false);
         assertTrue(withHealthyLeader >= 148 && withHealthyLeader <= 151, "15 a second: " + withHealthyLeader);
     }
 
     @Test
     @DisplayName("a leader that is heard no more is taken to come short")
-    void unheard() {
-        flood(10, false);
-        flood(3, null);
-        int withoutHeartbeats = flood(10, null);
+    void rateFallsToControllerShareWhenLeaderHeartbeatsStop() {
+        submitFlood(10, false);
+        submitFlood(3, null);
+        int withoutHeartbeats = submitFlood(10, null);
         assertTrue(withoutHeartbeats >= 10 && withoutHeartbeats <= 11, "1.07 a second: " + withoutHeartbeats);
     }
 
     @Test
     @DisplayName("the more are turned away, the later they may come back, and never later than 4 s")
-    void comeBack() {
+    void retryDelayGrowsWithRefusalsUpToFourSeconds() {
         assertEquals(1, admission.retryAfterS());
-        flood(1, true);
+        submitFlood(1, true);
         assertEquals(4, admission.retryAfterS());
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
+++ b/controller/src/test/java/org/landingridge/controller/cloud/NextActionTest.java
@@ -23,14 +23,14 @@
     }
 
     @Test
-    void absenceIsRetriedOnlyWhereThatIsSafe() {
+    void notFoundIsRetriedOnlyIfReplayIsSafeOrAbsenceIsFinal() {
         assertEquals(NextAction.RECONCILE_OR_ESCALATE, NextAction.decide(NOT_FOUND, false, false));
         assertEquals(NextAction.RETRY_ORIGINAL_INTENT, NextAction.decide(NOT_FOUND, true, false));
         assertEquals(NextAction.RETRY_ORIGINAL_INTENT, NextAction.decide(NOT_FOUND, false, true));
     }
 
     @Test
-    void aCallWithoutAnswerIsRetriedOnlyUnderAKey() {
+    void unansweredCallIsRetriedOnlyIfReplayIsSafe() {
         assertEquals(NextAction.RETRY_ORIGINAL_INTENT, NextAction.decide(UNAVAILABLE, true, false));
         assertEquals(NextAction.WAIT_AND_QUERY, NextAction.decide(UNAVAILABLE, false, false));
         assertEquals(NextAction.WAIT_AND_QUERY, NextAction.decide(UNAVAILABLE, false, true));
