--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -76,7 +76,7 @@
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
                 tryCancel(exchange, job.id(), attempts + 1);
             } else {
-                responses.unavailable(exchange, "the state service refuses");
+                responses.unavailable(exchange, "the state service refused the write");
             }
         });
     }
@@ -84,7 +84,7 @@
     private void recordCancelled(Exchange exchange, Job job, long revision) {
         watchCache.committed(Keys.JOBS + job.id(), revision);
         table.end(job, Job.Status.CANCELLED, job.tasks(), revision, true);
-        LOG.info("job cancelled: job={}", job.id());
+        LOG.info("job cancelled, job={}", job.id());
         responses.finalStatus(exchange, job.id(), Job.Status.CANCELLED);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -75,11 +75,11 @@
         if (!fairQueue.admit(submission.spec.team())) {
             responses.unavailable(
                     exchange,
-                    "more is submitted than can be stored now, most of it by this team",
+                    "too many submissions at the moment, and this team exceeds its share",
                     OVER_SHARE_RETRY_AFTER_S);
         } else if (!admission.admit()) {
             fairQueue.recordRefusal();
-            responses.unavailable(exchange, "more is submitted than can be stored now", admission.retryAfterS());
+            responses.unavailable(exchange, "too many submissions at the moment", admission.retryAfterS());
         } else {
             checkHistoryAndPut(submission, 0);
         }
@@ -87,7 +87,7 @@
 
     private void checkHistoryAndPut(Submission submission, int attempts) {
         if (attempts >= MAX_ATTEMPTS) {
-            responses.unavailable(submission.exchange, "the history of this range of jobs changes too often");
+            responses.unavailable(submission.exchange, "the history segment of the job changes too often");
             return;
         }
         JobStateResponder responder = responder(submission, () -> {});
@@ -146,6 +146,6 @@
         if (answer.overRate()) {
             fairQueue.recordRefusal();
         }
-        responses.unavailable(submission.exchange, "the state service refuses");
+        responses.unavailable(submission.exchange, "the state service refused the write");
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -116,7 +116,7 @@
         } else if (job != null) {
             callback.terminated(terminatedJob(job));
         } else if (table.unreadable(id)) {
-            callback.unavailable("what is stored of the job cannot be read");
+            callback.unavailable("the stored record of the job cannot be read");
         } else {
             findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> onAbsent.run());
         }
@@ -148,7 +148,7 @@
         history.find(id, found -> {
             switch (found.outcome()) {
                 case UNAVAILABLE -> callback.unavailable(STATE_SERVICE_UNAVAILABLE);
-                case UNREADABLE -> callback.unavailable("the history of this range of jobs cannot be read");
+                case UNREADABLE -> callback.unavailable("the history segment of the job cannot be read");
                 case READ -> (found.ended() != null ? onTerminated : onAbsent).accept(found);
             }
         });
@@ -214,7 +214,7 @@
             public void absent() {
                 // A job is accepted only after all jobs that it awaits, so an operator must have removed this job's
                 // key.
-                LOG.error("awaited job not found, its dependants go on waiting: job={}", id);
+                LOG.error("awaited job not found and its dependants stay blocked, job={}", id);
                 completeResolution(id, Optional.empty());
             }
 
--- a/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
@@ -51,10 +51,10 @@
             return Optional.of("a task fits no allowed machine type");
         }
         if (exceedsTeamLimits(spec, team.limits())) {
-            return Optional.of("the job needs more than the limit of team " + spec.team());
+            return Optional.of("the job exceeds the limit of team " + spec.team());
         }
         if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length > maxValueBytes) {
-            return Optional.of("its description takes more than the " + maxValueBytes + " bytes that can be stored");
+            return Optional.of("the job description is larger than the limit of " + maxValueBytes + " bytes");
         }
         return Optional.empty();
     }
--- a/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
@@ -80,7 +80,7 @@
             acceptance.accept(exchange, spec);
         } else if (!allSupportPipelines.getAsBoolean()) {
             // A leader that runs an earlier version would start the job's tasks immediately.
-            responses.unavailable(exchange, "not every controller knows yet that jobs can await others");
+            responses.unavailable(exchange, "not every controller supports jobs that await other jobs yet");
         } else {
             new DependencyCheck(exchange, spec, lookup, responses, acceptance).start();
         }
--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -82,7 +82,7 @@
         try {
             return MachineType.parseAll(reply.body());
         } catch (InvalidMessageException e) {
-            LOG.warn("machine types dropped, reason={}", e.getMessage());
+            LOG.warn("invalid response with machine types ignored, reason={}", e.getMessage());
             return null;
         }
     }
@@ -116,7 +116,7 @@
         }
         try {
             CloudMachinePage page = CloudMachinePage.parse(reply.body());
-            page.invalid().forEach(reason -> LOG.warn("row of the machine list dropped, reason={}", reason));
+            page.invalid().forEach(reason -> LOG.warn("invalid row of the machine list ignored, reason={}", reason));
             return page;
         } catch (InvalidMessageException e) {
             return null;
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -174,7 +174,8 @@
     /** Changes the state; no other method does. */
     void transition(State next, String outcomeText) {
         if (!state.canTransitionTo(next)) {
-            throw new IllegalStateException("operation " + name + ": " + state + " does not lead to " + next);
+            throw new IllegalStateException(
+                    "operation " + name + ": transition " + state + " -> " + next + " is not allowed");
         }
         state = next;
         lastOutcome = outcomeText;
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -233,7 +233,7 @@
         if (operation.state() != end) {
             if (isOverdue) {
                 LOG.warn(
-                        "operation escalated, operation={} openForS={} lastOutcome={}",
+                        "operation escalated, operation={} queryLimitS={} lastOutcome={}",
                         operation.name(),
                         queryLimitMs / 1000,
                         outcome.text());
