--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -212,8 +212,7 @@
 
             @Override
             public void absent() {
-                // A job is accepted only after all jobs that it awaits, so an operator must have removed this job's
-                // key.
+                // A job is accepted only after all jobs that it awaits: an operator must have removed this job's key.
                 LOG.error("awaited job not found and its dependants stay blocked, job={}", id);
                 completeResolution(id, Optional.empty());
             }
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -62,7 +62,6 @@
     private static final int MAX_MACHINES_PER_RETURN = 100;
     /** Assumed size of an operation's record without the machine names, in bytes. */
     private static final int RECORD_BASE_BYTES = 300;
-
     /** Size of a machine name in the record in addition to its characters, in bytes. */
     private static final int NAME_OVERHEAD_BYTES = 3;
 
@@ -89,7 +88,7 @@
         this.events = events;
     }
 
-    /** Ends the leader term: from now on no call is made and nothing is recorded. */
+    /** Called at the end of the leader term: from now on no call is made and nothing is recorded. */
     public void close() {
         closed = true;
     }
