--- a/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -28,7 +28,8 @@
     }
 
     @Test
-    @DisplayName("no leader, or one that comes short: a controller's share, after a first burst; else all there is")
+    @DisplayName(
+            "without a leader or with starved leader writes: the controller's share, after a first burst; otherwise the whole rate")
     void rateIsControllerShareWithoutLeaderOrWithStarvedLeader() {
         int withoutLeader = submitFlood(10, null);
         assertTrue(withoutLeader >= 17 && withoutLeader <= 18, "7.5 at once and 1.07 a second: " + withoutLeader);
@@ -39,7 +40,7 @@
     }
 
     @Test
-    @DisplayName("a leader that is heard no more is taken to come short")
+    @DisplayName("a leader without heartbeats is treated like one whose writes are starved")
     void rateFallsToControllerShareWhenLeaderHeartbeatsStop() {
         submitFlood(10, false);
         submitFlood(3, null);
@@ -48,7 +49,7 @@
     }
 
     @Test
-    @DisplayName("the more are turned away, the later they may come back, and never later than 4 s")
+    @DisplayName("the retry delay grows with the number of refusals, up to 4 s")
     void retryDelayGrowsWithRefusalsUpToFourSeconds() {
         assertEquals(1, admission.retryAfterS());
         submitFlood(1, true);
--- a/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
@@ -75,7 +75,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    @DisplayName("a flood takes what the others leave, and no more; they find room at once")
+    @DisplayName(
+            "a flood gets the rate that the other teams leave, and no more; their submissions are admitted at once")
     void floodOfOneTeamLeavesOthersTheirShare(long seed) {
         Map<String, Double> rateByTeam = new LinkedHashMap<>(Map.of("desk", 1.0, "edit", 0.5, "guests", 60.0));
         simulate(seed, 10, 10, rateByTeam);
@@ -87,7 +88,7 @@
     }
 
     @Test
-    @DisplayName("two floods share evenly")
+    @DisplayName("two floods get even shares")
     void twoFloodsShareEvenly() {
         Map<String, Double> rateByTeam = new LinkedHashMap<>(Map.of("a", 30.0, "b", 90.0, "c", 0.5));
         simulate(9, 60, 12, rateByTeam);
@@ -98,7 +99,7 @@
     }
 
     @Test
-    @DisplayName("without refusals, and soon after them, nobody is held to anything; one team alone never is")
+    @DisplayName("no team is limited without refusals or soon after the last one; a single team is never limited")
     void nothingIsLimitedWithoutRefusalsOrWithSingleTeam() {
         simulate(11, 30, 1_000, Map.of("a", 50.0, "b", 1.0));
         assertEquals(submittedByTeam, writtenByTeam);
