--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -42,13 +42,13 @@
     private final JobTable table;
     private final JobLookup lookup;
     private final JobResponses responses;
-    private final FairQueue fairQueue;
+    private final FairQueue teamLimiter;
     private final AdmissionControl admission;
 
     JobAcceptance(
             JobService.Dependencies dependencies,
             JobResponses responses,
-            FairQueue fairQueue,
+            FairQueue teamLimiter,
             AdmissionControl admission) {
         this.client = dependencies.client();
         this.watchCache = dependencies.watchCache();
@@ -56,7 +56,7 @@
         this.table = dependencies.table();
         this.lookup = dependencies.lookup();
         this.responses = responses;
-        this.fairQueue = fairQueue;
+        this.teamLimiter = teamLimiter;
         this.admission = admission;
     }
 
@@ -72,13 +72,13 @@
 
     private void accept(Submission submission) {
         Exchange exchange = submission.exchange;
-        if (!fairQueue.admit(submission.spec.team())) {
+        if (!teamLimiter.admit(submission.spec.team())) {
             responses.unavailable(
                     exchange,
                     "too many submissions at the moment, and this team exceeds its share",
                     OVER_SHARE_RETRY_AFTER_S);
         } else if (!admission.admit()) {
-            fairQueue.recordRefusal();
+            teamLimiter.recordRefusal();
             responses.unavailable(exchange, "too many submissions at the moment", admission.retryAfterS());
         } else {
             checkHistoryAndPut(submission, 0);
@@ -144,7 +144,7 @@
 
     private void handleRefusal(Submission submission, Answer answer) {
         if (answer.overRate()) {
-            fairQueue.recordRefusal();
+            teamLimiter.recordRefusal();
         }
         responses.unavailable(submission.exchange, "the state service refused the write");
     }
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -51,10 +51,10 @@
         Settings.State stateLimits = settings.stateLimits();
         this.lookup = dependencies.lookup;
         this.responses = new JobResponses(dependencies.metrics);
-        FairQueue fairQueue = new FairQueue(loop::now);
+        FairQueue teamLimiter = new FairQueue(loop::now);
         int controllers = settings.peers().size() + 1;
         this.admission = new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_WRITE_SHARE, controllers);
-        JobAcceptance acceptance = new JobAcceptance(dependencies, responses, fairQueue, admission);
+        JobAcceptance acceptance = new JobAcceptance(dependencies, responses, teamLimiter, admission);
         SubmissionValidator validator =
                 new SubmissionValidator(configuration, machineTypes, stateLimits.valueBytes(), loop);
         this.submitHandler = new SubmitHandler(dependencies, responses, validator, acceptance, allSupportPipelines);
--- a/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/AdmissionControlTest.java
@@ -29,7 +29,7 @@
 
     @Test
     @DisplayName(
-            "without a leader or with starved leader writes: the controller's share, after a first burst; otherwise the whole rate")
+            "no leader, or one with starved writes: a controller's share, after a first burst; otherwise the whole rate")
     void rateIsControllerShareWithoutLeaderOrWithStarvedLeader() {
         int withoutLeader = submitFlood(10, null);
         assertTrue(withoutLeader >= 17 && withoutLeader <= 18, "7.5 at once and 1.07 a second: " + withoutLeader);
--- a/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
+++ b/controller/src/test/java/org/landingridge/controller/api/FairQueueTest.java
@@ -14,7 +14,7 @@
 /** Guards against one team's flood of submissions crowding out the others, with a state service that limits its write rate. */
 class FairQueueTest {
     private long now = 1_000;
-    private final FairQueue fairQueue = new FairQueue(() -> now);
+    private final FairQueue teamLimiter = new FairQueue(() -> now);
     private int writesInSecond;
     private long currentSecond;
     private final Map<String, Integer> submittedByTeam = new LinkedHashMap<>();
@@ -26,12 +26,12 @@
             currentSecond = now / 1_000;
             writesInSecond = 0;
         }
-        if (fairQueue.admit(team)) {
+        if (teamLimiter.admit(team)) {
             if (writesInSecond < writesPerS) {
                 writesInSecond++;
                 writtenByTeam.merge(team, 1, Integer::sum);
             } else {
-                fairQueue.recordRefusal();
+                teamLimiter.recordRefusal();
             }
         }
     }
