--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -52,8 +52,9 @@
         this.lookup = dependencies.lookup;
         this.responses = new JobResponses(dependencies.metrics);
         FairQueue teamLimiter = new FairQueue(loop::now);
-        int controllers = settings.peers().size() + 1;
-        this.admission = new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_WRITE_SHARE, controllers);
+        int controllerCount = settings.peers().size() + 1;
+        this.admission =
+                new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_WRITE_SHARE, controllerCount);
         JobAcceptance acceptance = new JobAcceptance(dependencies, responses, teamLimiter, admission);
         SubmissionValidator validator =
                 new SubmissionValidator(configuration, machineTypes, stateLimits.valueBytes(), loop);
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -55,7 +55,7 @@
 
     private static final long NOT_LEADING_RETRY_MS = 500;
     private static final long ESCALATED_RETRY_MS = 15_000;
-    private static final long INITIAL_BACKOFF_MS = 500;
+    private static final long BASE_BACKOFF_MS = 500;
     private static final long MAX_BACKOFF_MS = 8_000;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /** Limit on the machines that one call to the cloud returns. */
@@ -228,8 +228,8 @@
 
     private void retry(Operation operation, CallOutcome outcome) {
         boolean isOverdue = operation.openForMs(loop.now()) > queryLimitMs;
-        State end = isOverdue ? State.ESCALATED : State.UNKNOWN;
-        if (operation.state() != end) {
+        State nextState = isOverdue ? State.ESCALATED : State.UNKNOWN;
+        if (operation.state() != nextState) {
             if (isOverdue) {
                 LOG.warn(
                         "operation escalated, operation={} queryLimitS={} lastOutcome={}",
@@ -238,7 +238,7 @@
                         outcome.text());
                 events.escalated(operation);
             }
-            operation.transition(end, outcome.text());
+            operation.transition(nextState, outcome.text());
             writer.mark(operation);
         }
         long delayMs = isOverdue ? ESCALATED_RETRY_MS : backoffMs(operation.calls());
@@ -246,7 +246,7 @@
     }
 
     private static long backoffMs(int calls) {
-        return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS << Math.min(MAX_BACKOFF_DOUBLINGS, calls));
+        return Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS << Math.min(MAX_BACKOFF_DOUBLINGS, calls));
     }
 
     private void finish(Operation operation, State finalState, CallOutcome outcome) {
