--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -200,8 +200,7 @@
             return;
         }
         // Both kinds are safe to send again with the same key and request: the cloud deduplicates rents by their key
-        // without a
-        // time limit, and a return names its machines.
+        // without a time limit, and a return names its machines.
         switch (NextAction.decide(outcome.observation(), true, false)) {
             case RECORD_SUCCESS -> succeed(operation, outcome);
             case RECORD_FAILURE -> fail(operation, outcome);
