--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cancels jobs: the end takes the place of the job's stored description, on the condition that nothing of that has changed. */
+/** Cancels jobs by a compare-and-set that replaces the stored description of the job by a cancellation record. */
 final class CancelHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancelHandler.class);
     private static final int MAX_ATTEMPTS = 4;
@@ -35,23 +35,23 @@
     }
 
     void cancel(Exchange exchange, String id) {
-        attempt(exchange, id, 0);
+        tryCancel(exchange, id, 0);
     }
 
-    private void attempt(Exchange exchange, String id, int attempt) {
+    private void tryCancel(Exchange exchange, String id, int attempts) {
         lookup.find(id, new JobLookup.Callback() {
             @Override
             public void active(Job job) {
-                if (attempt >= MAX_ATTEMPTS) {
+                if (attempts >= MAX_ATTEMPTS) {
                     responses.unavailable(exchange, "the state service does not answer");
                 } else {
-                    write(exchange, job, attempt);
+                    storeCancellation(exchange, job, attempts);
                 }
             }
 
             @Override
-            public void terminated(TerminatedJob end) {
-                responses.ended(exchange, id, end.how());
+            public void terminated(TerminatedJob terminatedJob) {
+                responses.finalStatus(exchange, id, terminatedJob.how());
             }
 
             @Override
@@ -60,31 +60,31 @@
             }
 
             @Override
-            public void unavailable(String why) {
-                responses.unavailable(exchange, why);
+            public void unavailable(String reason) {
+                responses.unavailable(exchange, reason);
             }
         });
     }
 
-    private void write(Exchange exchange, Job job, int attempt) {
+    private void storeCancellation(Exchange exchange, Job job, int attempts) {
         String key = Keys.JOBS + job.id();
         List<Guard> guards = List.of(new Guard(key, watchCache.version(key)));
         List<Write> writes = List.of(new Write(key, StoredJobCodec.terminated(job, Job.Status.CANCELLED), 0));
         client.commit(guards, writes, answer -> {
             if (answer.ok()) {
-                cancelled(exchange, job, answer.revision());
+                recordCancelled(exchange, job, answer.revision());
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
-                attempt(exchange, job.id(), attempt + 1);
+                tryCancel(exchange, job.id(), attempts + 1);
             } else {
-                responses.unavailable(exchange, "the state service refuses");
+                responses.unavailable(exchange, "the state service refused the write");
             }
         });
     }
 
-    private void cancelled(Exchange exchange, Job job, long revision) {
+    private void recordCancelled(Exchange exchange, Job job, long revision) {
         watchCache.committed(Keys.JOBS + job.id(), revision);
         table.end(job, Job.Status.CANCELLED, job.tasks(), revision, true);
-        LOG.info("job cancelled: job={}", job.id());
-        responses.ended(exchange, job.id(), Job.Status.CANCELLED);
+        LOG.info("job cancelled, job={}", job.id());
+        responses.finalStatus(exchange, job.id(), Job.Status.CANCELLED);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
+++ b/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
@@ -8,8 +8,8 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * Looks up the jobs that a submission awaits. Those that are done already need not be awaited, and the history may forget them
- * for it; if one is cancelled the job is accepted as cancelled.
+ * Looks up the jobs that a submission awaits. Jobs that are already done are dropped from the stored list, so that the history
+ * may delete them. If an awaited job is cancelled, the submitted job is accepted as cancelled.
  */
 final class DependencyCheck {
     private final Exchange exchange;
@@ -17,14 +17,17 @@
     private final JobLookup lookup;
     private final JobResponses responses;
     private final JobAcceptance acceptance;
-    private final Set<String> unfinished = new LinkedHashSet<>();
-    private int pending;
-    private boolean cancelled;
-    /** Awaited jobs, by what makes the submission impossible; null where there is none. */
-    private String absent;
+    private final Set<String> unfinishedIds = new LinkedHashSet<>();
+    private int pendingLookups;
+    private boolean anyCancelled;
+    /** An awaited job that does not exist; null if all exist. */
+    private String absentId;
 
-    private String service;
-    private String unavailable;
+    /** An awaited job that is a service; null if there is none. */
+    private String serviceId;
+
+    /** Reason why the state of an awaited job is unknown; null if all are known. */
+    private String unavailableReason;
 
     DependencyCheck(
             Exchange exchange, JobSpec spec, JobLookup lookup, JobResponses responses, JobAcceptance acceptance) {
@@ -33,69 +36,69 @@
         this.lookup = lookup;
         this.responses = responses;
         this.acceptance = acceptance;
-        this.pending = spec.awaits().size();
+        this.pendingLookups = spec.awaits().size();
     }
 
     void start() {
         for (String id : spec.awaits()) {
-            lookup.find(id, new Awaited(id));
+            lookup.find(id, new AwaitedJobCallback(id));
         }
     }
 
-    private final class Awaited implements JobLookup.Callback {
+    private final class AwaitedJobCallback implements JobLookup.Callback {
         private final String id;
 
-        Awaited(String id) {
+        AwaitedJobCallback(String id) {
             this.id = id;
         }
 
         @Override
         public void active(Job job) {
-            service = job.spec().service() ? id : service;
-            unfinished.add(id);
-            checked();
+            serviceId = job.spec().service() ? id : serviceId;
+            unfinishedIds.add(id);
+            completeLookup();
         }
 
         @Override
-        public void terminated(TerminatedJob end) {
-            cancelled |= end.how() == Job.Status.CANCELLED;
-            checked();
+        public void terminated(TerminatedJob terminatedJob) {
+            anyCancelled |= terminatedJob.how() == Job.Status.CANCELLED;
+            completeLookup();
         }
 
         @Override
         public void absent() {
-            absent = id;
-            checked();
+            absentId = id;
+            completeLookup();
         }
 
         @Override
-        public void unavailable(String why) {
-            unavailable = why;
-            checked();
+        public void unavailable(String reason) {
+            unavailableReason = reason;
+            completeLookup();
         }
     }
 
-    private void checked() {
-        pending--;
-        if (pending > 0) {
+    private void completeLookup() {
+        pendingLookups--;
+        if (pendingLookups > 0) {
             return;
         }
-        if (absent != null) {
-            refuse("field awaits: there is no job " + absent);
-        } else if (service != null) {
-            refuse("field awaits: " + service + " is a service, which is never done");
-        } else if (unavailable != null) {
-            responses.unavailable(exchange, unavailable);
-        } else if (cancelled) {
+        if (absentId != null) {
+            rejectIfNew("field awaits: there is no job " + absentId);
+        } else if (serviceId != null) {
+            rejectIfNew("field awaits: " + serviceId + " is a service, which is never done");
+        } else if (unavailableReason != null) {
+            responses.unavailable(exchange, unavailableReason);
+        } else if (anyCancelled) {
             acceptance.acceptCancelled(exchange, spec);
         } else {
-            acceptance.accept(exchange, spec.awaiting(unfinished));
+            acceptance.accept(exchange, spec.awaiting(unfinishedIds));
         }
     }
 
-    /** A job that is known already gets 200, whatever its repeated submission awaits. */
-    private void refuse(String why) {
-        Runnable ifAbsent = () -> responses.error(exchange, 422, why);
+    /** Rejects the submission, unless the job already exists: a repeated submission gets 200 whatever it awaits. */
+    private void rejectIfNew(String reason) {
+        Runnable ifAbsent = () -> responses.error(exchange, 422, reason);
         lookup.find(spec.id(), new JobStateResponder(responses, exchange, spec.id(), ifAbsent));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -16,25 +16,25 @@
 import org.landingridge.wire.JobSpec;
 
 /**
- * Stores jobs that have passed all checks, as many as the state service takes. A job is accepted where it is neither under its
- * own key nor in the history. Both are conditions of the one put: the absence of the key alone would take a late retry of a job
- * that has ended, and left that key, for a new job, and run it again.
+ * Stores jobs that have passed all checks, within the write rate of the state service. A job is accepted if it exists neither
+ * under its own key nor in the history. The put is conditional on both. With the absence of the key as its only condition, a
+ * late retry of a job that has ended and moved to the history would be accepted as a new job and run again.
  */
 final class JobAcceptance {
     /**
-     * A job to be stored.
+     * A submitted job that is to be stored.
      *
-     * @param value of the job's key
+     * @param storedValue the value to be stored under the job's key
      */
-    private record Submission(Exchange exchange, JobSpec spec, ObjectNode value) {
+    private record Submission(Exchange exchange, JobSpec spec, ObjectNode storedValue) {
         String id() {
             return spec.id();
         }
     }
 
     private static final int MAX_ATTEMPTS = 4;
-    /** A team that submits more than its share is asked to come back after so many seconds. */
-    private static final int OVER_SHARE_RETRY_S = 2;
+    /** Retry delay for a team that submits more than its share, in seconds. */
+    private static final int OVER_SHARE_RETRY_AFTER_S = 2;
 
     private final StateClient client;
     private final WatchCache watchCache;
@@ -42,13 +42,13 @@
     private final JobTable table;
     private final JobLookup lookup;
     private final JobResponses responses;
-    private final FairQueue fairQueue;
+    private final FairQueue teamLimiter;
     private final AdmissionControl admission;
 
     JobAcceptance(
             JobService.Dependencies dependencies,
             JobResponses responses,
-            FairQueue fairQueue,
+            FairQueue teamLimiter,
             AdmissionControl admission) {
         this.client = dependencies.client();
         this.watchCache = dependencies.watchCache();
@@ -56,94 +56,96 @@
         this.table = dependencies.table();
         this.lookup = dependencies.lookup();
         this.responses = responses;
-        this.fairQueue = fairQueue;
+        this.teamLimiter = teamLimiter;
         this.admission = admission;
     }
 
-    /** Accepts a job that is to run. */
+    /** Accepts a job to be run. */
     void accept(Exchange exchange, JobSpec spec) {
         accept(new Submission(exchange, spec, StoredJobCodec.accepted(spec, loop.timeOfDay())));
     }
 
-    /** Accepts a job as cancelled, since one that it awaits is. */
+    /** Accepts a job as cancelled, because a job that it awaits is cancelled. */
     void acceptCancelled(Exchange exchange, JobSpec spec) {
         accept(new Submission(exchange, spec, StoredJobCodec.cancelled(spec)));
     }
 
     private void accept(Submission submission) {
         Exchange exchange = submission.exchange;
-        if (!fairQueue.admit(submission.spec.team())) {
+        if (!teamLimiter.admit(submission.spec.team())) {
             responses.unavailable(
-                    exchange, "more is submitted than can be stored now, most of it by this team", OVER_SHARE_RETRY_S);
+                    exchange,
+                    "too many submissions at the moment, and this team exceeds its share",
+                    OVER_SHARE_RETRY_AFTER_S);
         } else if (!admission.admit()) {
-            fairQueue.refused();
-            responses.unavailable(exchange, "more is submitted than can be stored now", admission.retryAfterS());
+            teamLimiter.recordRefusal();
+            responses.unavailable(exchange, "too many submissions at the moment", admission.retryAfterS());
         } else {
-            attempt(submission, 0);
+            checkHistoryAndPut(submission, 0);
         }
     }
 
-    private void attempt(Submission submission, int attempt) {
-        if (attempt >= MAX_ATTEMPTS) {
-            responses.unavailable(submission.exchange, "the history of this range of jobs changes too often");
+    private void checkHistoryAndPut(Submission submission, int attempts) {
+        if (attempts >= MAX_ATTEMPTS) {
+            responses.unavailable(submission.exchange, "the history segment of the job changes too often");
             return;
         }
-        JobStateResponder responder = respond(submission, () -> {});
+        JobStateResponder responder = responder(submission, () -> {});
         lookup.findInHistory(
                 submission.id(),
                 responder,
                 found -> responder.terminated(found.ended()),
-                found -> put(submission, found.version(), attempt, false));
+                found -> put(submission, found.version(), attempts, false));
     }
 
-    private JobStateResponder respond(Submission submission, Runnable ifAbsent) {
+    private JobStateResponder responder(Submission submission, Runnable ifAbsent) {
         return new JobStateResponder(responses, submission.exchange, submission.id(), ifAbsent);
     }
 
-    /** @param repeated whether the outcome of the same put is unknown */
-    private void put(Submission submission, long segmentVersion, int attempt, boolean repeated) {
+    /** @param isRepeat true if the same put was sent before and its outcome is unknown */
+    private void put(Submission submission, long segmentVersion, int attempts, boolean isRepeat) {
         String key = Keys.JOBS + submission.id();
         String segment = SegmentAddress.of(submission.id()).key();
         client.commit(
                 List.of(new Guard(key, 0), new Guard(segment, segmentVersion)),
-                List.of(new Write(key, submission.value, 0)),
+                List.of(new Write(key, submission.storedValue, 0)),
                 answer -> {
                     switch (answer.status()) {
-                        case OK -> accepted(submission, key, answer);
-                        case CONFLICT -> conflict(submission, attempt);
-                        case UNKNOWN -> unknown(submission, segmentVersion, attempt, repeated);
-                        default -> refused(submission, answer);
+                        case OK -> completeAccepted(submission, key, answer);
+                        case CONFLICT -> handleConflict(submission, attempts);
+                        case UNKNOWN -> handleUnknownOutcome(submission, segmentVersion, attempts, isRepeat);
+                        default -> handleRefusal(submission, answer);
                     }
                 });
     }
 
-    private void accepted(Submission submission, String key, Answer answer) {
+    private void completeAccepted(Submission submission, String key, Answer answer) {
         if (answer.revision() > watchCache.revision()) {
             watchCache.committed(key, answer.revision());
-            table.changed(submission.id(), submission.value, answer.revision());
+            table.changed(submission.id(), submission.storedValue, answer.revision());
         }
-        boolean cancelled = StoredJobCodec.termination(submission.value).isPresent();
+        boolean cancelled = StoredJobCodec.termination(submission.storedValue).isPresent();
         responses.accepted(submission.exchange, submission.id(), cancelled);
     }
 
-    /** The job is there already, or other jobs of its range have moved into the history meanwhile: then once more. */
-    private void conflict(Submission submission, int attempt) {
-        lookup.find(submission.id(), respond(submission, () -> attempt(submission, attempt + 1)));
+    /** Handles a conflict: the job already exists, or its history segment has changed in the meantime and the put is retried. */
+    private void handleConflict(Submission submission, int attempts) {
+        lookup.find(submission.id(), responder(submission, () -> checkHistoryAndPut(submission, attempts + 1)));
     }
 
-    /** The same conditional put once more decides whether the first was carried out. */
-    private void unknown(Submission submission, long segmentVersion, int attempt, boolean repeated) {
-        if (repeated) {
+    /** Handles an unknown outcome: repeating the same conditional put shows whether the first one took effect. */
+    private void handleUnknownOutcome(Submission submission, long segmentVersion, int attempts, boolean isRepeat) {
+        if (isRepeat) {
             responses.unavailable(submission.exchange, "the state service does not answer");
         } else {
-            put(submission, segmentVersion, attempt, true);
+            put(submission, segmentVersion, attempts, true);
         }
     }
 
-    private void refused(Submission submission, Answer answer) {
+    private void handleRefusal(Submission submission, Answer answer) {
         if (answer.overRate()) {
-            fairQueue.refused();
+            teamLimiter.recordRefusal();
         }
-        responses.unavailable(submission.exchange, "the state service refuses");
+        responses.unavailable(submission.exchange, "the state service refused the write");
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -20,35 +20,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds a job wherever it may be: in the table, under a key of its own that the table does not keep, or in the history. An end
- * that is known here is final; everything else is asked for past the watch cache's read barrier.
+ * Finds a job in the job table, under its own key in the state service if the table does not keep it, or in the history. A
+ * termination that this controller already knows is final and returned immediately; every other answer is given only after
+ * the watch cache's read barrier.
  */
 public final class JobLookup {
-    /** What follows from where a job was found; exactly one of these is called, at once or later. */
+    /** Receives the result of a lookup; exactly one method is called, either immediately or later. */
     public interface Callback {
-        /** The job is neither done nor cancelled, and all that it awaits is known here. */
+        /** The job is neither done nor cancelled, and the state of every job that it awaits is known to this controller. */
         void active(Job job);
 
         /** The job has ended. */
-        void terminated(TerminatedJob end);
+        void terminated(TerminatedJob terminatedJob);
 
-        /** There is no such job as of the call. */
+        /** The job did not exist at the time of the lookup. */
         void absent();
 
-        /** Nothing can be said now. */
-        void unavailable(String why);
+        /** The state of the job cannot be determined now. */
+        void unavailable(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
-    private static final String NO_ANSWER = "the state service does not answer";
+    private static final String STATE_SERVICE_UNAVAILABLE = "the state service does not answer";
     private final StateClient client;
     private final WatchCache watchCache;
     private final JobTable table;
     private final History history;
-    /** Awaited jobs that are being looked up, by id, with those who wait for it; they are passed what failed. */
-    private final Map<String, List<Consumer<Optional<String>>>> resolving = new HashMap<>();
+    /** Callbacks waiting for the lookup of an awaited job, by its id; they are passed the reason if the lookup fails. */
+    private final Map<String, List<Consumer<Optional<String>>>> callbacksByAwaitedId = new HashMap<>();
 
-    /** A lookup in the places where jobs are kept. */
+    /** Creates a lookup over the places where jobs are kept. */
     public JobLookup(StateClient client, WatchCache watchCache, JobTable table, History history) {
         this.client = client;
         this.watchCache = watchCache;
@@ -56,15 +57,15 @@
         this.history = history;
     }
 
-    /** Finds the job. */
+    /** Finds the job and passes the result to the callback. */
     public void find(String id, Callback callback) {
-        TerminatedJob known = knownEnd(id);
-        if (known != null) {
-            callback.terminated(known);
+        TerminatedJob terminatedJob = knownTermination(id);
+        if (terminatedJob != null) {
+            callback.terminated(terminatedJob);
         } else {
-            barrier(
+            afterBarrier(
                     callback,
-                    () -> findCurrent(id, callback, () -> {
+                    () -> findAfterBarrier(id, callback, () -> {
                         if (table.terminated().partial()) {
                             findByKey(id, callback);
                         } else {
@@ -74,58 +75,58 @@
         }
     }
 
-    private TerminatedJob knownEnd(String id) {
+    private TerminatedJob knownTermination(String id) {
         Job job = table.get(id);
         if (job == null) {
             return history.known(id);
         }
-        return job.active() ? null : end(job);
+        return job.active() ? null : terminatedJob(job);
     }
 
-    private static TerminatedJob end(Job job) {
+    private static TerminatedJob terminatedJob(Job job) {
         return new TerminatedJob(job.status(), job.tasks());
     }
 
     /**
-     * A terminated job may have a key of its own that the table does not keep. If it is gone from there it may have moved since
-     * the history was read, so that is read again, past another barrier.
+     * Looks for a terminated job under its own key, which the table need not keep. If the key does not exist, the job may have
+     * moved to the history after the history was read; the history is then read again after another barrier.
      */
     private void findByKey(String id, Callback callback) {
         client.get(Keys.JOBS + id, answer -> {
-            Optional<TerminatedJob> end = storedEnd(answer);
-            if (end.isPresent()) {
-                callback.terminated(end.get());
+            Optional<TerminatedJob> terminatedJob = storedTermination(answer);
+            if (terminatedJob.isPresent()) {
+                callback.terminated(terminatedJob.get());
             } else if (answer.status() == Status.NOT_FOUND) {
-                barrier(callback, () -> findCurrent(id, callback, callback::absent));
+                afterBarrier(callback, () -> findAfterBarrier(id, callback, callback::absent));
             } else {
-                callback.unavailable(NO_ANSWER);
+                callback.unavailable(STATE_SERVICE_UNAVAILABLE);
             }
         });
     }
 
-    private static Optional<TerminatedJob> storedEnd(Answer answer) {
+    private static Optional<TerminatedJob> storedTermination(Answer answer) {
         return answer.ok() ? StoredJobCodec.termination(answer.body().path("data")) : Optional.empty();
     }
 
-    /** Finds the job in the table or the history, which are past the barrier. */
-    private void findCurrent(String id, Callback callback, Runnable absent) {
+    /** Finds the job in the table or the history; the caller has passed the barrier. */
+    private void findAfterBarrier(String id, Callback callback, Runnable onAbsent) {
         Job job = table.get(id);
         if (job != null && job.active()) {
-            findActive(job, callback);
+            reportActive(job, callback);
         } else if (job != null) {
-            callback.terminated(end(job));
+            callback.terminated(terminatedJob(job));
         } else if (table.unreadable(id)) {
-            callback.unavailable("what is stored of the job cannot be read");
+            callback.unavailable("the stored record of the job cannot be read");
         } else {
-            findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> absent.run());
+            findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> onAbsent.run());
         }
     }
 
     /**
-     * A job that awaits one that the table does not keep may be cancelled with it: another controller may know that already, and
-     * may have told a user.
+     * Reports an active job, after resolving every awaited job that the table does not keep. If one of those is cancelled, so is
+     * this job, and another controller may already have reported that to a user.
      */
-    private void findActive(Job job, Callback callback) {
+    private void reportActive(Job job, Callback callback) {
         if (!table.unresolved(job)) {
             callback.active(job);
             return;
@@ -136,94 +137,94 @@
             } else if (job.active()) {
                 callback.active(job);
             } else {
-                callback.terminated(end(job));
+                callback.terminated(terminatedJob(job));
             }
         });
     }
 
-    /** Looks the job up in the history; one of the last two is called, or the callback's {@code unavailable}. */
+    /** Looks the job up in the history; calls {@code onTerminated}, {@code onAbsent} or {@link Callback#unavailable}. */
     void findInHistory(
-            String id, Callback callback, Consumer<History.Found> terminated, Consumer<History.Found> absent) {
+            String id, Callback callback, Consumer<History.Found> onTerminated, Consumer<History.Found> onAbsent) {
         history.find(id, found -> {
             switch (found.outcome()) {
-                case UNAVAILABLE -> callback.unavailable(NO_ANSWER);
-                case UNREADABLE -> callback.unavailable("the history of this range of jobs cannot be read");
-                case READ -> (found.ended() != null ? terminated : absent).accept(found);
+                case UNAVAILABLE -> callback.unavailable(STATE_SERVICE_UNAVAILABLE);
+                case UNREADABLE -> callback.unavailable("the history segment of the job cannot be read");
+                case READ -> (found.ended() != null ? onTerminated : onAbsent).accept(found);
             }
         });
     }
 
-    private void barrier(Callback callback, Runnable passed) {
-        watchCache.barrier(passed, () -> callback.unavailable(NO_ANSWER));
+    private void afterBarrier(Callback callback, Runnable onPassed) {
+        watchCache.barrier(onPassed, () -> callback.unavailable(STATE_SERVICE_UNAVAILABLE));
     }
 
-    /** Looks up every awaited job that the table does not keep, as a leader has to before it can start what awaits them. */
+    /** Looks up every awaited job that the table does not keep; a leader cannot start the dependants of these jobs before. */
     public void resolveAll() {
         table.unresolved().forEach(id -> resolve(id, failure -> {}));
     }
 
-    /** Looks up what the job awaits and the table does not keep; {@code done} is passed what failed. */
-    private void resolveAwaited(Job job, Consumer<Optional<String>> done) {
-        List<String> missing =
+    /** Looks up the jobs that the job awaits and the table does not keep; the callback is passed the reason of a failure. */
+    private void resolveAwaited(Job job, Consumer<Optional<String>> callback) {
+        List<String> missingIds =
                 job.awaited().stream().filter(id -> table.get(id) == null).toList();
-        Resolution resolution = new Resolution(missing.size(), done);
-        missing.forEach(id -> resolve(id, resolution::resolved));
+        Resolution resolution = new Resolution(missingIds.size(), callback);
+        missingIds.forEach(id -> resolve(id, resolution::completeLookup));
     }
 
-    /** The lookups of all jobs that one awaits. */
+    /** Tracks the lookups of all jobs that one job awaits. */
     private static final class Resolution {
-        private final Consumer<Optional<String>> done;
-        private int pending;
+        private final Consumer<Optional<String>> callback;
+        private int pendingLookups;
         private Optional<String> failure = Optional.empty();
 
-        Resolution(int pending, Consumer<Optional<String>> done) {
-            this.pending = pending;
-            this.done = done;
+        Resolution(int pendingLookups, Consumer<Optional<String>> callback) {
+            this.pendingLookups = pendingLookups;
+            this.callback = callback;
         }
 
-        void resolved(Optional<String> failed) {
-            failure = failed.isPresent() ? failed : failure;
-            pending--;
-            if (pending == 0) {
-                done.accept(failure);
+        void completeLookup(Optional<String> lookupFailure) {
+            failure = lookupFailure.isPresent() ? lookupFailure : failure;
+            pendingLookups--;
+            if (pendingLookups == 0) {
+                callback.accept(failure);
             }
         }
     }
 
-    private void resolve(String id, Consumer<Optional<String>> done) {
-        List<Consumer<Optional<String>>> waiting = resolving.get(id);
-        if (waiting != null) {
-            waiting.add(done);
+    private void resolve(String id, Consumer<Optional<String>> callback) {
+        List<Consumer<Optional<String>>> waitingCallbacks = callbacksByAwaitedId.get(id);
+        if (waitingCallbacks != null) {
+            waitingCallbacks.add(callback);
             return;
         }
-        resolving.put(id, new ArrayList<>(List.of(done)));
+        callbacksByAwaitedId.put(id, new ArrayList<>(List.of(callback)));
         find(id, new Callback() {
             @Override
             public void active(Job job) {
-                resolved(id, Optional.empty());
+                completeResolution(id, Optional.empty());
             }
 
             @Override
-            public void terminated(TerminatedJob end) {
-                table.resolved(id, end.how(), watchCache.revision());
-                resolved(id, Optional.empty());
+            public void terminated(TerminatedJob terminatedJob) {
+                table.resolved(id, terminatedJob.how(), watchCache.revision());
+                completeResolution(id, Optional.empty());
             }
 
             @Override
             public void absent() {
-                // No job is accepted before all that it awaits are: an operator has removed this one's key.
-                LOG.error("awaited job not found, its dependants go on waiting: job={}", id);
-                resolved(id, Optional.empty());
+                // A job is accepted only after all jobs that it awaits: an operator must have removed this job's key.
+                LOG.error("awaited job not found and its dependants stay blocked, job={}", id);
+                completeResolution(id, Optional.empty());
             }
 
             @Override
-            public void unavailable(String why) {
-                resolved(id, Optional.of(why));
+            public void unavailable(String reason) {
+                completeResolution(id, Optional.of(reason));
             }
         });
     }
 
-    private void resolved(String id, Optional<String> failure) {
-        resolving.remove(id).forEach(done -> done.accept(failure));
+    private void completeResolution(String id, Optional<String> failure) {
+        callbacksByAwaitedId.remove(id).forEach(callback -> callback.accept(failure));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -17,64 +17,64 @@
     }
 
     /**
-     * The job has been accepted.
+     * Responds that the job has been accepted.
      *
-     * @param cancelled together with a job that it awaits
+     * @param cancelled true if the job was accepted as cancelled, because a job that it awaits is cancelled
      */
     void accepted(Exchange exchange, String id, boolean cancelled) {
-        exchange.answer(201, Json.bytes(state(id, cancelled ? "cancelled" : "queued", 0, 0)));
+        exchange.answer(201, Json.bytes(stateBody(id, cancelled ? "cancelled" : "queued", 0, 0)));
     }
 
-    /** The state of an active job. */
+    /** Responds with the state of an active job. */
     void active(Exchange exchange, Job job) {
         String status = job.running() > 0 ? "running" : "queued";
-        ObjectNode body = state(job.id(), status, job.doneCount(), job.running());
+        ObjectNode body = stateBody(job.id(), status, job.doneCount(), job.running());
         if (!job.ready()) {
             job.awaited().forEach(body.putArray("awaits")::add);
         }
         exchange.answer(200, Json.bytes(body));
     }
 
-    /** The state of a job that has ended. */
-    void terminated(Exchange exchange, String id, TerminatedJob end) {
-        exchange.answer(200, Json.bytes(state(id, status(end.how()), end.tasks(), 0)));
+    /** Responds with the state of a job that has ended. */
+    void terminated(Exchange exchange, String id, TerminatedJob terminatedJob) {
+        exchange.answer(200, Json.bytes(stateBody(id, statusText(terminatedJob.how()), terminatedJob.tasks(), 0)));
     }
 
-    /** What a cancellation came to: cancelled, or done before. */
-    void ended(Exchange exchange, String id, Job.Status how) {
-        exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", status(how))));
+    /** Responds to a cancellation with the job's final status: cancelled, or done if it had already finished. */
+    void finalStatus(Exchange exchange, String id, Job.Status finalStatus) {
+        exchange.answer(200, Json.bytes(Json.object().put("id", id).put("status", statusText(finalStatus))));
     }
 
-    /** There is no such job. */
+    /** Responds that there is no such job. */
     void notFound(Exchange exchange) {
         error(exchange, 404, "no such job");
     }
 
-    /** The request can never succeed as it is. */
-    void error(Exchange exchange, int status, String why) {
-        exchange.answer(status, Json.bytes(Json.object().put("error", why)));
+    /** Rejects a request that can never succeed as it is. */
+    void error(Exchange exchange, int status, String reason) {
+        exchange.answer(status, Json.bytes(Json.object().put("error", reason)));
     }
 
-    /** Refused for now, at once. */
-    void unavailable(Exchange exchange, String why) {
-        unavailable(exchange, why, RETRY_AFTER_S);
+    /** Rejects the request for now; the client may retry after the default delay. */
+    void unavailable(Exchange exchange, String reason) {
+        unavailable(exchange, reason, RETRY_AFTER_S);
     }
 
-    /** Refused for now, at once, with the time after which to come back. */
-    void unavailable(Exchange exchange, String why, int retryAfterS) {
+    /** Rejects the request for now; the client may retry after the given delay, in seconds. */
+    void unavailable(Exchange exchange, String reason, int retryAfterS) {
         metrics.refused.increment();
-        exchange.answer(503, Json.bytes(Json.object().put("error", why)), retryAfterS);
+        exchange.answer(503, Json.bytes(Json.object().put("error", reason)), retryAfterS);
     }
 
-    private static String status(Job.Status how) {
-        return how == Job.Status.DONE ? "done" : "cancelled";
+    private static String statusText(Job.Status finalStatus) {
+        return finalStatus == Job.Status.DONE ? "done" : "cancelled";
     }
 
-    private static ObjectNode state(String id, String status, int done, int running) {
+    private static ObjectNode stateBody(String id, String status, int doneTasks, int runningTasks) {
         return Json.object()
                 .put("id", id)
                 .put("status", status)
-                .put("done", done)
-                .put("running", running);
+                .put("done", doneTasks)
+                .put("running", runningTasks);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -12,9 +12,12 @@
 import org.landingridge.net.Http.Exchange;
 import org.landingridge.wire.MachineType;
 
-/** The users' requests for jobs: submit, poll, cancel. Every request is answered once, at once or later on the event loop. */
+/**
+ * Serves the users' requests to submit, poll and cancel jobs. Each request is answered exactly once, either immediately or
+ * later on the event loop.
+ */
 public final class JobService {
-    /** What the handlers of requests work on and with. */
+    /** Dependencies that the request handlers share. */
     public record Dependencies(
             StateClient client,
             WatchCache watchCache,
@@ -23,52 +26,54 @@
             JobLookup lookup,
             Metrics metrics) {}
 
-    /** Of the state service's changes, for submissions: the leader's writes take the other half. */
-    private static final double SUBMISSION_SHARE = 0.5;
+    /** Share of the state service's write rate for submissions; the leader's writes take the other half. */
+    private static final double SUBMISSION_WRITE_SHARE = 0.5;
 
     private final JobLookup lookup;
     private final JobResponses responses;
     private final AdmissionControl admission;
-    private final SubmitHandler submissions;
-    private final CancelHandler cancellations;
+    private final SubmitHandler submitHandler;
+    private final CancelHandler cancelHandler;
 
     /**
-     * A service without requests under way.
+     * Creates a service without pending requests.
      *
-     * @param types     machine types by name, as the cloud lists them; empty until it has
-     * @param pipelines whether every controller runs a version that heeds what a job awaits
+     * @param machineTypes        machine types by name; empty until the cloud has listed them
+     * @param allSupportPipelines true if every controller runs a version that supports jobs that await other jobs
      */
     public JobService(
             Dependencies dependencies,
             ConfigurationView configuration,
             Settings settings,
-            Map<String, MachineType> types,
-            BooleanSupplier pipelines) {
+            Map<String, MachineType> machineTypes,
+            BooleanSupplier allSupportPipelines) {
         EventLoop loop = dependencies.loop;
-        Settings.State limits = settings.stateLimits();
+        Settings.State stateLimits = settings.stateLimits();
         this.lookup = dependencies.lookup;
         this.responses = new JobResponses(dependencies.metrics);
-        FairQueue fairQueue = new FairQueue(loop::now);
-        int controllers = settings.peers().size() + 1;
-        this.admission = new AdmissionControl(loop::now, limits.writeRps(), SUBMISSION_SHARE, controllers);
-        JobAcceptance acceptance = new JobAcceptance(dependencies, responses, fairQueue, admission);
-        SubmissionValidator validator = new SubmissionValidator(configuration, types, limits.valueBytes(), loop);
-        this.submissions = new SubmitHandler(dependencies, responses, validator, acceptance, pipelines);
-        this.cancellations = new CancelHandler(dependencies, responses);
+        FairQueue teamLimiter = new FairQueue(loop::now);
+        int controllerCount = settings.peers().size() + 1;
+        this.admission =
+                new AdmissionControl(loop::now, stateLimits.writeRps(), SUBMISSION_WRITE_SHARE, controllerCount);
+        JobAcceptance acceptance = new JobAcceptance(dependencies, responses, teamLimiter, admission);
+        SubmissionValidator validator =
+                new SubmissionValidator(configuration, machineTypes, stateLimits.valueBytes(), loop);
+        this.submitHandler = new SubmitHandler(dependencies, responses, validator, acceptance, allSupportPipelines);
+        this.cancelHandler = new CancelHandler(dependencies, responses);
     }
 
     /**
-     * The leader has been heard from.
+     * Handles a heartbeat of the leader.
      *
-     * @param comesShort whether it has more to write than the state service takes
+     * @param writesStarved true if the leader has more to write than the state service accepts
      */
-    public void leaderHeard(boolean comesShort) {
-        admission.leaderHeard(comesShort);
+    public void leaderHeard(boolean writesStarved) {
+        admission.handleLeaderHeartbeat(writesStarved);
     }
 
-    /** Submits the job that the body describes. */
+    /** Submits the job described by the request body. */
     public void submit(Exchange exchange) {
-        submissions.submit(exchange);
+        submitHandler.submit(exchange);
     }
 
     /** Responds with the job's state. */
@@ -76,8 +81,8 @@
         lookup.find(id, new JobStateResponder(responses, exchange, id, () -> responses.notFound(exchange)));
     }
 
-    /** Cancels the job, unless it has ended. */
+    /** Cancels the job unless it has already ended. */
     public void cancel(Exchange exchange, String id) {
-        cancellations.cancel(exchange, id);
+        cancelHandler.cancel(exchange, id);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/JobStateResponder.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobStateResponder.java
@@ -4,7 +4,7 @@
 import org.landingridge.controller.jobs.TerminatedJob;
 import org.landingridge.net.Http.Exchange;
 
-/** Responds with the state of a job wherever it was found; what follows from its absence differs by request. */
+/** Responds with the state of the job that a lookup has found; the request decides what happens if there is no such job. */
 final class JobStateResponder implements JobLookup.Callback {
     private final JobResponses responses;
     private final Exchange exchange;
@@ -24,8 +24,8 @@
     }
 
     @Override
-    public void terminated(TerminatedJob end) {
-        responses.terminated(exchange, id, end);
+    public void terminated(TerminatedJob terminatedJob) {
+        responses.terminated(exchange, id, terminatedJob);
     }
 
     @Override
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void unavailable(String why) {
-        responses.unavailable(exchange, why);
+    public void unavailable(String reason) {
+        responses.unavailable(exchange, reason);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
@@ -11,59 +11,59 @@
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
 
-/** Whether a well-formed job can ever run here, by the configuration in force and the machine types. */
+/** Checks whether a well-formed job could ever run, given the current configuration and the machine types of the cloud. */
 final class SubmissionValidator {
-    /** What sums of amounts may be off by. */
+    /** Tolerance for rounding errors in sums of CPUs or GPUs. */
     private static final double TOLERANCE = 1e-6;
 
     private final ConfigurationView configuration;
-    private final Map<String, MachineType> types;
-    private final int valueBytes;
+    private final Map<String, MachineType> machineTypes;
+    private final int maxValueBytes;
     private final EventLoop loop;
 
     /**
-     * @param types      by name, as the cloud lists them; empty until it has
-     * @param valueBytes what the state service takes for a value
+     * @param machineTypes  machine types by name; empty until the cloud has listed them
+     * @param maxValueBytes largest value that the state service accepts, in bytes
      */
     SubmissionValidator(
-            ConfigurationView configuration, Map<String, MachineType> types, int valueBytes, EventLoop loop) {
+            ConfigurationView configuration, Map<String, MachineType> machineTypes, int maxValueBytes, EventLoop loop) {
         this.configuration = configuration;
-        this.types = types;
-        this.valueBytes = valueBytes;
+        this.machineTypes = machineTypes;
+        this.maxValueBytes = maxValueBytes;
         this.loop = loop;
     }
 
-    /** True once the machine types are known. */
-    boolean ready() {
-        return !types.isEmpty();
+    /** Returns true once the machine types are known. */
+    boolean knowsMachineTypes() {
+        return !machineTypes.isEmpty();
     }
 
-    /** Why the job can never run; empty where it can. */
-    Optional<String> impossible(JobSpec spec) {
-        ConfiguredTeam configured = configuration.current().teams().get(spec.team());
-        if (configured == null) {
+    /** Returns the reason why the job can never run, or empty if it can. */
+    Optional<String> rejectionReason(JobSpec spec) {
+        ConfiguredTeam team = configuration.current().teams().get(spec.team());
+        if (team == null) {
             return Optional.of("field crew: there is no team " + spec.team());
         }
-        if (configured.removed()) {
+        if (team.removed()) {
             return Optional.of("field crew: team " + spec.team() + " has been removed");
         }
-        if (types.values().stream().noneMatch(type -> type.fits(spec))) {
+        if (machineTypes.values().stream().noneMatch(type -> type.fits(spec))) {
             return Optional.of("a task fits no allowed machine type");
         }
-        if (exceeds(spec, configured.limits())) {
-            return Optional.of("the job needs more than the limit of team " + spec.team());
+        if (exceedsTeamLimits(spec, team.limits())) {
+            return Optional.of("the job exceeds the limit of team " + spec.team());
         }
-        if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length > valueBytes) {
-            return Optional.of("its description takes more than the " + valueBytes + " bytes that can be stored");
+        if (Json.bytes(StoredJobCodec.accepted(spec, loop.timeOfDay())).length > maxValueBytes) {
+            return Optional.of("the job description is larger than the limit of " + maxValueBytes + " bytes");
         }
         return Optional.empty();
     }
 
-    /** All tasks of a service run at once; of another job one has to fit. */
-    private static boolean exceeds(JobSpec spec, Settings.Team limits) {
-        int together = spec.service() ? spec.tasks() : 1;
-        boolean cpus = limits.cpusMax() > 0 && spec.cpus() * together > limits.cpusMax() + TOLERANCE;
-        boolean gpus = limits.gpusMax() > 0 && spec.gpus() * together > limits.gpusMax() + TOLERANCE;
-        return cpus || gpus;
+    /** A service runs all its tasks at once; any other job needs room for at least one task. */
+    private static boolean exceedsTeamLimits(JobSpec spec, Settings.Team limits) {
+        int concurrentTasks = spec.service() ? spec.tasks() : 1;
+        boolean exceedsCpus = limits.cpusMax() > 0 && spec.cpus() * concurrentTasks > limits.cpusMax() + TOLERANCE;
+        boolean exceedsGpus = limits.gpusMax() > 0 && spec.gpus() * concurrentTasks > limits.gpusMax() + TOLERANCE;
+        return exceedsCpus || exceedsGpus;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmitHandler.java
@@ -10,7 +10,7 @@
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
-/** Checks submissions. A job that is known already gets 200 with its state, whatever is wrong with a repeated submission. */
+/** Checks submissions. If the job already exists, the response is 200 with its state, even if the new request is invalid. */
 final class SubmitHandler {
     private final JobTable table;
     private final JobLookup lookup;
@@ -18,22 +18,22 @@
     private final JobResponses responses;
     private final SubmissionValidator validator;
     private final JobAcceptance acceptance;
-    private final BooleanSupplier pipelines;
+    private final BooleanSupplier allSupportPipelines;
 
-    /** @param pipelines whether every controller runs a version that heeds what a job awaits */
+    /** @param allSupportPipelines true if every controller runs a version that supports jobs that await other jobs */
     SubmitHandler(
             JobService.Dependencies dependencies,
             JobResponses responses,
             SubmissionValidator validator,
             JobAcceptance acceptance,
-            BooleanSupplier pipelines) {
+            BooleanSupplier allSupportPipelines) {
         this.table = dependencies.table();
         this.lookup = dependencies.lookup();
         this.metrics = dependencies.metrics();
         this.responses = responses;
         this.validator = validator;
         this.acceptance = acceptance;
-        this.pipelines = pipelines;
+        this.allSupportPipelines = allSupportPipelines;
     }
 
     void submit(Exchange exchange) {
@@ -41,55 +41,56 @@
         JsonNode body = Json.parse(exchange.body());
         try {
             JobSpec spec = JobSpec.parse(body);
-            ifNotInTable(exchange, spec.id(), () -> check(exchange, spec));
+            respondIfInTable(exchange, spec.id(), () -> validateAndAccept(exchange, spec));
         } catch (InvalidMessageException e) {
-            malformed(exchange, body, e.getMessage());
+            rejectMalformed(exchange, body, e.getMessage());
         }
     }
 
-    private void malformed(Exchange exchange, JsonNode body, String error) {
+    private void rejectMalformed(Exchange exchange, JsonNode body, String error) {
         String id = body == null || !body.isObject() ? null : Json.text(body, "id");
         if (JobSpec.validId(id)) {
-            ifNotInTable(exchange, id, () -> ifAbsent(exchange, id, () -> responses.error(exchange, 400, error)));
+            respondIfInTable(
+                    exchange, id, () -> respondIfExists(exchange, id, () -> responses.error(exchange, 400, error)));
         } else {
             responses.error(exchange, 400, error);
         }
     }
 
-    /** Responds with the job's state where the table has it, and saves the checks. */
-    private void ifNotInTable(Exchange exchange, String id, Runnable otherwise) {
+    /** Responds with the job's state if the table has the job, which saves the checks; otherwise runs the given action. */
+    private void respondIfInTable(Exchange exchange, String id, Runnable otherwise) {
         if (table.get(id) != null) {
-            ifAbsent(exchange, id, otherwise);
+            respondIfExists(exchange, id, otherwise);
         } else {
             otherwise.run();
         }
     }
 
-    /** Responds with the job's state where there is such a job anywhere. */
-    private void ifAbsent(Exchange exchange, String id, Runnable otherwise) {
+    /** Responds with the job's state if the job exists; otherwise runs the given action. */
+    private void respondIfExists(Exchange exchange, String id, Runnable otherwise) {
         lookup.find(id, new JobStateResponder(responses, exchange, id, otherwise));
     }
 
-    private void check(Exchange exchange, JobSpec spec) {
-        if (!validator.ready()) {
+    private void validateAndAccept(Exchange exchange, JobSpec spec) {
+        if (!validator.knowsMachineTypes()) {
             responses.unavailable(exchange, "the machine types are not known yet");
-        } else if (validator.impossible(spec).isPresent()) {
-            ifAbsent(exchange, spec.id(), () -> refuse(exchange, spec));
+        } else if (validator.rejectionReason(spec).isPresent()) {
+            respondIfExists(exchange, spec.id(), () -> rejectOrRetryLater(exchange, spec));
         } else if (spec.awaits().isEmpty()) {
             acceptance.accept(exchange, spec);
-        } else if (!pipelines.getAsBoolean()) {
-            // A leader of an earlier version would start its tasks at once.
-            responses.unavailable(exchange, "not every controller knows yet that jobs can await others");
+        } else if (!allSupportPipelines.getAsBoolean()) {
+            // A leader that runs an earlier version would start the job's tasks immediately.
+            responses.unavailable(exchange, "not every controller supports jobs that await other jobs yet");
         } else {
             new DependencyCheck(exchange, spec, lookup, responses, acceptance).start();
         }
     }
 
-    /** The job is unknown as of the call. What made it impossible may have been changed by an operator a moment ago. */
-    private void refuse(Exchange exchange, JobSpec spec) {
-        Optional<String> impossible = validator.impossible(spec);
-        if (impossible.isPresent()) {
-            responses.error(exchange, 422, impossible.get());
+    /** Rejects a job that does not exist yet; validates it again, since an operator may have just changed the configuration. */
+    private void rejectOrRetryLater(Exchange exchange, JobSpec spec) {
+        Optional<String> rejectionReason = validator.rejectionReason(spec);
+        if (rejectionReason.isPresent()) {
+            responses.error(exchange, 422, rejectionReason.get());
         } else {
             responses.unavailable(exchange, "the configuration has just changed");
         }
--- a/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CallOutcome.java
@@ -7,10 +7,11 @@
 import org.landingridge.wire.RentResponse;
 
 /**
- * What one call of an operation showed.
+ * The outcome of one call of an operation to the cloud.
  *
- * @param text     the same for people; it is stored with the operation
- * @param machines names that the answer lists: of the machines rented
+ * @param observation what the call showed about the operation
+ * @param text        the outcome as readable text, which is stored with the operation
+ * @param machines    names of the rented machines; empty unless a rent succeeded
  */
 record CallOutcome(Observation observation, String text, List<String> machines) {
     static CallOutcome of(Http.Reply reply) {
@@ -19,19 +20,19 @@
             return new CallOutcome(Observation.SUCCEEDED, "200", machines);
         }
         if (reply.is(400)) {
-            return without(Observation.FAILED_TERMINAL, "malformed");
+            return withoutMachines(Observation.FAILED_TERMINAL, "malformed");
         }
         if (reply.is(503) && CloudError.parse(reply.body()).isNoCapacity()) {
-            return without(Observation.FAILED_TERMINAL, "no capacity");
+            return withoutMachines(Observation.FAILED_TERMINAL, "no capacity");
         }
-        return without(
+        return withoutMachines(
                 Observation.UNAVAILABLE,
                 reply.outcome() == Http.Outcome.ANSWERED
                         ? "status " + reply.status()
                         : reply.outcome().name());
     }
 
-    private static CallOutcome without(Observation observation, String text) {
+    private static CallOutcome withoutMachines(Observation observation, String text) {
         return new CallOutcome(observation, text, List.of());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -17,53 +17,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and returns of one leader term. Each is written before it is dispatched and keeps its key; a call without an
- * answer leaves its outcome unknown, and {@link NextAction} says what follows.
+ * The machine rents and returns of one leader term. The record of an operation is stored before its first call, and every call
+ * uses the same idempotency key. A call without a response leaves the outcome unknown; {@link NextAction} decides what to do.
  */
 public final class Operations {
-    /** What the operations report to the rest of the leader term. */
+    /** Receives the results of operations. */
     public interface Events {
-        /** Machines that a rent brought; fewer than wanted means that the pool is empty. */
+        /** A rent succeeded with these machines; fewer than requested means that the pool has no more capacity. */
         void rented(RentRequest request, List<String> machines);
 
-        /** A rent failed for good. */
+        /** A rent was rejected permanently, for instance for lack of capacity. */
         void noCapacity(RentRequest request);
 
-        /** The cloud has confirmed that it took these machines back. */
+        /** The cloud has confirmed the return of these machines. */
         void returned(List<String> machines);
 
-        /** The outcome of an operation stays unknown beyond the query limit. */
+        /** The outcome of an operation is still unknown after the query limit. */
         void escalated(Operation operation);
 
-        /** True while this controller may act as leader. */
+        /** Returns true while this controller may act as leader. */
         boolean mayAct();
     }
 
     /**
-     * What the operations of one leader term have in common.
+     * Parameters shared by the operations of one leader term.
      *
-     * @param root        key prefix of everything that is stored
+     * @param root        key prefix of all stored data
      * @param token       fencing token of the leader term
-     * @param queryLimitS after so many seconds without a clear outcome an operation is escalated
-     * @param valueBytes  largest value that the state service takes
+     * @param queryLimitS time without a known outcome after which an operation is escalated, in seconds
+     * @param valueBytes  largest value that the state service accepts, in bytes
      */
     public record Scope(String root, long token, double queryLimitS, int valueBytes) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
-    /** How long the record of a closed operation stays. */
+    /** Time for which the record of a finished operation is kept, in milliseconds. */
     private static final long RETENTION_MS = 30_000;
 
-    private static final long RETRY_WHEN_NOT_LEADING_MS = 500;
-    private static final long RETRY_ESCALATED_MS = 15_000;
-    private static final long RETRY_FIRST_MS = 500;
-    private static final long RETRY_MOST_MS = 8_000;
-    private static final int RETRY_MOST_DOUBLINGS = 4;
-    /** Machines that one call to the cloud may return. */
-    private static final int MOST_RETURNED = 100;
-    /** What the record of an operation takes beside the names of machines, and each of these beside its letters. */
-    private static final int RECORD_BYTES = 300;
+    private static final long NOT_LEADING_RETRY_MS = 500;
+    private static final long ESCALATED_RETRY_MS = 15_000;
+    private static final long BASE_BACKOFF_MS = 500;
+    private static final long MAX_BACKOFF_MS = 8_000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
+    /** Limit on the machines that one call to the cloud returns. */
+    private static final int MAX_MACHINES_PER_RETURN = 100;
+    /** Assumed size of an operation's record without the machine names, in bytes. */
+    private static final int RECORD_BASE_BYTES = 300;
+    /** Size of a machine name in the record in addition to its characters, in bytes. */
+    private static final int NAME_OVERHEAD_BYTES = 3;
 
-    private static final int NAME_BYTES = 3;
     private final EventLoop loop;
     private final RandomGenerator random;
     private final CloudClient cloud;
@@ -72,10 +73,10 @@
     private final long queryLimitMs;
     private final Events events;
     private final Map<String, Operation> operations = new LinkedHashMap<>();
-    private int counter;
+    private int lastOperationNumber;
     private boolean closed;
 
-    /** Begins without operations: those of earlier leaders are handed in by {@link #takeOver}. */
+    /** Creates an empty set; operations of earlier leaders are added by {@link #takeOver}. */
     public Operations(
             EventLoop loop, RandomGenerator random, CloudClient cloud, BatchWriter writer, Scope scope, Events events) {
         this.loop = loop;
@@ -87,27 +88,29 @@
         this.events = events;
     }
 
-    /** Ends with the leader term: nothing is dispatched or recorded any more. */
+    /** Called at the end of the leader term: from now on no call is made and nothing is recorded. */
     public void close() {
         closed = true;
     }
 
-    /** All operations whose records are or will be stored, oldest first. */
+    /** Returns all operations whose records are stored or about to be stored, oldest first. */
     public Iterable<Operation> all() {
         return operations.values();
     }
 
     /**
-     * Takes over a record of an earlier leader: it is claimed by a conditional write before anything is done. Empty where it
-     * cannot be read: it stays as it is, and what a rent of it brought is taken in once it is listed or reports.
+     * Takes over an operation record of an earlier leader. An open operation is claimed by a conditional write before any call.
+     * Returns empty if the record cannot be read: it then stays unchanged, and machines that its rent brought are added when
+     * the cloud lists them or they send a heartbeat.
      */
     public Optional<Operation> takeOver(String name, JsonNode record) {
-        Optional<StoredOperation> read = OperationCodec.decode(record);
-        if (read.isEmpty()) {
+        Optional<StoredOperation> storedOperation = OperationCodec.decode(record);
+        if (storedOperation.isEmpty()) {
             LOG.error("operation record cannot be read, operation={}", name);
             return Optional.empty();
         }
-        Operation operation = Operation.takeOver(scope.root(), name, read.get(), scope.token(), this::stored);
+        Operation operation =
+                Operation.takeOver(scope.root(), name, storedOperation.get(), scope.token(), this::recordStored);
         operations.put(name, operation);
         if (operation.open()) {
             writer.mark(operation);
@@ -118,46 +121,46 @@
     }
 
     /**
-     * True while a rent of this pool waits for its first answer. What is wanted meanwhile goes into one request after
-     * it: at a few calls a second, many small ones would keep a large one waiting for half a minute.
+     * Returns true until the first call of a rent from this pool has completed. Further demand is combined into one later
+     * request: at a few calls a second, many small requests would delay a large one by half a minute.
      */
     public boolean rentPending(String type, String zone, boolean spot) {
         for (Operation operation : operations.values()) {
             if (operation.state() == State.DISPATCHED
-                    && operation.request() instanceof RentRequest rent
-                    && rent.type().equals(type)
-                    && rent.zone().equals(zone)
-                    && rent.spot() == spot) {
+                    && operation.request() instanceof RentRequest rentRequest
+                    && rentRequest.type().equals(type)
+                    && rentRequest.zone().equals(zone)
+                    && rentRequest.spot() == spot) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Rents machines; they are reported by {@link Events#rented}. */
+    /** Rents machines; the result is reported through {@link Events}. */
     public void rent(RentRequest request) {
         create("r-", request);
     }
 
-    /** Returns the machines, in as many calls as their number needs. */
+    /** Returns the machines to the cloud, in several calls if necessary. */
     public void returnMachines(List<String> machines) {
-        int next = 0;
-        while (next < machines.size()) {
-            int first = next;
-            int bytes = RECORD_BYTES;
+        int end = 0;
+        while (end < machines.size()) {
+            int start = end;
+            int recordBytes = RECORD_BASE_BYTES;
             do {
-                bytes += machines.get(next++).length() + NAME_BYTES;
-            } while (next < machines.size()
-                    && next - first < MOST_RETURNED
-                    && bytes + machines.get(next).length() + NAME_BYTES <= scope.valueBytes());
-            create("b-", new ReturnRequest(machines.subList(first, next)));
+                recordBytes += machines.get(end++).length() + NAME_OVERHEAD_BYTES;
+            } while (end < machines.size()
+                    && end - start < MAX_MACHINES_PER_RETURN
+                    && recordBytes + machines.get(end).length() + NAME_OVERHEAD_BYTES <= scope.valueBytes());
+            create("b-", new ReturnRequest(machines.subList(start, end)));
         }
     }
 
     private void create(String prefix, CloudRequest request) {
-        String name = prefix + scope.token() + "-" + ++counter;
+        String name = prefix + scope.token() + "-" + ++lastOperationNumber;
         Operation operation =
-                Operation.create(scope.root(), name, request, loop.timeOfDay(), scope.token(), this::stored);
+                Operation.create(scope.root(), name, request, loop.timeOfDay(), scope.token(), this::recordStored);
         operations.put(name, operation);
         writer.mark(operation);
         LOG.info(
@@ -167,8 +170,8 @@
                 Json.text(request.toJson()));
     }
 
-    /** The record is stored in its present form. */
-    private void stored(Operation operation) {
+    /** Called when the record is stored in its current form. */
+    private void recordStored(Operation operation) {
         if (closed) {
             return;
         }
@@ -185,19 +188,19 @@
             return;
         }
         if (!events.mayAct()) {
-            loop.after(RETRY_WHEN_NOT_LEADING_MS, () -> dispatch(operation));
+            loop.after(NOT_LEADING_RETRY_MS, () -> dispatch(operation));
             return;
         }
-        operation.called(loop.now());
-        cloud.operate(operation.name(), operation.request(), outcome -> observe(operation, outcome));
+        operation.recordCall(loop.now());
+        cloud.sendOperation(operation.name(), operation.request(), outcome -> handleOutcome(operation, outcome));
     }
 
-    private void observe(Operation operation, CallOutcome outcome) {
+    private void handleOutcome(Operation operation, CallOutcome outcome) {
         if (closed || !operation.open()) {
             return;
         }
-        // The cloud deduplicates a rent under its key for good, and a return names the machines: both are safe to send
-        // again, with the same key and the same request.
+        // Both kinds are safe to send again with the same key and request: the cloud deduplicates rents by their key
+        // without a time limit, and a return names its machines.
         switch (NextAction.decide(outcome.observation(), true, false)) {
             case RECORD_SUCCESS -> succeed(operation, outcome);
             case RECORD_FAILURE -> fail(operation, outcome);
@@ -207,47 +210,51 @@
 
     private void succeed(Operation operation, CallOutcome outcome) {
         CloudRequest request = operation.request();
-        if (request instanceof RentRequest rent) {
-            events.rented(rent, outcome.machines());
-        } else if (request instanceof ReturnRequest back) {
-            events.returned(back.machines());
+        if (request instanceof RentRequest rentRequest) {
+            events.rented(rentRequest, outcome.machines());
+        } else if (request instanceof ReturnRequest returnRequest) {
+            events.returned(returnRequest.machines());
         }
         finish(operation, State.SUCCEEDED, outcome);
     }
 
     private void fail(Operation operation, CallOutcome outcome) {
-        if (operation.request() instanceof RentRequest rent) {
-            events.noCapacity(rent);
+        if (operation.request() instanceof RentRequest rentRequest) {
+            events.noCapacity(rentRequest);
         }
         finish(operation, State.FAILED, outcome);
     }
 
     private void retry(Operation operation, CallOutcome outcome) {
-        boolean late = operation.openFor(loop.now()) > queryLimitMs;
-        State next = late ? State.ESCALATED : State.UNKNOWN;
-        if (operation.state() != next) {
-            if (late) {
+        boolean isOverdue = operation.openForMs(loop.now()) > queryLimitMs;
+        State nextState = isOverdue ? State.ESCALATED : State.UNKNOWN;
+        if (operation.state() != nextState) {
+            if (isOverdue) {
                 LOG.warn(
-                        "operation escalated, operation={} openForS={} lastOutcome={}",
+                        "operation escalated, operation={} queryLimitS={} lastOutcome={}",
                         operation.name(),
                         queryLimitMs / 1000,
                         outcome.text());
                 events.escalated(operation);
             }
-            operation.transition(next, outcome.text());
+            operation.transition(nextState, outcome.text());
             writer.mark(operation);
         }
-        long pauseMs = late ? RETRY_ESCALATED_MS : backoffMs(operation.calls());
-        loop.after(pauseMs / 2 + random.nextLong(pauseMs), () -> dispatch(operation));
+        long delayMs = isOverdue ? ESCALATED_RETRY_MS : backoffMs(operation.calls());
+        loop.after(delayMs / 2 + random.nextLong(delayMs), () -> dispatch(operation));
     }
 
     private static long backoffMs(int calls) {
-        return Math.min(RETRY_MOST_MS, RETRY_FIRST_MS << Math.min(RETRY_MOST_DOUBLINGS, calls));
+        return Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS << Math.min(MAX_BACKOFF_DOUBLINGS, calls));
     }
 
-    private void finish(Operation operation, State how, CallOutcome outcome) {
-        operation.transition(how, outcome.text());
-        LOG.info("operation finished, operation={} state={} lastOutcome={}", operation.name(), how, outcome.text());
+    private void finish(Operation operation, State finalState, CallOutcome outcome) {
+        operation.transition(finalState, outcome.text());
+        LOG.info(
+                "operation finished, operation={} state={} lastOutcome={}",
+                operation.name(),
+                finalState,
+                outcome.text());
         writer.mark(operation);
         loop.after(RETENTION_MS, () -> forget(operation));
     }
