--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -8,14 +8,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A segment as it was read last, and the lookups that wait for its first read. */
+/** The cached contents of one segment, and the lookups that wait for its first read. */
 final class CachedSegment {
     private enum State {
-        /** Asked for, the answer is not here yet. */
+        /** The first read is in progress. */
         LOADING,
-        /** Known as of its version. */
+        /** The contents are known as of {@link #version}. */
         READ,
-        /** What is stored makes no sense. */
+        /** The stored value cannot be decoded. */
         UNREADABLE
     }
 
@@ -34,12 +34,12 @@
         return state == State.LOADING;
     }
 
-    /** How the job ended; null says nothing. */
+    /** Returns how the job at this offset ended, or null if that is not known; null does not prove its absence. */
     TerminatedJob known(int offset) {
         return state == State.READ ? segment.get(offset) : null;
     }
 
-    /** What is known of the job now. */
+    /** Returns the present result of a lookup of the job at this offset. */
     History.Found found(int offset) {
         return switch (state) {
             case LOADING -> History.UNAVAILABLE;
@@ -48,7 +48,11 @@
         };
     }
 
-    /** @param value null where the segment does not exist */
+    /**
+     * Takes over a stored value, unless this version or a newer one is known already.
+     *
+     * @param value the stored value, or null if the segment does not exist
+     */
     void read(JsonNode value, long newVersion) {
         if (newVersion <= version) {
             return;
@@ -56,7 +60,8 @@
         try {
             to(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
         } catch (InvalidMessageException e) {
-            // Never taken for empty, never overwritten: its jobs are answered 503 until an operator has mended it.
+            // Neither treated as empty nor overwritten: requests for its jobs get HTTP 503 until an operator repairs
+            // it.
             LOG.error("segment unreadable: segment={} error={}", key, e.getMessage());
             to(State.UNREADABLE, null, newVersion);
         }
@@ -68,7 +73,7 @@
         version = newVersion;
     }
 
-    /** Runs the lookup with the next call of {@link #answerWaiting}. */
+    /** Runs the lookup at the next call of {@link #answerWaiting}. */
     void await(Runnable lookup) {
         waiting.add(lookup);
     }
--- a/controller/src/main/java/org/landingridge/controller/history/Candidate.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Candidate.java
@@ -5,7 +5,8 @@
 /**
  * A terminated job that may be moved into the history.
  *
- * @param version of the job's own key
+ * @param version version of the job's own key
+ * @param end     how the job ended
  */
 record Candidate(String id, long version, TerminatedJob end) {
     SegmentAddress address() {
--- a/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
@@ -13,13 +13,13 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * Chooses the jobs to move: those that the scan of their keys found, then those of the table that ended first. Remembers for a
- * leader term which jobs and segments are excluded.
+ * Chooses the jobs to move: first those found by {@link KeyScan}, then those of the job table that ended first. Remembers during
+ * a leader term which jobs and segments are excluded.
  */
 final class CandidateSelector {
-    /** No job is moved sooner after its end: heartbeats and commands that still name it have arrived by then. */
+    /** Time from a job's end to its move: by then, heartbeats and commands that still name it have arrived. */
     private static final long MIN_AGE_MS = 30_000;
-    /** So many of the jobs that ended last stay where a poll finds them at once. */
+    /** The jobs that ended last, up to this number, stay in the job table, where a poll finds them without a request. */
     private static final int RETAINED = 256;
 
     private static final int MAX_SCANNED = 500;
@@ -28,13 +28,13 @@
     private final WatchCache watchCache;
     private final EventLoop loop;
     private final Compactor.Owner owner;
-    /** Terminated jobs that the table does not retain, found by the scan of their keys. */
+    /** Terminated jobs that the table does not retain, by id, as found by {@link KeyScan}. */
     private final Map<String, Candidate> scanned = new LinkedHashMap<>();
-    /** Segments that could not be read: their jobs stay where they are. */
+    /** Keys of segments that cannot be decoded: their jobs keep their own keys. */
     private final Set<String> unreadable = new HashSet<>();
-    /** Segments that would grow beyond what the state service takes: their other jobs stay under keys of their own. */
+    /** Keys of segments that would exceed the state service's value size: their other jobs keep their own keys. */
     private final Set<String> full = new HashSet<>();
-    /** Jobs that stand in both places with different ends. */
+    /** Ids of jobs that have both a key and an entry in a segment, with different ends. */
     private final Set<String> contradicted = new HashSet<>();
 
     CandidateSelector(JobTable table, WatchCache watchCache, EventLoop loop, Compactor.Owner owner) {
@@ -44,11 +44,11 @@
         this.owner = owner;
     }
 
-    /** As many jobs as a transaction takes; none where too few may be moved. */
+    /** Returns as many jobs as one transaction can move, or an empty batch if too few may be moved. */
     MoveBatch batch(int maxOperations) {
         MoveBatch batch = new MoveBatch(maxOperations);
         int surplus = table.terminated().all().size() - RETAINED;
-        // A few more are waited for: each transaction wakes every controller's watch, however little it moves.
+        // Waits for more jobs to fill a transaction, because each one, however small, wakes every controller's watch.
         if (surplus < maxOperations / 2 && scanned.isEmpty()) {
             return batch;
         }
@@ -71,7 +71,7 @@
                 return;
             }
             long version = watchCache.version(Keys.JOBS + job.id());
-            // What is not in the watch cache yet may name the job: a move is decided on all that came before its end.
+            // A change before the job's end that is not in the watch cache yet may name the job.
             if (version > watchCache.revision()
                     || table.terminated().unpersisted().contains(job)) {
                 continue;
@@ -94,17 +94,17 @@
         return unreadable.contains(segment) || full.contains(segment);
     }
 
-    /** True if the scan may add more. */
+    /** Returns whether the scan may add more jobs. */
     boolean hasRoom() {
         return scanned.size() < MAX_SCANNED;
     }
 
-    /** True if no job that the scan found is left to move. */
+    /** Returns whether all jobs found by the scan have been moved. */
     boolean scannedAllMoved() {
         return scanned.isEmpty();
     }
 
-    /** The scan found a job. Those that cannot move would fill the map, and keep all others from moving. */
+    /** Adds a job found by the scan. Excluded jobs are left out: they would fill the map, so that no other job could move. */
     void found(Candidate candidate) {
         if (!contradicted.contains(candidate.id())
                 && !excluded(candidate.address().key())) {
@@ -112,21 +112,27 @@
         }
     }
 
-    /** The jobs have been moved, or their keys have changed: the scan has to find them again. */
+    /** Removes jobs that were moved or whose keys may have changed. The scan finds those that still have a key again. */
     void forget(List<Candidate> candidates) {
         candidates.forEach(candidate -> scanned.remove(candidate.id()));
     }
 
+    /** Excludes jobs that have different ends under their own key and in their segment. */
     void contradicted(List<Candidate> candidates) {
         candidates.forEach(candidate -> contradicted.add(candidate.id()));
     }
 
-    /** @param candidates the jobs of the segment that were about to be moved */
+    /**
+     * Excludes a segment that cannot be decoded.
+     *
+     * @param candidates the segment's jobs in the present batch
+     */
     void unreadable(String segment, List<Candidate> candidates) {
         unreadable.add(segment);
         forget(candidates);
     }
 
+    /** Excludes a segment that has reached the maximum value size. */
     void full(String segment) {
         full.add(segment);
         scanned.keySet().removeIf(id -> SegmentAddress.of(id).key().equals(segment));
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -19,13 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Moves terminated jobs from keys of their own, which every controller caches, to segments of the history. A move is one
- * compare-and-swap: it deletes the jobs' keys and puts their segment, conditional on the leader's key and on the version of
- * each. So at every revision each job is in one of the two places; a move of a former leader, one that arrives late and the
- * second of two change nothing; and after an unknown outcome the state is read again, and the next move is decided from that.
+ * Moves terminated jobs from their own keys, which every controller caches, to segments of the history. Each move is one
+ * compare-and-set transaction that deletes the jobs' keys and writes their segments, on the condition that the leader key and all
+ * of these keys have the expected versions. At every revision each job is therefore either under its own key or in a segment. A
+ * delayed, repeated or former leader's move changes nothing. After an unknown outcome the next move is based on a fresh read.
  */
 public final class Compactor {
-    /** What the compactor works on and with. */
+    /** Collaborators of the compactor. */
     public record Dependencies(
             StateClient client,
             WatchCache watchCache,
@@ -35,35 +35,35 @@
             Capabilities capabilities,
             Metrics metrics) {}
 
-    /** What the rest of the leader term knows and the compactor must heed. */
+    /** State of the rest of the leader term that restricts the compactor. */
     public interface Owner {
-        /** True while this process may act as the leader. */
+        /** Returns whether this process may act as the leader. */
         boolean mayAct();
 
-        /** True while the leader has something else to write, or does not know yet what is on its machines. */
+        /** Returns whether the leader has other writes pending, or does not know yet which tasks its machines hold. */
         boolean busy();
 
         /**
-         * Ids of the jobs whose ends have to stay where every controller reads them at its start: something of them is, or may
-         * be, on a machine, or a job awaits them that has not ended. The caller may change the set.
+         * Returns the ids of jobs that must keep their own keys, which every controller reads at startup: jobs that have or may
+         * have tasks on a machine, and jobs that an unfinished job awaits. The caller may modify the set.
          */
         Set<String> needed();
     }
 
     private enum State {
-        /** Nothing to do, or not allowed to do it. */
+        /** There is nothing to move, or moves are not permitted now. */
         IDLE,
-        /** A page of the jobs' keys is asked for. */
+        /** Reading a page of job keys. */
         SCANNING,
-        /** A segment is asked for. */
+        /** Reading the segments of a batch. */
         READING,
-        /** The transaction is on its way. */
+        /** Waiting for the answer to the transaction. */
         WRITING,
         /** Waiting until the watch cache shows the outcome of the transaction. */
         SYNCING,
-        /** The state service refused or did not answer. */
+        /** Backing off after the state service refused a request or did not answer. */
         PAUSED,
-        /** The leader term is over. */
+        /** The leader term has ended. */
         CLOSED
     }
 
@@ -73,7 +73,7 @@
     private static final long LONGEST_PAUSE_MS = 60_000;
     private static final int SCAN_PAGE = 100;
     private static final long SCAN_PAUSE_MS = 300;
-    /** The delete of a job's key and the put of its segment. */
+    /** One delete of a job's key and one put of its segment. */
     private static final int MIN_OPERATIONS = 2;
 
     private final StateClient client;
@@ -83,7 +83,7 @@
     private final Metrics metrics;
     private final LongSupplier leaderVersion;
     private final int valueBytes;
-    /** Changes a second that moves may take. */
+    /** Limit on the puts and deletes of moves, per second. */
     private final double moveRps;
 
     private final CandidateSelector selector;
@@ -93,15 +93,15 @@
 
     private State state = State.IDLE;
     private int maxOperations;
-    /** The earliest time of the next transaction. */
+    /** Earliest time of the next transaction, by the loop's clock, in milliseconds. */
     private long nextAllowed;
 
     private long pauseMs = FIRST_PAUSE_MS;
 
     /**
-     * @param leaderVersion version of the leader's key, or 0 while this process may not write
-     * @param limits        of the state service
-     * @param share         of the limit of changes, what this may use; 0: nothing is moved
+     * @param leaderVersion version of the leader key, or 0 while this process may not write
+     * @param limits        limits of the state service
+     * @param share         share of the write rate limit that moves may use; 0 turns moves off
      */
     public Compactor(
             Dependencies dependencies, Owner owner, LongSupplier leaderVersion, Settings.State limits, double share) {
@@ -120,7 +120,7 @@
         this.conditions = new MoveConditions(owner, userWrites, dependencies.capabilities, limits.writeRps());
     }
 
-    /** Begins to move jobs, unless the settings or the state service's limits leave no room for it. */
+    /** Starts moving jobs, unless the settings or the state service's limits rule that out. */
     public void start() {
         userWrites.start();
         if (moveRps > 0 && maxOperations >= MIN_OPERATIONS) {
@@ -128,17 +128,17 @@
         }
     }
 
-    /** Ends the work for good; a transaction that is on its way may still be carried out. */
+    /** Stops the compactor for good. A transaction that was sent already may still be applied. */
     public void close() {
         to(State.CLOSED);
     }
 
-    /** A user's change went through: users' changes come before moves. */
+    /** Counts a successful write for a user; moves yield to these. */
     public void noted() {
         userWrites.increment();
     }
 
-    /** The only place where the state changes; nothing follows CLOSED. */
+    /** Changes the state; the only method that does. Returns false if the compactor is closed, which is final. */
     private boolean to(State next) {
         if (state == State.CLOSED) {
             return false;
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Reads the batch's segments, one after the other; those that cannot be read drop out with their jobs. */
+    /** Reads the batch's segments one by one, then commits the batch. Jobs of undecodable segments are left out. */
     private void readSegments(MoveBatch batch) {
         to(State.READING);
         Optional<String> unread = batch.unread();
@@ -233,7 +233,7 @@
         });
     }
 
-    /** True if a segment would grow too large: it takes no more jobs, and the next batch is chosen without it. */
+    /** Excludes segments that would exceed the value size limit from later batches; returns whether there were any. */
     private boolean excludeFullSegments(List<Write> writes) {
         boolean any = false;
         for (Write write : writes) {
@@ -254,20 +254,20 @@
                 LOG.debug("jobs moved into the history: count={}", moved.size());
                 sync(moved);
             }
-            // Refused as a whole, for want of rate or in an outage: other writers go first.
+            // Refused as a whole, because of the rate limit or an outage: backs off so that other writers go first.
             case REFUSED -> pause();
             case INVALID -> {
-                // The state service takes less than it announces, and would refuse the same for ever.
+                // The state service accepts less than it announces, so the same transaction would always be refused.
                 LOG.warn("transaction too large for the state service: operations={}", maxOperations);
                 maxOperations = Math.max(MIN_OPERATIONS, maxOperations / 2);
                 pause();
             }
-            // A condition did not hold, or the outcome is unknown: the next batch is chosen from the present state.
+            // A condition failed or the outcome is unknown: the next batch is chosen from the then current state.
             default -> sync(moved);
         }
     }
 
-    /** Waits until the watch cache shows the outcome. */
+    /** Waits until the watch cache shows the outcome of the transaction. */
     private void sync(List<Candidate> moved) {
         to(State.SYNCING);
         watchCache.barrier(
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -17,69 +17,69 @@
 import org.landingridge.wire.state.StateListing;
 
 /**
- * What a controller knows of terminated jobs that have no key of their own any more: a bounded cache of segments, read by need
- * and kept current by the watch. That a job ended is final, so a segment that names it may be of any age. That it is
- * <em>not</em> there holds as of the watch cache's revision, since every change of a known segment comes by the watch: so
- * absence is asked for past the watch cache's read barrier.
+ * Bounded cache of the segments of terminated jobs that no longer have their own key. Segments are read on demand and updated by
+ * the watch. A job's end is final, so a cached segment of any age proves it. A job's <em>absence</em> holds as of the watch
+ * cache's revision, because every change of a cached segment arrives through the watch; callers that rely on absence therefore
+ * pass the watch cache's read barrier first.
  */
 public final class History {
-    /** What became of a lookup. */
+    /** Status of a lookup. */
     public enum Outcome {
         /** The segment was read, or is known not to exist. */
         READ,
-        /** What is stored of the segment makes no sense. */
+        /** The segment's stored value cannot be decoded. */
         UNREADABLE,
         /** The state service does not answer. */
         UNAVAILABLE
     }
 
     /**
-     * What was found of one job.
+     * Result of the lookup of one job.
      *
-     * @param ended   null where the job is not in the history, or nothing could be read
-     * @param segment the segment read, null where nothing could be
-     * @param version the segment's version, 0 where it does not exist
+     * @param ended   how the job ended; null if it is not in the history or the segment could not be read
+     * @param segment the segment that was read; null if it could not be read
+     * @param version version of the segment's key, or 0 if it does not exist
      */
     public record Found(Outcome outcome, TerminatedJob ended, Segment segment, long version) {}
 
-    /** Of the read of the first segments. */
+    /** State of the first read, which loads one page of segments. */
     private enum FirstRead {
         NOT_STARTED,
         RUNNING,
         DONE
     }
 
-    /** Segments in the cache; with their jobs' numbers of tasks 600 bytes each, mostly. */
+    /** Maximum number of cached segments, which take about 600 bytes each in most cases. */
     private static final int CAPACITY = 1_024;
-    /** The first read brings so many segments: a short history is known in full by it. */
+    /** Number of segments in the first read, which loads a short history completely. */
     private static final int FIRST_PAGE = 32;
 
     static final Found UNAVAILABLE = new Found(Outcome.UNAVAILABLE, null, null, 0);
-    /** The segment does not exist. */
+    /** Result of a lookup whose segment does not exist. */
     private static final Found ABSENT = new Found(Outcome.READ, null, Segment.EMPTY, 0);
 
     private final StateClient client;
     private final WatchCache watchCache;
     private final Metrics metrics;
     private final int capacity;
-    /** By key, the least recently used first. */
+    /** Cached segments by key, the least recently used first. */
     private final Map<String, CachedSegment> segments = new LinkedHashMap<>(16, 0.75f, true);
 
     private FirstRead firstRead = FirstRead.NOT_STARTED;
     private List<Runnable> afterFirstRead = new ArrayList<>();
-    /** Every segment that exists is in the cache: one that is not does not exist. */
+    /** Whether the cache contains every existing segment, so that a segment missing from the cache does not exist. */
     private boolean complete;
-    /** How often the cache was emptied. */
+    /** Number of times the cache was cleared. */
     private long resets;
-    /** How many segments were evicted for want of room. */
+    /** Number of segments evicted because the cache was full. */
     private int evictions;
 
-    /** An empty cache; it is filled as jobs are looked up. */
+    /** Creates an empty cache, which is filled by lookups. */
     public History(StateClient client, WatchCache watchCache, Metrics metrics) {
         this(client, watchCache, metrics, CAPACITY);
     }
 
-    /** @param capacity segments in the cache */
+    /** @param capacity maximum number of cached segments */
     History(StateClient client, WatchCache watchCache, Metrics metrics, int capacity) {
         this.client = client;
         this.watchCache = watchCache;
@@ -88,9 +88,9 @@
     }
 
     /**
-     * A segment has changed.
+     * Updates the cache after a segment's key has changed.
      *
-     * @param value null where it was deleted
+     * @param value the stored value, or null if the key was deleted
      */
     public void changed(String key, JsonNode value, long version) {
         CachedSegment segment = segments.get(key);
@@ -101,7 +101,7 @@
         segment.answerWaiting();
     }
 
-    /** The watch was interrupted: what changed meanwhile is unknown. */
+    /** Clears the cache after an interruption of the watch, because changes may have been missed. */
     public void reset() {
         resets++;
         segments.clear();
@@ -109,14 +109,19 @@
         firstRead = FirstRead.NOT_STARTED;
     }
 
-    /** How the job ended, if that is known here without a request; null says nothing. */
+    /** Returns how the job ended if the cache contains it, otherwise null; null does not prove its absence. */
     public TerminatedJob known(String id) {
         SegmentAddress address = SegmentAddress.of(id);
         CachedSegment segment = segments.get(address.key());
         return segment == null ? null : segment.known(address.offset());
     }
 
-    /** Looks a job up. An absence is of the watch cache's revision or later; {@code done} may run within the call. */
+    /**
+     * Looks a job up, in the cache or by a request.
+     *
+     * @param done receives the result, possibly before this method returns; an absence holds as of the watch cache's revision or
+     *             a later one
+     */
     public void find(String id, Consumer<Found> done) {
         SegmentAddress address = SegmentAddress.of(id);
         CachedSegment segment = segments.get(address.key());
@@ -147,7 +152,7 @@
     }
 
     private void load(SegmentAddress address, Consumer<Found> done) {
-        // In the cache before it is asked for: changes that come by the watch meanwhile are not missed.
+        // Added to the cache before the request, so that changes arriving through the watch meanwhile are not missed.
         CachedSegment segment = add(address.key());
         segment.await(() -> done.accept(segment.found(address.offset())));
         boolean following = watchCache.following();
@@ -167,7 +172,7 @@
         });
     }
 
-    /** One page, all of a short history: then no later lookup of an unknown id costs a request. */
+    /** Reads one page of segments. If that is the whole history, later lookups of unknown ids need no request. */
     private void readFirst() {
         firstRead = FirstRead.RUNNING;
         boolean following = watchCache.following();
--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -10,11 +10,11 @@
 import org.landingridge.wire.state.StateListing;
 
 /**
- * The position in repeated scans of all jobs' keys. A scan finds terminated jobs that the table does not retain: what an
- * earlier version left, or what ended while nothing could be moved. Active jobs are in the table and are passed over.
+ * Repeated, paged scan of all job keys. It finds terminated jobs that the job table does not retain: jobs left by an earlier
+ * version, and jobs that ended while moves were not possible. Active jobs are in the table and are skipped.
  */
 final class KeyScan {
-    /** After a scan that found nothing to move. */
+    /** Delay until the next scan once no scanned job is left to move. */
     private static final long REPEAT_MS = 60_000;
 
     private final JobTable table;
@@ -33,12 +33,12 @@
         this.selector = selector;
     }
 
-    /** True if a page may be read now, and may bring something. */
+    /** Returns whether a page may be read now and may contain jobs to move. */
     boolean due() {
         return table.terminated().partial() && selector.hasRoom() && loop.now() >= notBefore;
     }
 
-    /** The key after which the next page begins; null for the first. */
+    /** Returns the key after which the next page begins, or null for the first page of a scan. */
     String nextPage() {
         if (position == null) {
             foundAny = false;
@@ -47,7 +47,7 @@
         return position;
     }
 
-    /** Takes a page in; false where there is none in the answer. */
+    /** Processes a page; returns false if the answer contains none. */
     boolean read(Answer answer) {
         Optional<StateListing> page = answer.ok() ? answer.listing() : Optional.empty();
         if (page.isEmpty()) {
--- a/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs that one transaction moves, by segment, and the segments as they were read. Job ids that follow each other share a
- * segment, and then seven jobs fill a transaction of eight operations; where each has its own segment, four do.
+ * The jobs that one transaction moves, grouped by segment, and the contents of these segments. A transaction of eight operations
+ * moves seven jobs with consecutive ids, which share a segment, but only four jobs with a segment each.
  */
 final class MoveBatch {
     /**
-     * The compare-and-swap that moves a batch.
+     * The compare-and-set transaction that moves a batch.
      *
-     * @param moved        the jobs that it moves
-     * @param contradicted jobs of the batch that have another end in their segment already, and stay
+     * @param moved        the jobs that the transaction moves
+     * @param contradicted jobs of the batch that are not moved, because their segment already records a different end
      */
     record Transaction(List<Guard> guards, List<Write> writes, List<Candidate> moved, List<Candidate> contradicted) {}
 
@@ -31,7 +31,7 @@
     private final Map<String, History.Found> segments = new HashMap<>();
     private int room;
 
-    /** @param maxOperations puts and deletes that a transaction takes */
+    /** @param maxOperations maximum number of puts and deletes in a transaction */
     MoveBatch(int maxOperations) {
         room = maxOperations;
     }
@@ -48,7 +48,7 @@
         return bySegment.containsKey(segment);
     }
 
-    /** Takes the job in where there is room for the delete of its key and, the first time, the put of its segment. */
+    /** Adds the job if there is room for the delete of its key and, for a new segment, the put of the segment. */
     void add(Candidate candidate) {
         String segment = candidate.address().key();
         int operations = contains(segment) ? 1 : 2;
@@ -58,7 +58,7 @@
         }
     }
 
-    /** A segment that has not been read yet; empty once all have. */
+    /** Returns the key of a segment that has not been read yet, or empty if all have been read. */
     Optional<String> unread() {
         for (String segment : bySegment.keySet()) {
             if (!segments.containsKey(segment)) {
@@ -68,7 +68,7 @@
         return Optional.empty();
     }
 
-    /** The id of a job of the segment. */
+    /** Returns the id of any job of the segment. */
     String anyJob(String segment) {
         return bySegment.get(segment).get(0).id();
     }
@@ -77,15 +77,15 @@
         segments.put(segment, found);
     }
 
-    /** Leaves the jobs of a segment out, and returns them. */
+    /** Removes the jobs of a segment from the batch and returns them. */
     List<Candidate> remove(String segment) {
         return bySegment.remove(segment);
     }
 
     /**
-     * Deletes the jobs' keys and puts their segments, on the condition that nothing of that has changed.
+     * Returns the transaction that deletes the jobs' keys and puts their segments, conditional on the versions that were read.
      *
-     * @param leaderVersion version of the leader's key
+     * @param leaderVersion version of the leader key
      */
     Transaction transaction(long leaderVersion) {
         Transaction transaction =
@@ -102,7 +102,7 @@
             int offset = candidate.address().offset();
             TerminatedJob present = before.segment().get(offset);
             if (present != null && !present.equals(candidate.end())) {
-                // Two ends of one job: whichever users were told, nothing here may choose between them.
+                // It is unknown which of the two ends users have seen, so neither record may be dropped.
                 LOG.error(
                         "job has two ends, both stay: job={} byKey={} bySegment={} segment={}",
                         candidate.id(),
--- a/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
@@ -5,10 +5,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Whether jobs may be moved now: everything else that the leader and its users have to write comes first. */
+/** Decides whether jobs may be moved now. All other writes of the leader and its users take precedence. */
 final class MoveConditions {
     private static final Logger LOG = LoggerFactory.getLogger(MoveConditions.class);
-    /** While users' changes take more than this share of the change rate, nothing is moved. */
+    /** Nothing is moved while users' writes take more than this share of the write rate limit. */
     private static final double CROWDED = 0.5;
 
     private final Compactor.Owner owner;
@@ -17,7 +17,7 @@
     private final double writeRps;
     private boolean waitsForUpgrade;
 
-    /** @param writeRps changes a second that the state service takes */
+    /** @param writeRps write rate limit of the state service, per second */
     MoveConditions(Compactor.Owner owner, UserWriteRate userWrites, Capabilities capabilities, double writeRps) {
         this.owner = owner;
         this.userWrites = userWrites;
@@ -29,7 +29,7 @@
         return owner.mayAct() && !owner.busy() && userWrites.perSecond() <= CROWDED * writeRps && allReadHistory();
     }
 
-    /** True if every controller runs a version that looks for terminated jobs in the history. */
+    /** Returns whether every controller runs a version that looks terminated jobs up in the history. */
     private boolean allReadHistory() {
         List<String> unaware = capabilities.unaware(Capabilities.Feature.HISTORY);
         if (unaware.isEmpty() == waitsForUpgrade) {
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -17,20 +17,20 @@
 import org.landingridge.wire.Json;
 
 /**
- * How the jobs of one range of ids ended. Never changed in place; a job's end, once in, stays as it is.
+ * How the jobs of one range of ids ended. Immutable; a job's recorded end never changes.
  *
- * <p>Stored as one record, in base64: a byte for the format, two bits a job (0 not here, 1 done, 2 cancelled), for each
- * done job its number of tasks in as many bytes of seven bits as it needs, and a CRC-32 of all that. 512 jobs of
- * 100,000 tasks each take 1,669 bytes, 2,228 characters. Where the state service's values hold less, a segment that would outgrow
- * them takes no more jobs ({@link Compactor}).
+ * <p>Stored as one binary record in base64: a format byte, two bits per job (0 absent, 1 done, 2 cancelled), the task count of
+ * each done job as a variable-length integer of seven bits per byte, and a CRC-32 of all preceding bytes. 512 jobs of 100,000
+ * tasks each take 1,669 bytes, or 2,228 base64 characters. Where the state service's value size limit is lower, a segment that
+ * would exceed it takes no more jobs ({@link Compactor}).
  */
 public final class Segment {
-    /** Ids to a segment. */
+    /** Number of job ids per segment. */
     public static final int JOBS = 512;
-    /** A value that holds any segment, in bytes. */
+    /** Upper limit on the size of any segment's stored value, in bytes. */
     public static final int MAX_BYTES = 2_300;
 
-    /** The segment that no job is in yet. */
+    /** A segment without jobs. */
     public static final Segment EMPTY = new Segment(new byte[JOBS / 4], new byte[0]);
 
     private static final int FORMAT = 1;
@@ -38,7 +38,7 @@
     private static final int CANCELLED = 2;
     private static final String FIELD = "ended";
     private final byte[] states;
-    /** Numbers of tasks of the done jobs, in the order of their offsets. */
+    /** Task counts of the done jobs in the order of their offsets, as variable-length integers. */
     private final byte[] tasks;
 
     private Segment(byte[] states, byte[] tasks) {
@@ -46,7 +46,7 @@
         this.tasks = tasks;
     }
 
-    /** How the job at this offset ended, or null where it is not here. */
+    /** Returns how the job at this offset ended, or null if this segment does not contain it. */
     public TerminatedJob get(int offset) {
         return switch (state(offset)) {
             case DONE -> new TerminatedJob(Job.Status.DONE, counts()[offset]);
@@ -56,9 +56,10 @@
     }
 
     /**
-     * This segment and more jobs, by offset.
+     * Returns a copy of this segment with more jobs.
      *
-     * @throws IllegalStateException if one is here already with another end
+     * @param more ends of the added jobs by offset
+     * @throws IllegalStateException if this segment already contains one of the jobs with a different end
      */
     public Segment with(Map<Integer, TerminatedJob> more) {
         byte[] next = states.clone();
@@ -89,7 +90,7 @@
         out.write(left);
     }
 
-    /** How many jobs are here. */
+    /** Returns the number of jobs in this segment. */
     public int size() {
         int size = 0;
         for (int i = 0; i < JOBS; i++) {
@@ -119,7 +120,7 @@
         return counts;
     }
 
-    /** The stored value. */
+    /** Returns the stored form. */
     public JsonNode json() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -134,9 +135,9 @@
     }
 
     /**
-     * Reads a stored value back.
+     * Decodes a stored value.
      *
-     * @throws InvalidMessageException if any part of the value cannot be read
+     * @throws InvalidMessageException if any part of the value is invalid
      */
     public static Segment read(JsonNode value) throws InvalidMessageException {
         String text = value == null ? null : Json.text(value, FIELD);
--- a/controller/src/main/java/org/landingridge/controller/history/SegmentAddress.java
+++ b/controller/src/main/java/org/landingridge/controller/history/SegmentAddress.java
@@ -1,19 +1,19 @@
 package org.landingridge.controller.history;
 
 /**
- * Where a terminated job is in the history: the segment's key, and its offset there. Ids of the usual form, {@code job-} and
- * six digits or more, are mapped to numbers, 512 to a segment. Any other id has a segment of its own, under the id itself. No
- * two ids share an address.
+ * Address of a terminated job in the history: the key of its segment and its offset there. Ids of the usual form, {@code job-}
+ * and 6 to 15 digits, zero-padded to 6, are mapped to their numbers, 512 per segment. Any other id has its own segment, whose key
+ * ends in the id. No two ids share an address.
  */
 public record SegmentAddress(String key, int offset) {
-    /** All segments are kept under this prefix, which is watched but not read at a start. */
+    /** Prefix of all segment keys, which controllers watch but do not read at startup. */
     public static final String ROOT = "lr-past/";
 
     private static final String START = "job-";
     private static final int MIN_DIGITS = 6;
     private static final int MAX_DIGITS = 15;
 
-    /** The address of a job. */
+    /** Returns the address of a job. */
     public static SegmentAddress of(String id) {
         long number = number(id);
         return number < 0
@@ -21,7 +21,7 @@
                 : new SegmentAddress(ROOT + number / Segment.JOBS, (int) (number % Segment.JOBS));
     }
 
-    /** The number of an id in its one usual form, or -1: {@code job-0000412} and {@code job-000412} are two jobs. */
+    /** Returns the number of an id of the usual form, otherwise -1: {@code job-0000412} is not {@code job-000412}. */
     private static long number(String id) {
         int digits = id.length() - START.length();
         if (!id.startsWith(START)
--- a/controller/src/main/java/org/landingridge/controller/history/UserWriteRate.java
+++ b/controller/src/main/java/org/landingridge/controller/history/UserWriteRate.java
@@ -2,7 +2,7 @@
 
 import org.landingridge.net.EventLoop;
 
-/** The rate of changes by users, averaged with exponential decay. */
+/** The rate of users' writes, as an exponentially decaying average. */
 final class UserWriteRate {
     private static final double WINDOW_S = 2;
 
@@ -14,6 +14,7 @@
         this.loop = loop;
     }
 
+    /** Starts the measurement now. */
     void start() {
         updatedAt = loop.now();
     }
@@ -23,7 +24,7 @@
         count++;
     }
 
-    /** Changes a second. */
+    /** Returns the rate in writes per second. */
     double perSecond() {
         decay();
         return count / WINDOW_S;
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -21,8 +21,12 @@
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
+/**
+ * Guards against terminated jobs that get lost, change or mix with others in a segment: by the encoding, by a damaged stored
+ * value that is read as a smaller one, or by two ids with one address.
+ */
 class SegmentTest {
-    /** Against a map, which is the plain model: whatever went in comes out, through the stored form and back. */
+    /** Compares a segment, encoded and decoded from time to time, with a map as the reference model. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void holdsWhatAMapHolds(long seed) throws InvalidMessageException {
@@ -64,7 +68,7 @@
                 IllegalStateException.class, () -> segment.with(Map.of(7, new TerminatedJob(Job.Status.CANCELLED, 0))));
     }
 
-    /** Any single byte that is wrong is noticed: a damaged segment may not be read as one with fewer jobs. */
+    /** One damaged byte or a truncated value must be an error: a damaged segment must not be read as one with fewer jobs. */
     @Test
     void damageIsNoticed() throws InvalidMessageException {
         Segment segment = Segment.EMPTY.with(
@@ -89,7 +93,7 @@
         return Json.object().put("ended", Base64.getEncoder().encodeToString(bytes));
     }
 
-    /** Names that look alike are different jobs, and none shares a place with another. */
+    /** Ids that look alike are different jobs, so each needs an address of its own. */
     @Test
     void noTwoIdsShareAPlace() {
         Set<SegmentAddress> places = new HashSet<>();
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -25,14 +25,17 @@
 import org.landingridge.wire.InvalidMessageException;
 import org.landingridge.wire.Json;
 
-/** Two that both take themselves for the leader, and move different jobs into the same segments at the same time. */
+/**
+ * Guards against moves that lose jobs or use outdated data: two controllers that both act as the leader, and a key that changes
+ * before its job is moved. Each test has a counter-check without the condition that prevents the fault.
+ */
 class ConcurrentCompactorsTest {
     private static final int JOBS = 1_000;
 
     private final Simulation sim = new Simulation(5);
     private final EmulatedStateService state = new EmulatedStateService(sim.host("state"));
 
-    /** One of the two; {@code odd} tells which jobs it leaves alone. */
+    /** Starts a compactor that moves either the jobs with even numbers or those with odd ones. */
     private void side(String name, boolean odd, long leader) {
         Simulation.Host host = sim.host(name);
         StateClient client = new StateClient(sim.client(host), "state");
@@ -85,7 +88,7 @@
         return String.format("job-%06d", i);
     }
 
-    /** Blind to the condition on the segment, the one's write takes the other's jobs away. */
+    /** Without the condition on the segment's version, each compactor's write drops jobs that the other one moved. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void noMoveIsLost(boolean blind) throws InvalidMessageException {
@@ -136,7 +139,7 @@
         return moved;
     }
 
-    /** One that does not lead any more, and has not heard of it, moves nothing. */
+    /** A former leader that still believes it leads uses an outdated version of the leader key. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whoDoesNotLeadMovesNothing(boolean blind) throws InvalidMessageException {
@@ -149,7 +152,7 @@
         assertEquals(blind, moved(0, JOBS) > 0);
     }
 
-    /** A job whose key has changed since it was seen stays: what moves is what stands there. */
+    /** A job whose key changed after it was read must not be moved, because the segment would record the outdated value. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whatHasChangedMeanwhileStays(boolean blind) throws InvalidMessageException {
@@ -164,7 +167,7 @@
         assertEquals(blind, moved(0, 8) > 0);
     }
 
-    /** Somebody writes the first jobs' keys again and again, faster than anybody hears of it. */
+    /** Rewrites the first jobs' keys every 5 ms, which is more often than the watch reports changes. */
     private static void rewrite(Simulation.Host host, StateClient client) {
         for (int i = 0; i < 8; i++) {
             client.commit(
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -19,15 +19,15 @@
 import org.landingridge.wire.Json;
 
 /**
- * Ended jobs move into the history while users ask for them, submit them once more and cancel them; every rule is checked
- * throughout, against a model that keeps everything.
+ * Guards against terminated jobs that get lost, exist twice or run again while they move into the history. Users poll, resubmit
+ * and cancel the jobs meanwhile, and the invariant checker compares all answers with a model that keeps every job.
  */
 class JobHistoryTest {
     private static final int MANY = 900;
 
     private static void kept(SimulatedCluster w) {
         ClusterAssertions.kept(w);
-        // No job is in two places, and none is lost.
+        // Each terminated job is either under its own key or in the history.
         for (String id : w.checker.told.keySet()) {
             boolean over = w.checker.told.get(id).equals("done")
                     || w.checker.told.get(id).equals("cancelled");
@@ -59,7 +59,7 @@
                         .count();
     }
 
-    /** A few hundred questions about jobs of the past, in between some about jobs that nobody submitted. */
+    /** Schedules polls, resubmissions and cancellations of known jobs, and polls of jobs that were never submitted. */
     private static void questions(SimulatedCluster w, long fromMs, long toMs, int everyMs) {
         List<String> ids = new ArrayList<>(w.checker.told.keySet());
         String[] kinds = {"poll", "submit", "cancel"};
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Ids close together, and ids each in a segment of its own. */
+    /** Covers consecutive ids, which share segments, and ids with a segment each. */
     @ParameterizedTest
     @CsvSource({"1,1", "2,1", "3,700"})
     void moveWhileUsersAsk(long seed, int step) {
@@ -84,7 +84,7 @@
         assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " changes in a second");
     }
 
-    /** The leader dies again and again, at moments that no step of a move is spared from. */
+    /** The leader crashes repeatedly, at times that hit every step of a move. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
     void leadersDieInBetween(long seed) {
@@ -103,7 +103,7 @@
         assertTrue(moved(w) > 100, moved(w) + " moved");
     }
 
-    /** A fifth of the answers of the state service get lost: moves, accepts and cancels are unknown, and settled. */
+    /** A fifth of the state service's answers get lost, so moves, submissions and cancellations have unknown outcomes. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
     void answersGetLost(long seed) {
@@ -117,7 +117,7 @@
         assertTrue(moved(w) > 100, moved(w) + " moved");
     }
 
-    /** A leader is cut off with a move on its way, which arrives long after the next leader has taken over. */
+    /** A leader is disconnected from the state service during a move, which arrives long after the next leader took over. */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33})
     void movesArriveLate(long seed) {
@@ -137,7 +137,7 @@
         assertTrue(moved(w) > 100, moved(w) + " moved");
     }
 
-    /** Controllers read the state page by page while jobs move, and fall so far behind that the watch is too old. */
+    /** Controllers fall behind the retained changes, so they reload the state page by page while jobs move. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42})
     void readAgainWhileJobsMove(long seed) {
@@ -157,7 +157,7 @@
         assertTrue(moved(w) > 100, moved(w) + " moved");
     }
 
-    /** What an earlier version left is more than a controller keeps: it is found by its keys, and moved. */
+    /** An earlier version left more terminated jobs than a controller retains; the scan of job keys has to find the rest. */
     @Test
     void moreThanIsKept() {
         SimulatedCluster w = new SimulatedCluster(51, 10);
@@ -172,7 +172,7 @@
         kept(w);
     }
 
-    /** Nothing moves while one controller runs a version that would take a late retry for a new job. */
+    /** A controller of an earlier version does not read the history, so it would accept a late retry as a new job. */
     @Test
     void nothingMovesBeforeAllKnow() {
         SimulatedCluster w = new SimulatedCluster(61, 10);
@@ -188,7 +188,7 @@
         kept(w);
     }
 
-    /** A segment that makes no sense is never overwritten or taken for empty; its jobs get 503, all others go on. */
+    /** An undecodable segment must not be overwritten or treated as empty. Only requests for its own jobs get HTTP 503. */
     @Test
     void aDamagedSegmentStays() {
         SimulatedCluster w = new SimulatedCluster(71, 10);
@@ -205,7 +205,7 @@
         kept(w);
     }
 
-    /** More jobs than the scan keeps stand in a segment that cannot be read: the others move all the same. */
+    /** An undecodable segment has more jobs than the scan retains at a time; they must not block the jobs of other segments. */
     @Test
     void aDamagedSegmentHoldsUpNoOther() {
         SimulatedCluster w = new SimulatedCluster(72, 10);
@@ -218,8 +218,8 @@
     }
 
     /**
-     * A retry that was on its way while its job ran, ended and moved: the job's key does not exist any more, so only the
-     * condition on the segment keeps it from running again. Seen to be so with a state service that is blind to it.
+     * A retry of a submission is delayed until its job has run, ended and moved. The job's key no longer exists, so only the
+     * condition on the segment's version prevents a second run. The counter-check: without that condition the job runs again.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -229,14 +229,14 @@
         w.sim.run(20_000);
         ControllerNode behind =
                 w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
-        // It knows that the history is empty, and then hears of nothing any more.
+        // This controller knows that the history is empty, and then receives no more changes.
         w.users.askOnce("job-900000", "poll", behind.index);
         w.sim.run(25_000);
         w.sim.cut(behind.host.name, "state");
         w.users.submit(SampleJobs.job(100_001, "blue", false, 1, 1, 1));
         w.sim.run(27_000);
         w.users.askOnce(id, "submit", behind.index);
-        // So many end after it that its turn to move comes.
+        // Enough later jobs end for the compactor to move this one.
         for (int i = 0; i < 320; i++) {
             int n = 200_000 + 700 * i;
             w.at(30_000 + 100 * i, () -> w.users.submit(SampleJobs.job(n, "blue", false, 1, 1, 0.5)));
