--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -24,23 +24,23 @@
     private State state = State.LOADING;
     private Segment segment;
     private long version = -1;
-    private List<Runnable> waiting = new ArrayList<>();
+    private List<Runnable> waitingLookups = new ArrayList<>();
 
     CachedSegment(String key) {
         this.key = key;
     }
 
-    boolean loading() {
+    boolean isLoading() {
         return state == State.LOADING;
     }
 
     /** Returns how the job at this offset ended, or null if that is not known; null does not prove its absence. */
-    TerminatedJob known(int offset) {
+    TerminatedJob terminatedJob(int offset) {
         return state == State.READ ? segment.get(offset) : null;
     }
 
     /** Returns the present result of a lookup of the job at this offset. */
-    History.Found found(int offset) {
+    History.Found lookupResult(int offset) {
         return switch (state) {
             case LOADING -> History.UNAVAILABLE;
             case UNREADABLE -> new History.Found(History.Outcome.UNREADABLE, null, null, version);
@@ -53,34 +53,34 @@
      *
      * @param value the stored value, or null if the segment does not exist
      */
-    void read(JsonNode value, long newVersion) {
+    void update(JsonNode value, long newVersion) {
         if (newVersion <= version) {
             return;
         }
         try {
-            to(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
+            transitionTo(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
         } catch (InvalidMessageException e) {
             // Neither treated as empty nor overwritten: requests for its jobs get HTTP 503 until an operator repairs
             // it.
             LOG.error("segment unreadable: segment={} error={}", key, e.getMessage());
-            to(State.UNREADABLE, null, newVersion);
+            transitionTo(State.UNREADABLE, null, newVersion);
         }
     }
 
-    private void to(State next, Segment read, long newVersion) {
+    private void transitionTo(State next, Segment contents, long newVersion) {
         state = next;
-        segment = read;
+        segment = contents;
         version = newVersion;
     }
 
     /** Runs the lookup at the next call of {@link #answerWaiting}. */
-    void await(Runnable lookup) {
-        waiting.add(lookup);
+    void addWaiting(Runnable lookup) {
+        waitingLookups.add(lookup);
     }
 
     void answerWaiting() {
-        List<Runnable> lookups = waiting;
-        waiting = new ArrayList<>();
+        List<Runnable> lookups = waitingLookups;
+        waitingLookups = new ArrayList<>();
         lookups.forEach(Runnable::run);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -62,17 +62,17 @@
         /** Waiting until the watch cache shows the outcome of the transaction. */
         SYNCING,
         /** Backing off after the state service refused a request or did not answer. */
-        PAUSED,
+        BACKING_OFF,
         /** The leader term has ended. */
         CLOSED
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Compactor.class);
-    private static final long IDLE_MS = 1_000;
-    private static final long FIRST_PAUSE_MS = 2_000;
-    private static final long LONGEST_PAUSE_MS = 60_000;
-    private static final int SCAN_PAGE = 100;
-    private static final long SCAN_PAUSE_MS = 300;
+    private static final long IDLE_INTERVAL_MS = 1_000;
+    private static final long INITIAL_BACKOFF_MS = 2_000;
+    private static final long MAX_BACKOFF_MS = 60_000;
+    private static final int SCAN_PAGE_KEYS = 100;
+    private static final long SCAN_INTERVAL_MS = 300;
     /** One delete of a job's key and one put of its segment. */
     private static final int MIN_OPERATIONS = 2;
 
@@ -84,7 +84,7 @@
     private final LongSupplier leaderVersion;
     private final int valueBytes;
     /** Limit on the puts and deletes of moves, per second. */
-    private final double moveRps;
+    private final double maxMoveOperationsPerS;
 
     private final CandidateSelector selector;
     private final KeyScan scan;
@@ -94,9 +94,9 @@
     private State state = State.IDLE;
     private int maxOperations;
     /** Earliest time of the next transaction, by the loop's clock, in milliseconds. */
-    private long nextAllowed;
+    private long nextTransactionAt;
 
-    private long pauseMs = FIRST_PAUSE_MS;
+    private long backoffMs = INITIAL_BACKOFF_MS;
 
     /**
      * @param leaderVersion version of the leader key, or 0 while this process may not write
@@ -113,7 +113,7 @@
         this.leaderVersion = leaderVersion;
         this.maxOperations = limits.txnOps();
         this.valueBytes = limits.valueBytes();
-        this.moveRps = share * limits.writeRps();
+        this.maxMoveOperationsPerS = share * limits.writeRps();
         this.selector = new CandidateSelector(dependencies.table, watchCache, loop, owner);
         this.scan = new KeyScan(dependencies.table, loop, selector);
         this.userWrites = new UserWriteRate(loop);
@@ -123,23 +123,23 @@
     /** Starts moving jobs, unless the settings or the state service's limits rule that out. */
     public void start() {
         userWrites.start();
-        if (moveRps > 0 && maxOperations >= MIN_OPERATIONS) {
-            loop.after(IDLE_MS, this::step);
+        if (maxMoveOperationsPerS > 0 && maxOperations >= MIN_OPERATIONS) {
+            loop.after(IDLE_INTERVAL_MS, this::step);
         }
     }
 
     /** Stops the compactor for good. A transaction that was sent already may still be applied. */
     public void close() {
-        to(State.CLOSED);
+        transitionTo(State.CLOSED);
     }
 
     /** Counts a successful write for a user; moves yield to these. */
     public void noted() {
-        userWrites.increment();
+        userWrites.recordWrite();
     }
 
     /** Changes the state; the only method that does. Returns false if the compactor is closed, which is final. */
-    private boolean to(State next) {
+    private boolean transitionTo(State next) {
         if (state == State.CLOSED) {
             return false;
         }
@@ -147,20 +147,20 @@
         return true;
     }
 
-    private void idle(long forMs) {
-        if (to(State.IDLE)) {
-            loop.after(Math.max(forMs, nextAllowed - loop.now()), this::step);
+    private void idleFor(long delayMs) {
+        if (transitionTo(State.IDLE)) {
+            loop.after(Math.max(delayMs, nextTransactionAt - loop.now()), this::step);
         }
     }
 
-    private void pause() {
-        if (to(State.PAUSED)) {
-            loop.after(pauseMs, () -> {
-                if (state == State.PAUSED) {
-                    idle(0);
+    private void backOff() {
+        if (transitionTo(State.BACKING_OFF)) {
+            loop.after(backoffMs, () -> {
+                if (state == State.BACKING_OFF) {
+                    idleFor(0);
                 }
             });
-            pauseMs = Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
+            backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         }
     }
 
@@ -168,132 +168,132 @@
         if (state == State.CLOSED) {
             return;
         }
-        if (!conditions.hold()) {
-            idle(IDLE_MS);
+        if (!conditions.areMet()) {
+            idleFor(IDLE_INTERVAL_MS);
             return;
         }
-        MoveBatch batch = selector.batch(maxOperations);
+        MoveBatch batch = selector.nextBatch(maxOperations);
         if (!batch.isEmpty()) {
             readSegments(batch);
-        } else if (scan.due()) {
+        } else if (scan.isDue()) {
             scanPage();
         } else {
-            idle(IDLE_MS);
+            idleFor(IDLE_INTERVAL_MS);
         }
     }
 
     /** Reads the batch's segments one by one, then commits the batch. Jobs of undecodable segments are left out. */
     private void readSegments(MoveBatch batch) {
-        to(State.READING);
-        Optional<String> unread = batch.unread();
-        if (unread.isEmpty()) {
-            write(batch);
+        transitionTo(State.READING);
+        Optional<String> unreadSegment = batch.nextUnreadSegment();
+        if (unreadSegment.isEmpty()) {
+            commitBatch(batch);
             return;
         }
-        String segment = unread.get();
-        history.find(batch.anyJob(segment), found -> {
+        String segment = unreadSegment.get();
+        history.find(batch.anyJobId(segment), found -> {
             if (state == State.READING) {
-                segmentRead(batch, segment, found);
+                handleSegment(batch, segment, found);
             }
         });
     }
 
-    private void segmentRead(MoveBatch batch, String segment, History.Found found) {
+    private void handleSegment(MoveBatch batch, String segment, History.Found found) {
         switch (found.outcome()) {
             case READ -> {
-                batch.read(segment, found);
+                batch.setContents(segment, found);
                 readSegments(batch);
             }
             case UNREADABLE -> {
-                selector.unreadable(segment, batch.remove(segment));
+                selector.excludeUnreadable(segment, batch.remove(segment));
                 readSegments(batch);
             }
-            case UNAVAILABLE -> pause();
+            case UNAVAILABLE -> backOff();
         }
     }
 
-    private void write(MoveBatch batch) {
-        long leader = leaderVersion.getAsLong();
-        MoveBatch.Transaction transaction = batch.transaction(leader);
-        selector.contradicted(transaction.contradicted());
+    private void commitBatch(MoveBatch batch) {
+        long leaderKeyVersion = leaderVersion.getAsLong();
+        MoveBatch.Transaction transaction = batch.transaction(leaderKeyVersion);
+        selector.excludeConflicting(transaction.conflicting());
         if (excludeFullSegments(transaction.writes())) {
-            idle(0);
+            idleFor(0);
             return;
         }
-        if (leader == 0 || transaction.writes().isEmpty()) {
-            idle(IDLE_MS);
+        if (leaderKeyVersion == 0 || transaction.writes().isEmpty()) {
+            idleFor(IDLE_INTERVAL_MS);
             return;
         }
-        to(State.WRITING);
-        nextAllowed = loop.now() + Math.round(1000 * transaction.writes().size() / moveRps);
+        transitionTo(State.WRITING);
+        nextTransactionAt = loop.now() + Math.round(1000 * transaction.writes().size() / maxMoveOperationsPerS);
         client.commit(transaction.guards(), transaction.writes(), answer -> {
             if (state == State.WRITING) {
-                committed(transaction.moved(), answer);
+                handleCommit(transaction.moved(), answer);
             }
         });
     }
 
     /** Excludes segments that would exceed the value size limit from later batches; returns whether there were any. */
     private boolean excludeFullSegments(List<Write> writes) {
-        boolean any = false;
+        boolean hasFullSegment = false;
         for (Write write : writes) {
             if (write.value() != null && Json.bytes(write.value()).length > valueBytes) {
                 LOG.warn("segment full, its other jobs keep their keys: segment={} bytes={}", write.key(), valueBytes);
-                selector.full(write.key());
-                any = true;
+                selector.excludeFull(write.key());
+                hasFullSegment = true;
             }
         }
-        return any;
+        return hasFullSegment;
     }
 
-    private void committed(List<Candidate> moved, Answer answer) {
+    private void handleCommit(List<MoveCandidate> moved, Answer answer) {
         switch (answer.status()) {
             case OK -> {
-                pauseMs = FIRST_PAUSE_MS;
+                backoffMs = INITIAL_BACKOFF_MS;
                 metrics.moved.increment(moved.size());
                 LOG.debug("jobs moved into the history: count={}", moved.size());
-                sync(moved);
+                awaitOutcome(moved);
             }
             // Refused as a whole, because of the rate limit or an outage: backs off so that other writers go first.
-            case REFUSED -> pause();
+            case REFUSED -> backOff();
             case INVALID -> {
                 // The state service accepts less than it announces, so the same transaction would always be refused.
                 LOG.warn("transaction too large for the state service: operations={}", maxOperations);
                 maxOperations = Math.max(MIN_OPERATIONS, maxOperations / 2);
-                pause();
+                backOff();
             }
             // A condition failed or the outcome is unknown: the next batch is chosen from the then current state.
-            default -> sync(moved);
+            default -> awaitOutcome(moved);
         }
     }
 
     /** Waits until the watch cache shows the outcome of the transaction. */
-    private void sync(List<Candidate> moved) {
-        to(State.SYNCING);
+    private void awaitOutcome(List<MoveCandidate> moved) {
+        transitionTo(State.SYNCING);
         watchCache.barrier(
                 () -> {
                     if (state == State.SYNCING) {
                         selector.forget(moved);
-                        idle(0);
+                        idleFor(0);
                     }
                 },
                 () -> {
                     if (state == State.SYNCING) {
-                        pause();
+                        backOff();
                     }
                 });
     }
 
     private void scanPage() {
-        to(State.SCANNING);
-        client.list(Keys.JOBS, scan.nextPage(), SCAN_PAGE, answer -> {
+        transitionTo(State.SCANNING);
+        client.list(Keys.JOBS, scan.nextPageStart(), SCAN_PAGE_KEYS, answer -> {
             if (state != State.SCANNING) {
                 return;
             }
-            if (scan.read(answer)) {
-                idle(SCAN_PAUSE_MS);
+            if (scan.readPage(answer)) {
+                idleFor(SCAN_INTERVAL_MS);
             } else {
-                pause();
+                backOff();
             }
         });
     }
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -43,16 +43,16 @@
     public record Found(Outcome outcome, TerminatedJob ended, Segment segment, long version) {}
 
     /** State of the first read, which loads one page of segments. */
-    private enum FirstRead {
+    private enum FirstReadState {
         NOT_STARTED,
         RUNNING,
         DONE
     }
 
     /** Maximum number of cached segments, which take about 600 bytes each in most cases. */
-    private static final int CAPACITY = 1_024;
+    private static final int MAX_CACHED_SEGMENTS = 1_024;
     /** Number of segments in the first read, which loads a short history completely. */
-    private static final int FIRST_PAGE = 32;
+    private static final int FIRST_PAGE_SEGMENTS = 32;
 
     static final Found UNAVAILABLE = new Found(Outcome.UNAVAILABLE, null, null, 0);
     /** Result of a lookup whose segment does not exist. */
@@ -65,10 +65,10 @@
     /** Cached segments by key, the least recently used first. */
     private final Map<String, CachedSegment> segments = new LinkedHashMap<>(16, 0.75f, true);
 
-    private FirstRead firstRead = FirstRead.NOT_STARTED;
-    private List<Runnable> afterFirstRead = new ArrayList<>();
+    private FirstReadState firstReadState = FirstReadState.NOT_STARTED;
+    private List<Runnable> lookupsAwaitingFirstRead = new ArrayList<>();
     /** Whether the cache contains every existing segment, so that a segment missing from the cache does not exist. */
-    private boolean complete;
+    private boolean isComplete;
     /** Number of times the cache was cleared. */
     private long resets;
     /** Number of segments evicted because the cache was full. */
@@ -76,7 +76,7 @@
 
     /** Creates an empty cache, which is filled by lookups. */
     public History(StateClient client, WatchCache watchCache, Metrics metrics) {
-        this(client, watchCache, metrics, CAPACITY);
+        this(client, watchCache, metrics, MAX_CACHED_SEGMENTS);
     }
 
     /** @param capacity maximum number of cached segments */
@@ -97,7 +97,7 @@
         if (segment == null) {
             segment = add(key);
         }
-        segment.read(value, version);
+        segment.update(value, version);
         segment.answerWaiting();
     }
 
@@ -105,67 +105,67 @@
     public void reset() {
         resets++;
         segments.clear();
-        complete = false;
-        firstRead = FirstRead.NOT_STARTED;
+        isComplete = false;
+        firstReadState = FirstReadState.NOT_STARTED;
     }
 
     /** Returns how the job ended if the cache contains it, otherwise null; null does not prove its absence. */
     public TerminatedJob known(String id) {
         SegmentAddress address = SegmentAddress.of(id);
         CachedSegment segment = segments.get(address.key());
-        return segment == null ? null : segment.known(address.offset());
+        return segment == null ? null : segment.terminatedJob(address.offset());
     }
 
     /**
      * Looks a job up, in the cache or by a request.
      *
-     * @param done receives the result, possibly before this method returns; an absence holds as of the watch cache's revision or
-     *             a later one
+     * @param callback receives the result, possibly before this method returns; an absence holds as of the watch cache's revision
+     *                 or a later one
      */
-    public void find(String id, Consumer<Found> done) {
+    public void find(String id, Consumer<Found> callback) {
         SegmentAddress address = SegmentAddress.of(id);
         CachedSegment segment = segments.get(address.key());
-        if (segment != null && !segment.loading()) {
-            done.accept(segment.found(address.offset()));
+        if (segment != null && !segment.isLoading()) {
+            callback.accept(segment.lookupResult(address.offset()));
         } else if (segment != null) {
-            segment.await(() -> done.accept(segment.found(address.offset())));
-        } else if (complete) {
-            done.accept(ABSENT);
-        } else if (firstRead == FirstRead.DONE) {
-            load(address, done);
+            segment.addWaiting(() -> callback.accept(segment.lookupResult(address.offset())));
+        } else if (isComplete) {
+            callback.accept(ABSENT);
+        } else if (firstReadState == FirstReadState.DONE) {
+            readSegment(address, callback);
         } else {
-            findAfterFirstRead(id, done);
+            findAfterFirstRead(id, callback);
         }
     }
 
-    private void findAfterFirstRead(String id, Consumer<Found> done) {
-        afterFirstRead.add(() -> {
-            if (firstRead == FirstRead.DONE) {
-                find(id, done);
+    private void findAfterFirstRead(String id, Consumer<Found> callback) {
+        lookupsAwaitingFirstRead.add(() -> {
+            if (firstReadState == FirstReadState.DONE) {
+                find(id, callback);
             } else {
-                done.accept(UNAVAILABLE);
+                callback.accept(UNAVAILABLE);
             }
         });
-        if (firstRead == FirstRead.NOT_STARTED) {
-            readFirst();
+        if (firstReadState == FirstReadState.NOT_STARTED) {
+            readFirstPage();
         }
     }
 
-    private void load(SegmentAddress address, Consumer<Found> done) {
+    private void readSegment(SegmentAddress address, Consumer<Found> callback) {
         // Added to the cache before the request, so that changes arriving through the watch meanwhile are not missed.
         CachedSegment segment = add(address.key());
-        segment.await(() -> done.accept(segment.found(address.offset())));
-        boolean following = watchCache.following();
+        segment.addWaiting(() -> callback.accept(segment.lookupResult(address.offset())));
+        boolean wasFollowing = watchCache.following();
         long resetsBefore = resets;
         metrics.historyReads.increment();
         client.get(address.key(), answer -> {
             switch (answer.status()) {
-                case OK -> segment.read(answer.value(), answer.version());
-                case NOT_FOUND -> segment.read(null, 0);
+                case OK -> segment.update(answer.value(), answer.version());
+                case NOT_FOUND -> segment.update(null, 0);
                 default -> {}
             }
-            boolean cached = segments.get(address.key()) == segment;
-            if (cached && (!following || resetsBefore != resets || segment.loading())) {
+            boolean isCached = segments.get(address.key()) == segment;
+            if (isCached && (!wasFollowing || resetsBefore != resets || segment.isLoading())) {
                 segments.remove(address.key());
             }
             segment.answerWaiting();
@@ -173,34 +173,34 @@
     }
 
     /** Reads one page of segments. If that is the whole history, later lookups of unknown ids need no request. */
-    private void readFirst() {
-        firstRead = FirstRead.RUNNING;
-        boolean following = watchCache.following();
+    private void readFirstPage() {
+        firstReadState = FirstReadState.RUNNING;
+        boolean wasFollowing = watchCache.following();
         long resetsBefore = resets;
         int evictionsBefore = evictions;
         metrics.historyReads.increment();
-        client.list(SegmentAddress.ROOT, null, FIRST_PAGE, answer -> {
+        client.list(SegmentAddress.ROOT, null, FIRST_PAGE_SEGMENTS, answer -> {
             if (resetsBefore == resets) {
-                firstRead(answer, following, evictionsBefore);
+                addFirstPage(answer, wasFollowing, evictionsBefore);
             }
-            List<Runnable> waiting = afterFirstRead;
-            afterFirstRead = new ArrayList<>();
+            List<Runnable> waiting = lookupsAwaitingFirstRead;
+            lookupsAwaitingFirstRead = new ArrayList<>();
             waiting.forEach(Runnable::run);
         });
     }
 
-    private void firstRead(Answer answer, boolean following, int evictionsBefore) {
+    private void addFirstPage(Answer answer, boolean wasFollowing, int evictionsBefore) {
         Optional<StateListing> page = answer.ok() ? answer.listing() : Optional.empty();
         if (page.isEmpty()) {
-            firstRead = FirstRead.NOT_STARTED;
+            firstReadState = FirstReadState.NOT_STARTED;
             return;
         }
-        firstRead = FirstRead.DONE;
-        if (following) {
+        firstReadState = FirstReadState.DONE;
+        if (wasFollowing) {
             for (StateEntry entry : page.get().entries()) {
                 changed(entry.key(), entry.value(), entry.version());
             }
-            complete = !page.get().more() && evictions == evictionsBefore;
+            isComplete = !page.get().more() && evictions == evictionsBefore;
         }
     }
 
@@ -208,11 +208,11 @@
         CachedSegment segment = new CachedSegment(key);
         segments.put(key, segment);
         if (segments.size() > capacity) {
-            Iterator<CachedSegment> eldest = segments.values().iterator();
-            eldest.next();
-            eldest.remove();
+            Iterator<CachedSegment> leastRecentlyUsed = segments.values().iterator();
+            leastRecentlyUsed.next();
+            leastRecentlyUsed.remove();
             evictions++;
-            complete = false;
+            isComplete = false;
         }
         return segment;
     }
--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -15,16 +15,16 @@
  */
 final class KeyScan {
     /** Delay until the next scan once no scanned job is left to move. */
-    private static final long REPEAT_MS = 60_000;
+    private static final long RESCAN_DELAY_MS = 60_000;
 
     private final JobTable table;
     private final EventLoop loop;
     private final CandidateSelector selector;
     /** The last key read in this scan; null before the first page. */
-    private String position;
+    private String lastKey;
 
-    private long notBefore;
-    private boolean foundAny;
+    private long nextScanAt;
+    private boolean hasFoundJobs;
     private int evictionsAtStart;
 
     KeyScan(JobTable table, EventLoop loop, CandidateSelector selector) {
@@ -34,48 +34,48 @@
     }
 
     /** Returns whether a page may be read now and may contain jobs to move. */
-    boolean due() {
-        return table.terminated().partial() && selector.hasRoom() && loop.now() >= notBefore;
+    boolean isDue() {
+        return table.terminated().partial() && selector.hasRoom() && loop.now() >= nextScanAt;
     }
 
     /** Returns the key after which the next page begins, or null for the first page of a scan. */
-    String nextPage() {
-        if (position == null) {
-            foundAny = false;
+    String nextPageStart() {
+        if (lastKey == null) {
+            hasFoundJobs = false;
             evictionsAtStart = table.terminated().evictions();
         }
-        return position;
+        return lastKey;
     }
 
     /** Processes a page; returns false if the answer contains none. */
-    boolean read(Answer answer) {
+    boolean readPage(Answer answer) {
         Optional<StateListing> page = answer.ok() ? answer.listing() : Optional.empty();
         if (page.isEmpty()) {
             return false;
         }
         for (StateEntry entry : page.get().entries()) {
-            position = entry.key();
-            found(position.substring(Keys.JOBS.length()), entry);
+            lastKey = entry.key();
+            addIfTerminated(lastKey.substring(Keys.JOBS.length()), entry);
         }
         if (!page.get().more()) {
-            finished();
+            finishScan();
         }
         return true;
     }
 
-    private void found(String id, StateEntry entry) {
+    private void addIfTerminated(String id, StateEntry entry) {
         StoredJobCodec.termination(entry.value()).ifPresent(end -> {
             if (table.get(id) == null) {
-                foundAny = true;
-                selector.found(new Candidate(id, entry.version(), end));
+                hasFoundJobs = true;
+                selector.addScanned(new MoveCandidate(id, entry.version(), end));
             }
         });
     }
 
-    private void finished() {
-        position = null;
-        notBefore = selector.scannedAllMoved() ? loop.now() + REPEAT_MS : 0;
-        if (!foundAny && evictionsAtStart == table.terminated().evictions()) {
+    private void finishScan() {
+        lastKey = null;
+        nextScanAt = selector.hasMovedAllScanned() ? loop.now() + RESCAN_DELAY_MS : 0;
+        if (!hasFoundJobs && evictionsAtStart == table.terminated().evictions()) {
             table.terminated().complete();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
@@ -21,47 +21,50 @@
     /**
      * The compare-and-set transaction that moves a batch.
      *
-     * @param moved        the jobs that the transaction moves
-     * @param contradicted jobs of the batch that are not moved, because their segment already records a different end
+     * @param moved       the jobs that the transaction moves
+     * @param conflicting jobs of the batch that are not moved, because their segment already records a different end
      */
-    record Transaction(List<Guard> guards, List<Write> writes, List<Candidate> moved, List<Candidate> contradicted) {}
+    record Transaction(
+            List<Guard> guards, List<Write> writes, List<MoveCandidate> moved, List<MoveCandidate> conflicting) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(MoveBatch.class);
-    private final Map<String, List<Candidate>> bySegment = new LinkedHashMap<>();
-    private final Map<String, History.Found> segments = new HashMap<>();
-    private int room;
+    private final Map<String, List<MoveCandidate>> candidatesBySegment = new LinkedHashMap<>();
+    private final Map<String, History.Found> contentsBySegment = new HashMap<>();
+    private int remainingOperations;
 
     /** @param maxOperations maximum number of puts and deletes in a transaction */
     MoveBatch(int maxOperations) {
-        room = maxOperations;
+        remainingOperations = maxOperations;
     }
 
     boolean isEmpty() {
-        return bySegment.isEmpty();
+        return candidatesBySegment.isEmpty();
     }
 
-    boolean full() {
-        return room <= 0;
+    boolean isFull() {
+        return remainingOperations <= 0;
     }
 
     boolean contains(String segment) {
-        return bySegment.containsKey(segment);
+        return candidatesBySegment.containsKey(segment);
     }
 
     /** Adds the job if there is room for the delete of its key and, for a new segment, the put of the segment. */
-    void add(Candidate candidate) {
+    void add(MoveCandidate candidate) {
         String segment = candidate.address().key();
         int operations = contains(segment) ? 1 : 2;
-        if (operations <= room) {
-            bySegment.computeIfAbsent(segment, key -> new ArrayList<>()).add(candidate);
-            room -= operations;
+        if (operations <= remainingOperations) {
+            candidatesBySegment
+                    .computeIfAbsent(segment, key -> new ArrayList<>())
+                    .add(candidate);
+            remainingOperations -= operations;
         }
     }
 
     /** Returns the key of a segment that has not been read yet, or empty if all have been read. */
-    Optional<String> unread() {
-        for (String segment : bySegment.keySet()) {
-            if (!segments.containsKey(segment)) {
+    Optional<String> nextUnreadSegment() {
+        for (String segment : candidatesBySegment.keySet()) {
+            if (!contentsBySegment.containsKey(segment)) {
                 return Optional.of(segment);
             }
         }
@@ -69,17 +72,17 @@
     }
 
     /** Returns the id of any job of the segment. */
-    String anyJob(String segment) {
-        return bySegment.get(segment).get(0).id();
+    String anyJobId(String segment) {
+        return candidatesBySegment.get(segment).get(0).id();
     }
 
-    void read(String segment, History.Found found) {
-        segments.put(segment, found);
+    void setContents(String segment, History.Found found) {
+        contentsBySegment.put(segment, found);
     }
 
     /** Removes the jobs of a segment from the batch and returns them. */
-    List<Candidate> remove(String segment) {
-        return bySegment.remove(segment);
+    List<MoveCandidate> remove(String segment) {
+        return candidatesBySegment.remove(segment);
     }
 
     /**
@@ -91,25 +94,25 @@
         Transaction transaction =
                 new Transaction(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         transaction.guards.add(new Guard(Keys.LEADER, leaderVersion));
-        bySegment.forEach((key, candidates) -> append(transaction, key, candidates));
+        candidatesBySegment.forEach((key, candidates) -> appendSegment(transaction, key, candidates));
         return transaction;
     }
 
-    private void append(Transaction transaction, String key, List<Candidate> candidates) {
-        History.Found before = segments.get(key);
+    private void appendSegment(Transaction transaction, String key, List<MoveCandidate> candidates) {
+        History.Found contents = contentsBySegment.get(key);
         Map<Integer, TerminatedJob> ends = new LinkedHashMap<>();
-        for (Candidate candidate : candidates) {
+        for (MoveCandidate candidate : candidates) {
             int offset = candidate.address().offset();
-            TerminatedJob present = before.segment().get(offset);
-            if (present != null && !present.equals(candidate.end())) {
+            TerminatedJob recordedEnd = contents.segment().get(offset);
+            if (recordedEnd != null && !recordedEnd.equals(candidate.end())) {
                 // It is unknown which of the two ends users have seen, so neither record may be dropped.
                 LOG.error(
                         "job has two ends, both stay: job={} byKey={} bySegment={} segment={}",
                         candidate.id(),
                         candidate.end(),
-                        present,
+                        recordedEnd,
                         key);
-                transaction.contradicted.add(candidate);
+                transaction.conflicting.add(candidate);
                 continue;
             }
             ends.put(offset, candidate.end());
@@ -118,8 +121,8 @@
             transaction.writes.add(new Write(Keys.JOBS + candidate.id(), null, 0));
         }
         if (!ends.isEmpty()) {
-            transaction.guards.add(new Guard(key, before.version()));
-            transaction.writes.add(new Write(key, before.segment().with(ends).json(), 0));
+            transaction.guards.add(new Guard(key, contents.version()));
+            transaction.writes.add(new Write(key, contents.segment().with(ends).json(), 0));
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/Candidate.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveCandidate.java
@@ -8,7 +8,7 @@
  * @param version version of the job's own key
  * @param end     how the job ended
  */
-record Candidate(String id, long version, TerminatedJob end) {
+record MoveCandidate(String id, long version, TerminatedJob end) {
     SegmentAddress address() {
         return SegmentAddress.of(id);
     }
--- a/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
@@ -9,13 +9,13 @@
 final class MoveConditions {
     private static final Logger LOG = LoggerFactory.getLogger(MoveConditions.class);
     /** Nothing is moved while users' writes take more than this share of the write rate limit. */
-    private static final double CROWDED = 0.5;
+    private static final double USER_WRITE_SHARE_LIMIT = 0.5;
 
     private final Compactor.Owner owner;
     private final UserWriteRate userWrites;
     private final Capabilities capabilities;
     private final double writeRps;
-    private boolean waitsForUpgrade;
+    private boolean isWaitingForUpgrade;
 
     /** @param writeRps write rate limit of the state service, per second */
     MoveConditions(Compactor.Owner owner, UserWriteRate userWrites, Capabilities capabilities, double writeRps) {
@@ -25,19 +25,22 @@
         this.writeRps = writeRps;
     }
 
-    boolean hold() {
-        return owner.mayAct() && !owner.busy() && userWrites.perSecond() <= CROWDED * writeRps && allReadHistory();
+    boolean areMet() {
+        return owner.mayAct()
+                && !owner.busy()
+                && userWrites.perSecond() <= USER_WRITE_SHARE_LIMIT * writeRps
+                && allControllersReadHistory();
     }
 
     /** Returns whether every controller runs a version that looks terminated jobs up in the history. */
-    private boolean allReadHistory() {
-        List<String> unaware = capabilities.unaware(Capabilities.Feature.HISTORY);
-        if (unaware.isEmpty() == waitsForUpgrade) {
-            waitsForUpgrade = !waitsForUpgrade;
-            if (waitsForUpgrade) {
-                LOG.info("history waits for upgrade: controllers={}", unaware);
+    private boolean allControllersReadHistory() {
+        List<String> outdatedControllers = capabilities.unaware(Capabilities.Feature.HISTORY);
+        if (outdatedControllers.isEmpty() == isWaitingForUpgrade) {
+            isWaitingForUpgrade = !isWaitingForUpgrade;
+            if (isWaitingForUpgrade) {
+                LOG.info("history waits for upgrade: controllers={}", outdatedControllers);
             }
         }
-        return unaware.isEmpty();
+        return outdatedControllers.isEmpty();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -36,20 +36,20 @@
     private static final int FORMAT = 1;
     private static final int DONE = 1;
     private static final int CANCELLED = 2;
-    private static final String FIELD = "ended";
+    private static final String ENDED_FIELD = "ended";
     private final byte[] states;
     /** Task counts of the done jobs in the order of their offsets, as variable-length integers. */
-    private final byte[] tasks;
+    private final byte[] encodedTaskCounts;
 
-    private Segment(byte[] states, byte[] tasks) {
+    private Segment(byte[] states, byte[] encodedTaskCounts) {
         this.states = states;
-        this.tasks = tasks;
+        this.encodedTaskCounts = encodedTaskCounts;
     }
 
     /** Returns how the job at this offset ended, or null if this segment does not contain it. */
     public TerminatedJob get(int offset) {
         return switch (state(offset)) {
-            case DONE -> new TerminatedJob(Job.Status.DONE, counts()[offset]);
+            case DONE -> new TerminatedJob(Job.Status.DONE, taskCounts()[offset]);
             case CANCELLED -> new TerminatedJob(Job.Status.CANCELLED, 0);
             default -> null;
         };
@@ -58,43 +58,44 @@
     /**
      * Returns a copy of this segment with more jobs.
      *
-     * @param more ends of the added jobs by offset
+     * @param addedEnds ends of the added jobs by offset
      * @throws IllegalStateException if this segment already contains one of the jobs with a different end
      */
-    public Segment with(Map<Integer, TerminatedJob> more) {
-        byte[] next = states.clone();
-        int[] counts = counts();
-        more.forEach((offset, ended) -> {
-            TerminatedJob before = get(offset);
-            if (before != null && !before.equals(ended)) {
-                throw new IllegalStateException("offset " + offset + " is " + before + " and would become " + ended);
+    public Segment with(Map<Integer, TerminatedJob> addedEnds) {
+        byte[] newStates = states.clone();
+        int[] taskCounts = taskCounts();
+        addedEnds.forEach((offset, ended) -> {
+            TerminatedJob recordedEnd = get(offset);
+            if (recordedEnd != null && !recordedEnd.equals(ended)) {
+                throw new IllegalStateException(
+                        "offset " + offset + " is " + recordedEnd + " and would become " + ended);
             }
-            next[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
-            counts[offset] = ended.tasks();
+            newStates[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
+            taskCounts[offset] = ended.tasks();
         });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int i = 0; i < JOBS; i++) {
-            if ((next[i / 4] >> (i % 4 * 2) & 3) == DONE) {
-                writeVarint(out, counts[i]);
+        for (int offset = 0; offset < JOBS; offset++) {
+            if ((newStates[offset / 4] >> (offset % 4 * 2) & 3) == DONE) {
+                writeVarint(out, taskCounts[offset]);
             }
         }
-        return new Segment(next, out.toByteArray());
+        return new Segment(newStates, out.toByteArray());
     }
 
     private static void writeVarint(ByteArrayOutputStream out, int number) {
-        int left = number;
-        while (left > 0x7f) {
-            out.write((left & 0x7f) | 0x80);
-            left >>>= 7;
+        int remainingBits = number;
+        while (remainingBits > 0x7f) {
+            out.write((remainingBits & 0x7f) | 0x80);
+            remainingBits >>>= 7;
         }
-        out.write(left);
+        out.write(remainingBits);
     }
 
     /** Returns the number of jobs in this segment. */
     public int size() {
         int size = 0;
-        for (int i = 0; i < JOBS; i++) {
-            size += state(i) == 0 ? 0 : 1;
+        for (int offset = 0; offset < JOBS; offset++) {
+            size += state(offset) == 0 ? 0 : 1;
         }
         return size;
     }
@@ -103,21 +104,21 @@
         return states[offset / 4] >> (offset % 4 * 2) & 3;
     }
 
-    private int[] counts() {
-        int[] counts = new int[JOBS];
-        int at = 0;
-        for (int i = 0; i < JOBS; i++) {
-            if (state(i) == DONE) {
+    private int[] taskCounts() {
+        int[] taskCounts = new int[JOBS];
+        int position = 0;
+        for (int offset = 0; offset < JOBS; offset++) {
+            if (state(offset) == DONE) {
                 int shift = 0;
-                int b;
+                int encodedByte;
                 do {
-                    b = tasks[at++];
-                    counts[i] |= (b & 0x7f) << shift;
+                    encodedByte = encodedTaskCounts[position++];
+                    taskCounts[offset] |= (encodedByte & 0x7f) << shift;
                     shift += 7;
-                } while (b < 0);
+                } while (encodedByte < 0);
             }
         }
-        return counts;
+        return taskCounts;
     }
 
     /** Returns the stored form. */
@@ -126,12 +127,12 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORMAT);
             out.write(states);
-            out.write(tasks);
+            out.write(encodedTaskCounts);
             out.writeInt(crc(bytes.toByteArray(), bytes.size()));
         } catch (IOException e) {
             throw new UncheckedIOException("writing to a byte array cannot fail", e);
         }
-        return Json.object().put(FIELD, Base64.getEncoder().encodeToString(bytes.toByteArray()));
+        return Json.object().put(ENDED_FIELD, Base64.getEncoder().encodeToString(bytes.toByteArray()));
     }
 
     /**
@@ -140,57 +141,58 @@
      * @throws InvalidMessageException if any part of the value is invalid
      */
     public static Segment read(JsonNode value) throws InvalidMessageException {
-        String text = value == null ? null : Json.text(value, FIELD);
+        String text = value == null ? null : Json.text(value, ENDED_FIELD);
         if (text == null) {
-            throw new InvalidMessageException("there is no field " + FIELD);
+            throw new InvalidMessageException("there is no field " + ENDED_FIELD);
         }
-        byte[] all;
+        byte[] bytes;
         try {
-            all = Base64.getDecoder().decode(text);
+            bytes = Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
             throw new InvalidMessageException("it is not base64");
         }
-        int body = all.length - Integer.BYTES;
-        if (body < 1 + JOBS / 4) {
-            throw new InvalidMessageException("it has only " + all.length + " bytes");
+        int bodyLength = bytes.length - Integer.BYTES;
+        if (bodyLength < 1 + JOBS / 4) {
+            throw new InvalidMessageException("it has only " + bytes.length + " bytes");
         }
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(all))) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int format = in.readUnsignedByte();
             byte[] states = in.readNBytes(JOBS / 4);
-            byte[] tasks = in.readNBytes(body - 1 - states.length);
-            if (in.readInt() != crc(all, body)) {
+            byte[] encodedTaskCounts = in.readNBytes(bodyLength - 1 - states.length);
+            if (in.readInt() != crc(bytes, bodyLength)) {
                 throw new InvalidMessageException("its checksum is wrong");
             }
             if (format != FORMAT) {
                 throw new InvalidMessageException("its form is " + format + ", this version reads " + FORMAT);
             }
-            Segment segment = new Segment(states, tasks);
-            segment.check();
+            Segment segment = new Segment(states, encodedTaskCounts);
+            segment.validate();
             return segment;
         } catch (IOException e) {
             throw new UncheckedIOException("reading from a byte array cannot fail", e);
         }
     }
 
-    private void check() throws InvalidMessageException {
+    private void validate() throws InvalidMessageException {
         int done = 0;
-        for (int i = 0; i < JOBS; i++) {
-            if (state(i) > CANCELLED) {
-                throw new InvalidMessageException("offset " + i + " has no known state");
+        for (int offset = 0; offset < JOBS; offset++) {
+            if (state(offset) > CANCELLED) {
+                throw new InvalidMessageException("offset " + offset + " has no known state");
             }
-            done += state(i) == DONE ? 1 : 0;
+            done += state(offset) == DONE ? 1 : 0;
         }
-        int ends = 0;
-        int length = 0;
-        for (byte b : tasks) {
-            length = b < 0 ? length + 1 : 0;
-            ends += b < 0 ? 0 : 1;
-            if (length > 4) {
+        int taskCountsFound = 0;
+        int continuationBytes = 0;
+        for (byte encodedByte : encodedTaskCounts) {
+            continuationBytes = encodedByte < 0 ? continuationBytes + 1 : 0;
+            taskCountsFound += encodedByte < 0 ? 0 : 1;
+            if (continuationBytes > 4) {
                 throw new InvalidMessageException("a number of tasks is too long");
             }
         }
-        if (ends != done || length != 0) {
-            throw new InvalidMessageException("it has " + done + " done jobs and " + ends + " numbers of tasks");
+        if (taskCountsFound != done || continuationBytes != 0) {
+            throw new InvalidMessageException(
+                    "it has " + done + " done jobs and " + taskCountsFound + " numbers of tasks");
         }
     }
 
@@ -204,11 +206,11 @@
     public boolean equals(Object other) {
         return other instanceof Segment segment
                 && Arrays.equals(states, segment.states)
-                && Arrays.equals(tasks, segment.tasks);
+                && Arrays.equals(encodedTaskCounts, segment.encodedTaskCounts);
     }
 
     @Override
     public int hashCode() {
-        return 31 * Arrays.hashCode(states) + Arrays.hashCode(tasks);
+        return 31 * Arrays.hashCode(states) + Arrays.hashCode(encodedTaskCounts);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/UserWriteRate.java
+++ b/controller/src/main/java/org/landingridge/controller/history/UserWriteRate.java
@@ -4,10 +4,10 @@
 
 /** The rate of users' writes, as an exponentially decaying average. */
 final class UserWriteRate {
-    private static final double WINDOW_S = 2;
+    private static final double DECAY_TIME_S = 2;
 
     private final EventLoop loop;
-    private double count;
+    private double decayedCount;
     private long updatedAt;
 
     UserWriteRate(EventLoop loop) {
@@ -19,20 +19,20 @@
         updatedAt = loop.now();
     }
 
-    void increment() {
+    void recordWrite() {
         decay();
-        count++;
+        decayedCount++;
     }
 
     /** Returns the rate in writes per second. */
     double perSecond() {
         decay();
-        return count / WINDOW_S;
+        return decayedCount / DECAY_TIME_S;
     }
 
     private void decay() {
         long now = loop.now();
-        count *= Math.exp(-(now - updatedAt) / 1000.0 / WINDOW_S);
+        decayedCount *= Math.exp(-(now - updatedAt) / 1000.0 / DECAY_TIME_S);
         updatedAt = now;
     }
 }
