--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -62,7 +62,7 @@
         } catch (InvalidMessageException e) {
             // Neither treated as empty nor overwritten: requests for its jobs get HTTP 503 until an operator repairs
             // it.
-            LOG.error("segment unreadable: segment={} error={}", key, e.getMessage());
+            LOG.error("segment unreadable, segment={} error={}", key, e.getMessage());
             transitionTo(State.UNREADABLE, null, newVersion);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -238,7 +238,7 @@
         boolean hasFullSegment = false;
         for (Write write : writes) {
             if (write.value() != null && Json.bytes(write.value()).length > valueBytes) {
-                LOG.warn("segment full, its other jobs keep their keys: segment={} bytes={}", write.key(), valueBytes);
+                LOG.warn("segment full, segment={} maxBytes={}", write.key(), valueBytes);
                 selector.excludeFull(write.key());
                 hasFullSegment = true;
             }
@@ -251,14 +251,14 @@
             case OK -> {
                 backoffMs = INITIAL_BACKOFF_MS;
                 metrics.moved.increment(moved.size());
-                LOG.debug("jobs moved into the history: count={}", moved.size());
+                LOG.debug("jobs moved to history, count={}", moved.size());
                 awaitOutcome(moved);
             }
             // Refused as a whole, because of the rate limit or an outage: backs off so that other writers go first.
             case REFUSED -> backOff();
             case INVALID -> {
                 // The state service accepts less than it announces, so the same transaction would always be refused.
-                LOG.warn("transaction too large for the state service: operations={}", maxOperations);
+                LOG.warn("transaction too large for state service, operations={}", maxOperations);
                 maxOperations = Math.max(MIN_OPERATIONS, maxOperations / 2);
                 backOff();
             }
--- a/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
@@ -107,7 +107,7 @@
             if (recordedEnd != null && !recordedEnd.equals(candidate.end())) {
                 // It is unknown which of the two ends users have seen, so neither record may be dropped.
                 LOG.error(
-                        "job has two ends, both stay: job={} byKey={} bySegment={} segment={}",
+                        "job with conflicting ends not moved, job={} byKey={} bySegment={} segment={}",
                         candidate.id(),
                         candidate.end(),
                         recordedEnd,
--- a/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
@@ -38,7 +38,7 @@
         if (outdatedControllers.isEmpty() == isWaitingForUpgrade) {
             isWaitingForUpgrade = !isWaitingForUpgrade;
             if (isWaitingForUpgrade) {
-                LOG.info("history waits for upgrade: controllers={}", outdatedControllers);
+                LOG.info("compaction waits for upgrade, controllers={}", outdatedControllers);
             }
         }
         return outdatedControllers.isEmpty();
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -68,7 +68,7 @@
             TerminatedJob recordedEnd = get(offset);
             if (recordedEnd != null && !recordedEnd.equals(ended)) {
                 throw new IllegalStateException(
-                        "offset " + offset + " is " + recordedEnd + " and would become " + ended);
+                        "offset " + offset + ": recorded end " + recordedEnd + " cannot change to " + ended);
             }
             newStates[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
             taskCounts[offset] = ended.tasks();
@@ -143,27 +143,27 @@
     public static Segment read(JsonNode value) throws InvalidMessageException {
         String text = value == null ? null : Json.text(value, ENDED_FIELD);
         if (text == null) {
-            throw new InvalidMessageException("there is no field " + ENDED_FIELD);
+            throw new InvalidMessageException("field " + ENDED_FIELD + " is missing");
         }
         byte[] bytes;
         try {
             bytes = Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            throw new InvalidMessageException("it is not base64");
+            throw new InvalidMessageException("field " + ENDED_FIELD + " is not valid base64");
         }
         int bodyLength = bytes.length - Integer.BYTES;
         if (bodyLength < 1 + JOBS / 4) {
-            throw new InvalidMessageException("it has only " + bytes.length + " bytes");
+            throw new InvalidMessageException("segment has only " + bytes.length + " bytes");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int format = in.readUnsignedByte();
             byte[] states = in.readNBytes(JOBS / 4);
             byte[] encodedTaskCounts = in.readNBytes(bodyLength - 1 - states.length);
             if (in.readInt() != crc(bytes, bodyLength)) {
-                throw new InvalidMessageException("its checksum is wrong");
+                throw new InvalidMessageException("segment checksum does not match");
             }
             if (format != FORMAT) {
-                throw new InvalidMessageException("its form is " + format + ", this version reads " + FORMAT);
+                throw new InvalidMessageException("segment format is " + format + ", expected " + FORMAT);
             }
             Segment segment = new Segment(states, encodedTaskCounts);
             segment.validate();
@@ -177,7 +177,7 @@
         int done = 0;
         for (int offset = 0; offset < JOBS; offset++) {
             if (state(offset) > CANCELLED) {
-                throw new InvalidMessageException("offset " + offset + " has no known state");
+                throw new InvalidMessageException("offset " + offset + ": unknown job state " + state(offset));
             }
             done += state(offset) == DONE ? 1 : 0;
         }
@@ -187,12 +187,12 @@
             continuationBytes = encodedByte < 0 ? continuationBytes + 1 : 0;
             taskCountsFound += encodedByte < 0 ? 0 : 1;
             if (continuationBytes > 4) {
-                throw new InvalidMessageException("a number of tasks is too long");
+                throw new InvalidMessageException("a task count takes more than 5 bytes");
             }
         }
         if (taskCountsFound != done || continuationBytes != 0) {
             throw new InvalidMessageException(
-                    "it has " + done + " done jobs and " + taskCountsFound + " numbers of tasks");
+                    "segment has " + done + " done jobs but " + taskCountsFound + " task counts");
         }
     }
 
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -57,7 +57,8 @@
             segment = segment.with(Map.of(i, new TerminatedJob(Job.Status.DONE, JobSpec.MAX_TASKS)));
         }
         assertTrue(
-                Json.bytes(segment.json()).length <= Segment.MAX_BYTES, "bytes " + Json.bytes(segment.json()).length);
+                Json.bytes(segment.json()).length <= Segment.MAX_BYTES,
+                "stored size in bytes: " + Json.bytes(segment.json()).length);
     }
 
     @Test
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -109,10 +109,10 @@
             boolean there = state.value(Keys.JOBS + id(i)) != null;
             past += ended != null ? 1 : 0;
             lost += ended == null && !there ? 1 : 0;
-            assertTrue(ended == null || ended.tasks() == 1 + i % 200, id(i) + " is " + ended);
+            assertTrue(ended == null || ended.tasks() == 1 + i % 200, id(i) + " ended as " + ended);
         }
         if (blind) {
-            assertTrue(lost > 0, "nothing was lost without the condition");
+            assertTrue(lost > 0, "no job was lost without the segment condition");
         } else {
             assertEquals(0, lost);
             assertTrue(past > 700, past + " moved");
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -31,14 +31,14 @@
         for (String id : w.checker.told.keySet()) {
             boolean over = w.checker.told.get(id).equals("done")
                     || w.checker.told.get(id).equals("cancelled");
-            assertTrue(!over || ended(w, id), id + " has ended and stands nowhere");
+            assertTrue(!over || ended(w, id), id + " was reported as ended but is not stored as ended");
         }
     }
 
     private static boolean ended(SimulatedCluster w, String id) {
         JsonNode key = w.state.value(Keys.JOBS + id);
         boolean past = past(w, id);
-        assertFalse(past && key != null, id + " stands in two places");
+        assertFalse(past && key != null, id + " is both under its own key and in the history");
         return past || key != null && key.has("ended");
     }
 
@@ -81,7 +81,7 @@
         kept(w);
         assertEquals("done", w.checker.told.get("job-000007"));
         assertTrue(moved(w) > 500, moved(w) + " moved");
-        assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " changes in a second");
+        assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " writes in one second");
     }
 
     /** The leader crashes repeatedly, at times that hit every step of a move. */
@@ -166,7 +166,7 @@
         questions(w, 2_000, 100_000, 200);
         w.sim.run(1_200_000);
         kept(w);
-        assertTrue(w.state.keys(Keys.JOBS).size() < 400, w.state.keys(Keys.JOBS).size() + " left");
+        assertTrue(w.state.keys(Keys.JOBS).size() < 400, w.state.keys(Keys.JOBS).size() + " job keys left");
         questions(w, 1_201_000, 1_250_000, 200);
         w.sim.run(1_300_000);
         kept(w);
@@ -200,7 +200,7 @@
         w.checker.specs.put("job-100500", SampleJobs.job(100_500, "blue", false, 1, 1, 1));
         w.sim.run(300_000);
         assertEquals(damaged, w.state.value(key));
-        assertTrue(moved(w) > 100, "jobs of other segments moved");
+        assertTrue(moved(w) > 100, "jobs of other segments have not moved");
         assertEquals("done", w.checker.told.get("job-000007"));
         kept(w);
     }
@@ -214,7 +214,7 @@
         w.sim.run(1_200_000);
         kept(w);
         int left = w.state.keys(Keys.JOBS).size();
-        assertTrue(left >= Segment.JOBS && left < Segment.JOBS + 400, left + " left");
+        assertTrue(left >= Segment.JOBS && left < Segment.JOBS + 400, left + " job keys left");
     }
 
     /**
@@ -243,7 +243,7 @@
         }
         w.sim.run(140_000);
         assertEquals("done", w.checker.told.get(id));
-        assertTrue(past(w, id), "it has moved");
+        assertTrue(past(w, id), id + " has not moved");
         if (blind) {
             w.state.ignoreGuards(SegmentAddress.ROOT);
         }
@@ -251,7 +251,9 @@
         w.sim.run(200_000);
         assertEquals(321, w.over("done"));
         if (blind) {
-            assertTrue(w.state.value(Keys.JOBS + id) != null && w.checker.repeats > 0, "it runs once more");
+            assertTrue(
+                    w.state.value(Keys.JOBS + id) != null && w.checker.repeats > 0,
+                    "the job has not run again without the segment condition");
         } else {
             kept(w);
             assertEquals(0, w.checker.repeats);
