--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -82,7 +82,7 @@
     private final History history;
     private final Metrics metrics;
     private final LongSupplier leaderVersion;
-    private final int valueBytes;
+    private final int maxValueBytes;
     /** Limit on the puts and deletes of moves, per second. */
     private final double maxMoveOperationsPerS;
 
@@ -112,7 +112,7 @@
         this.metrics = dependencies.metrics;
         this.leaderVersion = leaderVersion;
         this.maxOperations = limits.txnOps();
-        this.valueBytes = limits.valueBytes();
+        this.maxValueBytes = limits.valueBytes();
         this.maxMoveOperationsPerS = share * limits.writeRps();
         this.selector = new CandidateSelector(dependencies.table, watchCache, loop, owner);
         this.scan = new KeyScan(dependencies.table, loop, selector);
@@ -237,8 +237,8 @@
     private boolean excludeFullSegments(List<Write> writes) {
         boolean hasFullSegment = false;
         for (Write write : writes) {
-            if (write.value() != null && Json.bytes(write.value()).length > valueBytes) {
-                LOG.warn("segment full, segment={} maxBytes={}", write.key(), valueBytes);
+            if (write.value() != null && Json.bytes(write.value()).length > maxValueBytes) {
+                LOG.warn("segment full, segment={} maxBytes={}", write.key(), maxValueBytes);
                 selector.excludeFull(write.key());
                 hasFullSegment = true;
             }
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -29,7 +29,7 @@
     /** Compares a segment, encoded and decoded from time to time, with a map as the reference model. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void holdsWhatAMapHolds(long seed) throws InvalidMessageException {
+    void segmentMatchesMapModelAfterEncodingAndDecoding(long seed) throws InvalidMessageException {
         SplittableRandom random = new SplittableRandom(seed);
         Map<Integer, TerminatedJob> model = new HashMap<>();
         Segment segment = Segment.EMPTY;
@@ -38,8 +38,8 @@
             TerminatedJob ended = random.nextInt(4) == 0
                     ? new TerminatedJob(Job.Status.CANCELLED, 0)
                     : new TerminatedJob(Job.Status.DONE, 1 + random.nextInt(1 << random.nextInt(17)));
-            TerminatedJob kept = model.putIfAbsent(offset, ended);
-            segment = segment.with(Map.of(offset, kept == null ? ended : kept));
+            TerminatedJob recordedEnd = model.putIfAbsent(offset, ended);
+            segment = segment.with(Map.of(offset, recordedEnd == null ? ended : recordedEnd));
             if (i % 50 == 0) {
                 segment = Segment.read(segment.json());
             }
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void theLargestFitsTheSmallestValues() {
+    void segmentOfLargestJobsFitsMaxBytes() {
         Segment segment = Segment.EMPTY;
         for (int i = 0; i < Segment.JOBS; i++) {
             segment = segment.with(Map.of(i, new TerminatedJob(Job.Status.DONE, JobSpec.MAX_TASKS)));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void anEndStaysAsItIs() {
+    void recordedEndCannotBeReplacedByAnotherEnd() {
         Segment segment = Segment.EMPTY.with(Map.of(7, new TerminatedJob(Job.Status.DONE, 3)));
         assertEquals(segment, segment.with(Map.of(7, new TerminatedJob(Job.Status.DONE, 3))));
         assertThrows(
@@ -71,21 +71,22 @@
 
     /** One damaged byte or a truncated value must be an error: a damaged segment must not be read as one with fewer jobs. */
     @Test
-    void damageIsNoticed() throws InvalidMessageException {
+    void readRejectsDamagedOrTruncatedValue() throws InvalidMessageException {
         Segment segment = Segment.EMPTY.with(
                 Map.of(0, new TerminatedJob(Job.Status.DONE, 300), 9, new TerminatedJob(Job.Status.CANCELLED, 0)));
-        byte[] whole = Base64.getDecoder().decode(Json.text(segment.json(), "ended"));
-        for (int i = 0; i < whole.length; i++) {
-            byte[] damaged = whole.clone();
+        byte[] intact = Base64.getDecoder().decode(Json.text(segment.json(), "ended"));
+        for (int i = 0; i < intact.length; i++) {
+            byte[] damaged = intact.clone();
             damaged[i] ^= 0x10;
             assertThrows(InvalidMessageException.class, () -> Segment.read(value(damaged)));
         }
-        for (int length = 0; length < whole.length; length++) {
-            byte[] cut = java.util.Arrays.copyOf(whole, length);
-            assertThrows(InvalidMessageException.class, () -> Segment.read(value(cut)));
+        for (int length = 0; length < intact.length; length++) {
+            byte[] truncated = java.util.Arrays.copyOf(intact, length);
+            assertThrows(InvalidMessageException.class, () -> Segment.read(value(truncated)));
         }
-        for (JsonNode odd : new JsonNode[] {null, Json.object(), Json.object().put("ended", "?"), Json.array()}) {
-            assertThrows(InvalidMessageException.class, () -> Segment.read(odd));
+        for (JsonNode invalid :
+                new JsonNode[] {null, Json.object(), Json.object().put("ended", "?"), Json.array()}) {
+            assertThrows(InvalidMessageException.class, () -> Segment.read(invalid));
         }
         assertEquals(segment, Segment.read(segment.json()));
     }
@@ -96,8 +97,8 @@
 
     /** Ids that look alike are different jobs, so each needs an address of its own. */
     @Test
-    void noTwoIdsShareAPlace() {
-        Set<SegmentAddress> places = new HashSet<>();
+    void differentIdsHaveDifferentAddresses() {
+        Set<SegmentAddress> addresses = new HashSet<>();
         String[] ids = {
             "job-000412",
             "job-0000412",
@@ -114,15 +115,16 @@
             "job-٠٠٠٤١٢"
         };
         for (String id : ids) {
-            assertTrue(places.add(SegmentAddress.of(id)), id);
+            assertTrue(addresses.add(SegmentAddress.of(id)), id);
         }
         assertEquals(new SegmentAddress(SegmentAddress.ROOT + "0", 412), SegmentAddress.of("job-000412"));
         assertEquals(
                 new SegmentAddress(SegmentAddress.ROOT + "1953", 1_000_412 % 512), SegmentAddress.of("job-1000412"));
-        for (int n = 0; n < 3_000; n++) {
-            SegmentAddress place = SegmentAddress.of(String.format("job-%06d", n + 998_500));
-            assertEquals((n + 998_500) / 512, Long.parseLong(place.key().substring(SegmentAddress.ROOT.length())));
-            assertEquals((n + 998_500) % 512, place.offset());
+        for (int index = 0; index < 3_000; index++) {
+            SegmentAddress address = SegmentAddress.of(String.format("job-%06d", index + 998_500));
+            assertEquals(
+                    (index + 998_500) / 512, Long.parseLong(address.key().substring(SegmentAddress.ROOT.length())));
+            assertEquals((index + 998_500) % 512, address.offset());
         }
         assertNull(Segment.EMPTY.get(5));
     }
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -30,13 +30,13 @@
  * before its job is moved. Each test has a counter-check without the condition that prevents the fault.
  */
 class ConcurrentCompactorsTest {
-    private static final int JOBS = 1_000;
+    private static final int JOB_COUNT = 1_000;
 
     private final Simulation sim = new Simulation(5);
-    private final EmulatedStateService state = new EmulatedStateService(sim.host("state"));
+    private final EmulatedStateService stateService = new EmulatedStateService(sim.host("state"));
 
     /** Starts a compactor that moves either the jobs with even numbers or those with odd ones. */
-    private void side(String name, boolean odd, long leader) {
+    private void startCompactor(String name, boolean keepsOddJobs, long leaderKeyVersion) {
         Simulation.Host host = sim.host(name);
         StateClient client = new StateClient(sim.client(host), "state");
         Metrics metrics = new Metrics(host::nanos);
@@ -70,71 +70,73 @@
 
                     @Override
                     public Set<String> needed() {
-                        Set<String> held = new HashSet<>();
-                        for (int i = odd ? 1 : 0; i < JOBS; i += 2) {
-                            held.add(id(i));
+                        Set<String> keptJobs = new HashSet<>();
+                        for (int i = keepsOddJobs ? 1 : 0; i < JOB_COUNT; i += 2) {
+                            keptJobs.add(id(i));
                         }
-                        return held;
+                        return keptJobs;
                     }
                 },
-                () -> leader,
+                () -> leaderKeyVersion,
                 new Settings.State(1_000, 400, 4, 8),
                 0.5);
         watchCache.start();
         compactor.start();
     }
 
-    private static String id(int i) {
-        return String.format("job-%06d", i);
+    private static String id(int number) {
+        return String.format("job-%06d", number);
     }
 
     /** Without the condition on the segment's version, each compactor's write drops jobs that the other one moved. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void noMoveIsLost(boolean blind) throws InvalidMessageException {
-        ended();
-        long leader = JOBS + 3;
-        if (blind) {
-            state.ignoreGuards(SegmentAddress.ROOT);
+    void movesAreLostOnlyWithoutSegmentConditionWhenTwoCompactorsRun(boolean ignoresCondition)
+            throws InvalidMessageException {
+        seedTerminatedJobs();
+        long leaderKeyVersion = JOB_COUNT + 3;
+        if (ignoresCondition) {
+            stateService.ignoreGuards(SegmentAddress.ROOT);
         }
-        side("a", true, leader);
-        side("b", false, leader);
+        startCompactor("a", true, leaderKeyVersion);
+        startCompactor("b", false, leaderKeyVersion);
         sim.run(200_000);
-        int past = 0;
-        int lost = 0;
-        for (int i = 0; i < JOBS; i++) {
-            SegmentAddress place = SegmentAddress.of(id(i));
-            var value = state.value(place.key());
-            var ended = value == null ? null : Segment.read(value).get(place.offset());
-            boolean there = state.value(Keys.JOBS + id(i)) != null;
-            past += ended != null ? 1 : 0;
-            lost += ended == null && !there ? 1 : 0;
+        int movedJobs = 0;
+        int lostJobs = 0;
+        for (int i = 0; i < JOB_COUNT; i++) {
+            SegmentAddress address = SegmentAddress.of(id(i));
+            var segmentValue = stateService.value(address.key());
+            var ended = segmentValue == null ? null : Segment.read(segmentValue).get(address.offset());
+            boolean hasOwnKey = stateService.value(Keys.JOBS + id(i)) != null;
+            movedJobs += ended != null ? 1 : 0;
+            lostJobs += ended == null && !hasOwnKey ? 1 : 0;
             assertTrue(ended == null || ended.tasks() == 1 + i % 200, id(i) + " ended as " + ended);
         }
-        if (blind) {
-            assertTrue(lost > 0, "no job was lost without the segment condition");
+        if (ignoresCondition) {
+            assertTrue(lostJobs > 0, "no job was lost without the segment condition");
         } else {
-            assertEquals(0, lost);
-            assertTrue(past > 700, past + " moved");
+            assertEquals(0, lostJobs);
+            assertTrue(movedJobs > 700, movedJobs + " moved");
         }
     }
 
-    private void ended() {
-        sim.listen("state", sim.host("state"), state);
-        for (int i = 0; i < JOBS; i++) {
-            state.seed(Keys.JOBS + id(i), Json.object().put("ended", "DONE").put("takes", 1 + i % 200));
+    private void seedTerminatedJobs() {
+        sim.listen("state", sim.host("state"), stateService);
+        for (int i = 0; i < JOB_COUNT; i++) {
+            stateService.seed(
+                    Keys.JOBS + id(i), Json.object().put("ended", "DONE").put("takes", 1 + i % 200));
         }
-        state.seed(Capabilities.ROOT + "a", Json.object().put("history", 1));
-        state.seed(Capabilities.ROOT + "b", Json.object().put("history", 1));
-        state.seed(Keys.LEADER, Json.object().put("host", "a"));
+        stateService.seed(Capabilities.ROOT + "a", Json.object().put("history", 1));
+        stateService.seed(Capabilities.ROOT + "b", Json.object().put("history", 1));
+        stateService.seed(Keys.LEADER, Json.object().put("host", "a"));
     }
 
-    private int moved(int from, int to) throws InvalidMessageException {
+    private int countMoved(int from, int to) throws InvalidMessageException {
         int moved = 0;
         for (int i = from; i < to; i += 2) {
-            SegmentAddress place = SegmentAddress.of(id(i));
-            var value = state.value(place.key());
-            moved += value != null && Segment.read(value).get(place.offset()) != null ? 1 : 0;
+            SegmentAddress address = SegmentAddress.of(id(i));
+            var segmentValue = stateService.value(address.key());
+            moved += segmentValue != null && Segment.read(segmentValue).get(address.offset()) != null ? 1 : 0;
         }
         return moved;
     }
@@ -142,33 +144,33 @@
     /** A former leader that still believes it leads uses an outdated version of the leader key. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoDoesNotLeadMovesNothing(boolean blind) throws InvalidMessageException {
-        ended();
-        if (blind) {
-            state.ignoreGuards(Keys.LEADER);
+    void formerLeaderMovesJobsOnlyWithoutLeaderKeyCondition(boolean ignoresCondition) throws InvalidMessageException {
+        seedTerminatedJobs();
+        if (ignoresCondition) {
+            stateService.ignoreGuards(Keys.LEADER);
         }
-        side("a", true, JOBS + 2);
+        startCompactor("a", true, JOB_COUNT + 2);
         sim.run(60_000);
-        assertEquals(blind, moved(0, JOBS) > 0);
+        assertEquals(ignoresCondition, countMoved(0, JOB_COUNT) > 0);
     }
 
     /** A job whose key changed after it was read must not be moved, because the segment would record the outdated value. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatHasChangedMeanwhileStays(boolean blind) throws InvalidMessageException {
-        ended();
-        if (blind) {
-            state.ignoreGuards(Keys.JOBS);
+    void jobWithChangedKeyMovesOnlyWithoutJobKeyCondition(boolean ignoresCondition) throws InvalidMessageException {
+        seedTerminatedJobs();
+        if (ignoresCondition) {
+            stateService.ignoreGuards(Keys.JOBS);
         }
-        Simulation.Host other = sim.host("other");
-        rewrite(other, new StateClient(sim.client(other), "state"));
-        side("a", true, JOBS + 3);
+        Simulation.Host writerHost = sim.host("other");
+        rewriteFirstJobKeys(writerHost, new StateClient(sim.client(writerHost), "state"));
+        startCompactor("a", true, JOB_COUNT + 3);
         sim.run(60_000);
-        assertEquals(blind, moved(0, 8) > 0);
+        assertEquals(ignoresCondition, countMoved(0, 8) > 0);
     }
 
     /** Rewrites the first jobs' keys every 5 ms, which is more often than the watch reports changes. */
-    private static void rewrite(Simulation.Host host, StateClient client) {
+    private static void rewriteFirstJobKeys(Simulation.Host host, StateClient client) {
         for (int i = 0; i < 8; i++) {
             client.commit(
                     List.of(),
@@ -178,6 +180,6 @@
                             0)),
                     answer -> {});
         }
-        host.after(5, () -> rewrite(host, client));
+        host.after(5, () -> rewriteFirstJobKeys(host, client));
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -23,198 +23,208 @@
  * and cancel the jobs meanwhile, and the invariant checker compares all answers with a model that keeps every job.
  */
 class JobHistoryTest {
-    private static final int MANY = 900;
+    private static final int JOB_COUNT = 900;
 
-    private static void kept(SimulatedCluster w) {
-        ClusterAssertions.kept(w);
+    private static void assertNoJobLostOrDuplicated(SimulatedCluster cluster) {
+        ClusterAssertions.kept(cluster);
         // Each terminated job is either under its own key or in the history.
-        for (String id : w.checker.told.keySet()) {
-            boolean over = w.checker.told.get(id).equals("done")
-                    || w.checker.told.get(id).equals("cancelled");
-            assertTrue(!over || ended(w, id), id + " was reported as ended but is not stored as ended");
+        for (String id : cluster.checker.told.keySet()) {
+            boolean isReportedEnded = cluster.checker.told.get(id).equals("done")
+                    || cluster.checker.told.get(id).equals("cancelled");
+            assertTrue(
+                    !isReportedEnded || isStoredAsEnded(cluster, id),
+                    id + " was reported as ended but is not stored as ended");
         }
     }
 
-    private static boolean ended(SimulatedCluster w, String id) {
-        JsonNode key = w.state.value(Keys.JOBS + id);
-        boolean past = past(w, id);
-        assertFalse(past && key != null, id + " is both under its own key and in the history");
-        return past || key != null && key.has("ended");
+    private static boolean isStoredAsEnded(SimulatedCluster cluster, String id) {
+        JsonNode ownKeyValue = cluster.state.value(Keys.JOBS + id);
+        boolean isInHistory = isInHistory(cluster, id);
+        assertFalse(isInHistory && ownKeyValue != null, id + " is both under its own key and in the history");
+        return isInHistory || ownKeyValue != null && ownKeyValue.has("ended");
     }
 
-    private static boolean past(SimulatedCluster w, String id) {
-        SegmentAddress place = SegmentAddress.of(id);
-        JsonNode segment = w.state.value(place.key());
+    private static boolean isInHistory(SimulatedCluster cluster, String id) {
+        SegmentAddress address = SegmentAddress.of(id);
+        JsonNode segment = cluster.state.value(address.key());
         try {
-            return segment != null && Segment.read(segment).get(place.offset()) != null;
+            return segment != null && Segment.read(segment).get(address.offset()) != null;
         } catch (InvalidMessageException e) {
             return false;
         }
     }
 
-    private static int moved(SimulatedCluster w) {
-        return MANY
-                - (int) w.state.keys(Keys.JOBS).stream()
-                        .filter(k -> w.state.value(k).has("ended"))
+    private static int countMoved(SimulatedCluster cluster) {
+        return JOB_COUNT
+                - (int) cluster.state.keys(Keys.JOBS).stream()
+                        .filter(key -> cluster.state.value(key).has("ended"))
                         .count();
     }
 
     /** Schedules polls, resubmissions and cancellations of known jobs, and polls of jobs that were never submitted. */
-    private static void questions(SimulatedCluster w, long fromMs, long toMs, int everyMs) {
-        List<String> ids = new ArrayList<>(w.checker.told.keySet());
-        String[] kinds = {"poll", "submit", "cancel"};
-        for (long t = fromMs; t < toMs; t += everyMs) {
-            w.at(t, () -> w.users.askOnce(ids.get(w.sim.random.nextInt(ids.size())), kinds[w.sim.random.nextInt(3)]));
-            w.at(t + everyMs / 2, () -> w.users.poll(String.format("job-9%05d", w.sim.random.nextInt(100_000))));
+    private static void scheduleRequests(SimulatedCluster cluster, long fromMs, long toMs, int intervalMs) {
+        List<String> ids = new ArrayList<>(cluster.checker.told.keySet());
+        String[] requestKinds = {"poll", "submit", "cancel"};
+        for (long timeMs = fromMs; timeMs < toMs; timeMs += intervalMs) {
+            cluster.at(
+                    timeMs,
+                    () -> cluster.users.askOnce(
+                            ids.get(cluster.sim.random.nextInt(ids.size())),
+                            requestKinds[cluster.sim.random.nextInt(3)]));
+            cluster.at(
+                    timeMs + intervalMs / 2,
+                    () -> cluster.users.poll(String.format("job-9%05d", cluster.sim.random.nextInt(100_000))));
         }
     }
 
     /** Covers consecutive ids, which share segments, and ids with a segment each. */
     @ParameterizedTest
     @CsvSource({"1,1", "2,1", "3,700"})
-    void moveWhileUsersAsk(long seed, int step) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, step);
-        questions(w, 2_000, 240_000, 150);
-        w.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
-        w.sim.run(400_000);
-        kept(w);
-        assertEquals("done", w.checker.told.get("job-000007"));
-        assertTrue(moved(w) > 500, moved(w) + " moved");
-        assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " writes in one second");
+    void jobsMoveAndAnswersStayRightWhileUsersSendRequests(long seed, int idDistance) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, idDistance);
+        scheduleRequests(cluster, 2_000, 240_000, 150);
+        cluster.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
+        cluster.sim.run(400_000);
+        assertNoJobLostOrDuplicated(cluster);
+        assertEquals("done", cluster.checker.told.get("job-000007"));
+        assertTrue(countMoved(cluster) > 500, countMoved(cluster) + " moved");
+        assertTrue(cluster.state.mostWrites() <= 20, cluster.state.mostWrites() + " writes in one second");
     }
 
     /** The leader crashes repeatedly, at times that hit every step of a move. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
-    void leadersDieInBetween(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
-        questions(w, 2_000, 290_000, 200);
+    void noJobIsLostOrDuplicatedWhenLeadersCrashDuringMoves(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
+        scheduleRequests(cluster, 2_000, 290_000, 200);
         for (int i = 0; i < 12; i++) {
-            w.at(36_000 + i * 20_000L + seed * 37 + i * 13L, () -> {
-                if (w.leader() != null && w.leader().host.up) {
-                    w.leader().crash(1_500);
+            cluster.at(36_000 + i * 20_000L + seed * 37 + i * 13L, () -> {
+                if (cluster.leader() != null && cluster.leader().host.up) {
+                    cluster.leader().crash(1_500);
                 }
             });
         }
-        w.sim.run(400_000);
-        kept(w);
-        assertTrue(moved(w) > 100, moved(w) + " moved");
+        cluster.sim.run(400_000);
+        assertNoJobLostOrDuplicated(cluster);
+        assertTrue(countMoved(cluster) > 100, countMoved(cluster) + " moved");
     }
 
     /** A fifth of the state service's answers get lost, so moves, submissions and cancellations have unknown outcomes. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
-    void answersGetLost(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
-        questions(w, 2_000, 290_000, 300);
-        w.sim.lostAnswers.put("state", 0.2);
-        w.at(300_000, () -> w.sim.lostAnswers.clear());
-        w.sim.run(400_000);
-        kept(w);
-        assertTrue(moved(w) > 100, moved(w) + " moved");
+    void noJobIsLostOrDuplicatedWhenStateServiceAnswersAreLost(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
+        scheduleRequests(cluster, 2_000, 290_000, 300);
+        cluster.sim.lostAnswers.put("state", 0.2);
+        cluster.at(300_000, () -> cluster.sim.lostAnswers.clear());
+        cluster.sim.run(400_000);
+        assertNoJobLostOrDuplicated(cluster);
+        assertTrue(countMoved(cluster) > 100, countMoved(cluster) + " moved");
     }
 
     /** A leader is disconnected from the state service during a move, which arrives long after the next leader took over. */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33})
-    void movesArriveLate(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
-        questions(w, 2_000, 290_000, 300);
+    void noJobIsLostOrDuplicatedWhenMovesArriveAfterLeaderChange(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
+        scheduleRequests(cluster, 2_000, 290_000, 300);
         for (int i = 0; i < 5; i++) {
-            w.at(40_000 + i * 45_000L + seed * 17, () -> {
-                if (w.leader() != null) {
-                    w.sim.cut(w.leader().host.name, "state");
+            cluster.at(40_000 + i * 45_000L + seed * 17, () -> {
+                if (cluster.leader() != null) {
+                    cluster.sim.cut(cluster.leader().host.name, "state");
                 }
             });
-            w.at(65_000 + i * 45_000L, w.sim::heal);
+            cluster.at(65_000 + i * 45_000L, cluster.sim::heal);
         }
-        w.sim.run(400_000);
-        kept(w);
-        assertTrue(moved(w) > 100, moved(w) + " moved");
+        cluster.sim.run(400_000);
+        assertNoJobLostOrDuplicated(cluster);
+        assertTrue(countMoved(cluster) > 100, countMoved(cluster) + " moved");
     }
 
     /** Controllers fall behind the retained changes, so they reload the state page by page while jobs move. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42})
-    void readAgainWhileJobsMove(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
-        w.state.keepChanges(8);
-        questions(w, 2_000, 290_000, 200);
+    void noJobIsLostOrDuplicatedWhenControllersReloadStateDuringMoves(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
+        cluster.state.keepChanges(8);
+        scheduleRequests(cluster, 2_000, 290_000, 200);
         for (int i = 0; i < 10; i++) {
-            int n = i;
-            w.at(36_000 + i * 20_000L, () -> {
-                w.sim.cut("rig-" + n % 3, "state");
+            int cutIndex = i;
+            cluster.at(36_000 + i * 20_000L, () -> {
+                cluster.sim.cut("rig-" + cutIndex % 3, "state");
             });
-            w.at(47_000 + i * 20_000L, w.sim::heal);
+            cluster.at(47_000 + i * 20_000L, cluster.sim::heal);
         }
-        w.sim.run(400_000);
-        kept(w);
-        assertTrue(moved(w) > 100, moved(w) + " moved");
+        cluster.sim.run(400_000);
+        assertNoJobLostOrDuplicated(cluster);
+        assertTrue(countMoved(cluster) > 100, countMoved(cluster) + " moved");
     }
 
     /** An earlier version left more terminated jobs than a controller retains; the scan of job keys has to find the rest. */
     @Test
-    void moreThanIsKept() {
-        SimulatedCluster w = new SimulatedCluster(51, 10);
-        int all = 3_000;
-        HistorySeeds.jobKeys(w, 100_000, all, 1);
-        questions(w, 2_000, 100_000, 200);
-        w.sim.run(1_200_000);
-        kept(w);
-        assertTrue(w.state.keys(Keys.JOBS).size() < 400, w.state.keys(Keys.JOBS).size() + " job keys left");
-        questions(w, 1_201_000, 1_250_000, 200);
-        w.sim.run(1_300_000);
-        kept(w);
+    void jobsThatTableDoesNotRetainAreFoundByScanAndMoved() {
+        SimulatedCluster cluster = new SimulatedCluster(51, 10);
+        int jobCount = 3_000;
+        HistorySeeds.jobKeys(cluster, 100_000, jobCount, 1);
+        scheduleRequests(cluster, 2_000, 100_000, 200);
+        cluster.sim.run(1_200_000);
+        assertNoJobLostOrDuplicated(cluster);
+        assertTrue(
+                cluster.state.keys(Keys.JOBS).size() < 400,
+                cluster.state.keys(Keys.JOBS).size() + " job keys left");
+        scheduleRequests(cluster, 1_201_000, 1_250_000, 200);
+        cluster.sim.run(1_300_000);
+        assertNoJobLostOrDuplicated(cluster);
     }
 
     /** A controller of an earlier version does not read the history, so it would accept a late retry as a new job. */
     @Test
-    void nothingMovesBeforeAllKnow() {
-        SimulatedCluster w = new SimulatedCluster(61, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
-        w.nodes.get(2).crash(1_000_000);
-        w.sim.run(1);
-        w.state.seed(Capabilities.ROOT + "rig-2", Json.object().put("history", 0));
-        w.sim.run(150_000);
-        assertEquals(0, moved(w));
-        w.nodes.get(2).boot();
-        w.sim.run(300_000);
-        assertTrue(moved(w) > 100, moved(w) + " moved");
-        kept(w);
+    void nothingMovesWhileOneControllerDoesNotReadHistory() {
+        SimulatedCluster cluster = new SimulatedCluster(61, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
+        cluster.nodes.get(2).crash(1_000_000);
+        cluster.sim.run(1);
+        cluster.state.seed(Capabilities.ROOT + "rig-2", Json.object().put("history", 0));
+        cluster.sim.run(150_000);
+        assertEquals(0, countMoved(cluster));
+        cluster.nodes.get(2).boot();
+        cluster.sim.run(300_000);
+        assertTrue(countMoved(cluster) > 100, countMoved(cluster) + " moved");
+        assertNoJobLostOrDuplicated(cluster);
     }
 
     /** An undecodable segment must not be overwritten or treated as empty. Only requests for its own jobs get HTTP 503. */
     @Test
-    void aDamagedSegmentStays() {
-        SimulatedCluster w = new SimulatedCluster(71, 10);
-        HistorySeeds.jobKeys(w, 100_000, MANY, 1);
+    void damagedSegmentIsNotOverwrittenWhileOtherJobsMove() {
+        SimulatedCluster cluster = new SimulatedCluster(71, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
         String key = SegmentAddress.of("job-100300").key();
         var damaged = Json.object().put("ended", "AAAA");
-        w.state.seed(key, damaged);
-        w.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
-        w.checker.specs.put("job-100500", SampleJobs.job(100_500, "blue", false, 1, 1, 1));
-        w.sim.run(300_000);
-        assertEquals(damaged, w.state.value(key));
-        assertTrue(moved(w) > 100, "jobs of other segments have not moved");
-        assertEquals("done", w.checker.told.get("job-000007"));
-        kept(w);
+        cluster.state.seed(key, damaged);
+        cluster.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
+        cluster.checker.specs.put("job-100500", SampleJobs.job(100_500, "blue", false, 1, 1, 1));
+        cluster.sim.run(300_000);
+        assertEquals(damaged, cluster.state.value(key));
+        assertTrue(countMoved(cluster) > 100, "jobs of other segments have not moved");
+        assertEquals("done", cluster.checker.told.get("job-000007"));
+        assertNoJobLostOrDuplicated(cluster);
     }
 
     /** An undecodable segment has more jobs than the scan retains at a time; they must not block the jobs of other segments. */
     @Test
-    void aDamagedSegmentHoldsUpNoOther() {
-        SimulatedCluster w = new SimulatedCluster(72, 10);
-        HistorySeeds.jobKeys(w, 100_000, 3_000, 1);
-        w.state.seed(SegmentAddress.of("job-100400").key(), Json.object().put("ended", "AAAA"));
-        w.sim.run(1_200_000);
-        kept(w);
-        int left = w.state.keys(Keys.JOBS).size();
-        assertTrue(left >= Segment.JOBS && left < Segment.JOBS + 400, left + " job keys left");
+    void damagedSegmentWithManyJobsDoesNotBlockOtherSegments() {
+        SimulatedCluster cluster = new SimulatedCluster(72, 10);
+        HistorySeeds.jobKeys(cluster, 100_000, 3_000, 1);
+        cluster.state.seed(SegmentAddress.of("job-100400").key(), Json.object().put("ended", "AAAA"));
+        cluster.sim.run(1_200_000);
+        assertNoJobLostOrDuplicated(cluster);
+        int keysLeft = cluster.state.keys(Keys.JOBS).size();
+        assertTrue(keysLeft >= Segment.JOBS && keysLeft < Segment.JOBS + 400, keysLeft + " job keys left");
     }
 
     /**
@@ -223,40 +233,43 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aLateRetryOfAMovedJob(boolean blind) {
-        SimulatedCluster w = new SimulatedCluster(81, 10);
+    void lateRetryOfMovedJobRunsAgainOnlyWithoutSegmentCondition(boolean ignoresCondition) {
+        SimulatedCluster cluster = new SimulatedCluster(81, 10);
         String id = "job-100001";
-        w.sim.run(20_000);
-        ControllerNode behind =
-                w.nodes.stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
+        cluster.sim.run(20_000);
+        ControllerNode outdatedController = cluster.nodes.stream()
+                .filter(node -> node != cluster.leader())
+                .findFirst()
+                .orElseThrow();
         // This controller knows that the history is empty, and then receives no more changes.
-        w.users.askOnce("job-900000", "poll", behind.index);
-        w.sim.run(25_000);
-        w.sim.cut(behind.host.name, "state");
-        w.users.submit(SampleJobs.job(100_001, "blue", false, 1, 1, 1));
-        w.sim.run(27_000);
-        w.users.askOnce(id, "submit", behind.index);
+        cluster.users.askOnce("job-900000", "poll", outdatedController.index);
+        cluster.sim.run(25_000);
+        cluster.sim.cut(outdatedController.host.name, "state");
+        cluster.users.submit(SampleJobs.job(100_001, "blue", false, 1, 1, 1));
+        cluster.sim.run(27_000);
+        cluster.users.askOnce(id, "submit", outdatedController.index);
         // Enough later jobs end for the compactor to move this one.
         for (int i = 0; i < 320; i++) {
-            int n = 200_000 + 700 * i;
-            w.at(30_000 + 100 * i, () -> w.users.submit(SampleJobs.job(n, "blue", false, 1, 1, 0.5)));
+            int jobNumber = 200_000 + 700 * i;
+            cluster.at(
+                    30_000 + 100 * i, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", false, 1, 1, 0.5)));
         }
-        w.sim.run(140_000);
-        assertEquals("done", w.checker.told.get(id));
-        assertTrue(past(w, id), id + " has not moved");
-        if (blind) {
-            w.state.ignoreGuards(SegmentAddress.ROOT);
+        cluster.sim.run(140_000);
+        assertEquals("done", cluster.checker.told.get(id));
+        assertTrue(isInHistory(cluster, id), id + " has not moved");
+        if (ignoresCondition) {
+            cluster.state.ignoreGuards(SegmentAddress.ROOT);
         }
-        w.sim.heal();
-        w.sim.run(200_000);
-        assertEquals(321, w.over("done"));
-        if (blind) {
+        cluster.sim.heal();
+        cluster.sim.run(200_000);
+        assertEquals(321, cluster.over("done"));
+        if (ignoresCondition) {
             assertTrue(
-                    w.state.value(Keys.JOBS + id) != null && w.checker.repeats > 0,
+                    cluster.state.value(Keys.JOBS + id) != null && cluster.checker.repeats > 0,
                     "the job has not run again without the segment condition");
         } else {
-            kept(w);
-            assertEquals(0, w.checker.repeats);
+            assertNoJobLostOrDuplicated(cluster);
+            assertEquals(0, cluster.checker.repeats);
         }
     }
 }
