--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -120,6 +120,7 @@
         }
     }
 
+    /** Writes the job keys, two capability records and last the leader key, whose version is therefore JOB_COUNT + 3. */
     private void seedTerminatedJobs() {
         sim.listen("state", sim.host("state"), stateService);
         for (int i = 0; i < JOB_COUNT; i++) {
