--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -60,8 +60,8 @@
         try {
             transitionTo(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
         } catch (InvalidMessageException e) {
-            // Neither treated as empty nor overwritten: requests for its jobs get HTTP 503 until an operator repairs
-            // it.
+            // Neither treated as empty nor overwritten: until an operator repairs it, requests for its jobs get HTTP
+            // 503.
             LOG.error("segment unreadable, segment={} error={}", key, e.getMessage());
             transitionTo(State.UNREADABLE, null, newVersion);
         }
@@ -78,6 +78,7 @@
         waitingLookups.add(lookup);
     }
 
+    /** Runs all waiting lookups. */
     void answerWaiting() {
         List<Runnable> lookups = waitingLookups;
         waitingLookups = new ArrayList<>();
--- a/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
@@ -32,7 +32,7 @@
     private final Map<String, MoveCandidate> scannedJobs = new LinkedHashMap<>();
     /** Keys of segments that cannot be decoded: their jobs keep their own keys. */
     private final Set<String> unreadableSegments = new HashSet<>();
-    /** Keys of segments that would exceed the state service's value size: their other jobs keep their own keys. */
+    /** Keys of segments that would exceed the state service's value size limit: their other jobs keep their own keys. */
     private final Set<String> fullSegments = new HashSet<>();
     /** Ids of jobs that have both a key and an entry in a segment, with different ends. */
     private final Set<String> conflictingJobs = new HashSet<>();
@@ -71,7 +71,8 @@
                 return;
             }
             long version = watchCache.version(Keys.JOBS + job.id());
-            // A change before the job's end that is not in the watch cache yet may name the job.
+            // Skipped until the watch cache has reached the job's end, because an earlier change may still name the
+            // job.
             if (version > watchCache.revision()
                     || table.terminated().unpersisted().contains(job)) {
                 continue;
@@ -132,7 +133,7 @@
         forget(candidates);
     }
 
-    /** Excludes a segment that has reached the maximum value size. */
+    /** Excludes a segment that more jobs would take over the value size limit. */
     void excludeFull(String segment) {
         fullSegments.add(segment);
         scannedJobs.keySet().removeIf(id -> SegmentAddress.of(id).key().equals(segment));
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -49,7 +49,7 @@
         DONE
     }
 
-    /** Maximum number of cached segments, which take about 600 bytes each in most cases. */
+    /** Maximum number of cached segments, which take about 600 bytes each, task counts included, in most cases. */
     private static final int MAX_CACHED_SEGMENTS = 1_024;
     /** Number of segments in the first read, which loads a short history completely. */
     private static final int FIRST_PAGE_SEGMENTS = 32;
