--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -60,8 +60,7 @@
         try {
             transitionTo(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
         } catch (InvalidMessageException e) {
-            // Neither treated as empty nor overwritten: until an operator repairs it, requests for its jobs get HTTP
-            // 503.
+            // Neither treated as empty nor overwritten: its jobs get HTTP 503 until an operator repairs the segment.
             LOG.error("segment unreadable, segment={} error={}", key, e.getMessage());
             transitionTo(State.UNREADABLE, null, newVersion);
         }
--- a/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
@@ -71,8 +71,7 @@
                 return;
             }
             long version = watchCache.version(Keys.JOBS + job.id());
-            // Skipped until the watch cache has reached the job's end, because an earlier change may still name the
-            // job.
+            // Skipped until the watch cache has reached the job's end: an earlier change may still name the job.
             if (version > watchCache.revision()
                     || table.terminated().unpersisted().contains(job)) {
                 continue;
