--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -17,83 +17,85 @@
 import org.landingridge.wire.Json;
 
 /**
- * How the jobs of one range of ids ended. Never changed in place; a job's end, once in, stays as it is.
+ * How the jobs of one range of ids ended. Immutable; a job's recorded end never changes.
  *
- * <p>Stored as one record, in base64: a byte for the format, two bits a job (0 not here, 1 done, 2 cancelled), for each
- * done job its number of tasks in as many bytes of seven bits as it needs, and a CRC-32 of all that. 512 jobs of
- * 100,000 tasks each take 1,669 bytes, 2,228 characters. Where the state service's values hold less, a segment that would outgrow
- * them takes no more jobs ({@link Compactor}).
+ * <p>Stored as one binary record in base64: a format byte, two bits per job (0 absent, 1 done, 2 cancelled), the task count of
+ * each done job as a variable-length integer of seven bits per byte, and a CRC-32 of all preceding bytes. 512 jobs of 100,000
+ * tasks each take 1,669 bytes, or 2,228 base64 characters. Where the state service's value size limit is lower, a segment that
+ * would exceed it takes no more jobs ({@link Compactor}).
  */
 public final class Segment {
-    /** Ids to a segment. */
+    /** Number of job ids per segment. */
     public static final int JOBS = 512;
-    /** A value that holds any segment, in bytes. */
+    /** Upper limit on the size of any segment's stored value, in bytes. */
     public static final int MAX_BYTES = 2_300;
 
-    /** The segment that no job is in yet. */
+    /** A segment without jobs. */
     public static final Segment EMPTY = new Segment(new byte[JOBS / 4], new byte[0]);
 
     private static final int FORMAT = 1;
     private static final int DONE = 1;
     private static final int CANCELLED = 2;
-    private static final String FIELD = "ended";
+    private static final String ENDED_FIELD = "ended";
     private final byte[] states;
-    /** Numbers of tasks of the done jobs, in the order of their offsets. */
-    private final byte[] tasks;
+    /** Task counts of the done jobs in the order of their offsets, as variable-length integers. */
+    private final byte[] encodedTaskCounts;
 
-    private Segment(byte[] states, byte[] tasks) {
+    private Segment(byte[] states, byte[] encodedTaskCounts) {
         this.states = states;
-        this.tasks = tasks;
+        this.encodedTaskCounts = encodedTaskCounts;
     }
 
-    /** How the job at this offset ended, or null where it is not here. */
+    /** Returns how the job at this offset ended, or null if this segment does not contain it. */
     public TerminatedJob get(int offset) {
         return switch (state(offset)) {
-            case DONE -> new TerminatedJob(Job.Status.DONE, counts()[offset]);
+            case DONE -> new TerminatedJob(Job.Status.DONE, taskCounts()[offset]);
             case CANCELLED -> new TerminatedJob(Job.Status.CANCELLED, 0);
             default -> null;
         };
     }
 
     /**
-     * This segment and more jobs, by offset.
+     * Returns a copy of this segment with more jobs.
      *
-     * @throws IllegalStateException if one is here already with another end
+     * @param addedEnds ends of the added jobs by offset
+     * @throws IllegalStateException if this segment already contains one of the jobs with a different end
      */
-    public Segment with(Map<Integer, TerminatedJob> more) {
-        byte[] next = states.clone();
-        int[] counts = counts();
-        more.forEach((offset, ended) -> {
-            TerminatedJob before = get(offset);
-            if (before != null && !before.equals(ended)) {
-                throw new IllegalStateException("offset " + offset + " is " + before + " and would become " + ended);
+    public Segment with(Map<Integer, TerminatedJob> addedEnds) {
+        byte[] newStates = states.clone();
+        int[] taskCounts = taskCounts();
+        addedEnds.forEach((offset, ended) -> {
+            TerminatedJob recordedEnd = get(offset);
+            if (recordedEnd != null && !recordedEnd.equals(ended)) {
+                throw new IllegalStateException(
+                        "offset " + offset + ": recorded end " + recordedEnd + " cannot change to " + ended);
             }
-            next[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
-            counts[offset] = ended.tasks();
+            newStates[offset / 4] |= (byte) ((ended.how() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
+            taskCounts[offset] = ended.tasks();
         });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int i = 0; i < JOBS; i++) {
-            if ((next[i / 4] >> (i % 4 * 2) & 3) == DONE) {
-                writeVarint(out, counts[i]);
+        for (int offset = 0; offset < JOBS; offset++) {
+            if ((newStates[offset / 4] >> (offset % 4 * 2) & 3) == DONE) {
+                writeVarint(out, taskCounts[offset]);
             }
         }
-        return new Segment(next, out.toByteArray());
+        return new Segment(newStates, out.toByteArray());
     }
 
     private static void writeVarint(ByteArrayOutputStream out, int number) {
-        int left = number;
-        while (left > 0x7f) {
-            out.write((left & 0x7f) | 0x80);
-            left >>>= 7;
+        int remainingBits = number;
+        while (remainingBits > 0x7f) {
+            out.write((remainingBits & 0x7f) | 0x80);
+            remainingBits >>>= 7;
         }
-        out.write(left);
+        out.write(remainingBits);
     }
 
-    /** How many jobs are here. */
+    /** Returns the number of jobs in this segment. */
     public int size() {
         int size = 0;
-        for (int i = 0; i < JOBS; i++) {
-            size += state(i) == 0 ? 0 : 1;
+        for (int offset = 0; offset < JOBS; offset++) {
+            size += state(offset) == 0 ? 0 : 1;
         }
         return size;
     }
@@ -102,94 +104,95 @@
         return states[offset / 4] >> (offset % 4 * 2) & 3;
     }
 
-    private int[] counts() {
-        int[] counts = new int[JOBS];
-        int at = 0;
-        for (int i = 0; i < JOBS; i++) {
-            if (state(i) == DONE) {
+    private int[] taskCounts() {
+        int[] taskCounts = new int[JOBS];
+        int position = 0;
+        for (int offset = 0; offset < JOBS; offset++) {
+            if (state(offset) == DONE) {
                 int shift = 0;
-                int b;
+                int encodedByte;
                 do {
-                    b = tasks[at++];
-                    counts[i] |= (b & 0x7f) << shift;
+                    encodedByte = encodedTaskCounts[position++];
+                    taskCounts[offset] |= (encodedByte & 0x7f) << shift;
                     shift += 7;
-                } while (b < 0);
+                } while (encodedByte < 0);
             }
         }
-        return counts;
+        return taskCounts;
     }
 
-    /** The stored value. */
+    /** Returns the stored form. */
     public JsonNode json() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(FORMAT);
             out.write(states);
-            out.write(tasks);
+            out.write(encodedTaskCounts);
             out.writeInt(crc(bytes.toByteArray(), bytes.size()));
         } catch (IOException e) {
             throw new UncheckedIOException("writing to a byte array cannot fail", e);
         }
-        return Json.object().put(FIELD, Base64.getEncoder().encodeToString(bytes.toByteArray()));
+        return Json.object().put(ENDED_FIELD, Base64.getEncoder().encodeToString(bytes.toByteArray()));
     }
 
     /**
-     * Reads a stored value back.
+     * Decodes a stored value.
      *
-     * @throws InvalidMessageException if any part of the value cannot be read
+     * @throws InvalidMessageException if any part of the value is invalid
      */
     public static Segment read(JsonNode value) throws InvalidMessageException {
-        String text = value == null ? null : Json.text(value, FIELD);
+        String text = value == null ? null : Json.text(value, ENDED_FIELD);
         if (text == null) {
-            throw new InvalidMessageException("there is no field " + FIELD);
+            throw new InvalidMessageException("field " + ENDED_FIELD + " is missing");
         }
-        byte[] all;
+        byte[] bytes;
         try {
-            all = Base64.getDecoder().decode(text);
+            bytes = Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            throw new InvalidMessageException("it is not base64");
+            throw new InvalidMessageException("field " + ENDED_FIELD + " is not valid base64");
         }
-        int body = all.length - Integer.BYTES;
-        if (body < 1 + JOBS / 4) {
-            throw new InvalidMessageException("it has only " + all.length + " bytes");
+        int bodyLength = bytes.length - Integer.BYTES;
+        if (bodyLength < 1 + JOBS / 4) {
+            throw new InvalidMessageException("segment has only " + bytes.length + " bytes");
         }
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(all))) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int format = in.readUnsignedByte();
             byte[] states = in.readNBytes(JOBS / 4);
-            byte[] tasks = in.readNBytes(body - 1 - states.length);
-            if (in.readInt() != crc(all, body)) {
-                throw new InvalidMessageException("its checksum is wrong");
+            byte[] encodedTaskCounts = in.readNBytes(bodyLength - 1 - states.length);
+            if (in.readInt() != crc(bytes, bodyLength)) {
+                throw new InvalidMessageException("segment checksum does not match");
             }
             if (format != FORMAT) {
-                throw new InvalidMessageException("its form is " + format + ", this version reads " + FORMAT);
+                throw new InvalidMessageException("segment format is " + format + ", expected " + FORMAT);
             }
-            Segment segment = new Segment(states, tasks);
-            segment.check();
+            Segment segment = new Segment(states, encodedTaskCounts);
+            segment.validate();
             return segment;
         } catch (IOException e) {
             throw new UncheckedIOException("reading from a byte array cannot fail", e);
         }
     }
 
-    private void check() throws InvalidMessageException {
+    private void validate() throws InvalidMessageException {
         int done = 0;
-        for (int i = 0; i < JOBS; i++) {
-            if (state(i) > CANCELLED) {
-                throw new InvalidMessageException("offset " + i + " has no known state");
+        for (int offset = 0; offset < JOBS; offset++) {
+            if (state(offset) > CANCELLED) {
+                throw new InvalidMessageException("offset " + offset + ": unknown job state " + state(offset));
             }
-            done += state(i) == DONE ? 1 : 0;
+            done += state(offset) == DONE ? 1 : 0;
         }
-        int ends = 0;
-        int length = 0;
-        for (byte b : tasks) {
-            length = b < 0 ? length + 1 : 0;
-            ends += b < 0 ? 0 : 1;
-            if (length > 4) {
-                throw new InvalidMessageException("a number of tasks is too long");
+        int taskCountsFound = 0;
+        int continuationBytes = 0;
+        for (byte encodedByte : encodedTaskCounts) {
+            continuationBytes = encodedByte < 0 ? continuationBytes + 1 : 0;
+            taskCountsFound += encodedByte < 0 ? 0 : 1;
+            if (continuationBytes > 4) {
+                throw new InvalidMessageException("a task count takes more than 5 bytes");
             }
         }
-        if (ends != done || length != 0) {
-            throw new InvalidMessageException("it has " + done + " done jobs and " + ends + " numbers of tasks");
+        if (taskCountsFound != done || continuationBytes != 0) {
+            throw new InvalidMessageException(
+                    "segment has " + done + " done jobs but " + taskCountsFound + " task counts");
         }
     }
 
@@ -203,11 +206,11 @@
     public boolean equals(Object other) {
         return other instanceof Segment segment
                 && Arrays.equals(states, segment.states)
-                && Arrays.equals(tasks, segment.tasks);
+                && Arrays.equals(encodedTaskCounts, segment.encodedTaskCounts);
     }
 
     @Override
     public int hashCode() {
-        return 31 * Arrays.hashCode(states) + Arrays.hashCode(tasks);
+        return 31 * Arrays.hashCode(states) + Arrays.hashCode(encodedTaskCounts);
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -21,11 +21,15 @@
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
+/**
+ * Guards against terminated jobs that get lost, change or mix with others in a segment: by the encoding, by a damaged stored
+ * value that is read as a smaller one, or by two ids with one address.
+ */
 class SegmentTest {
-    /** Against a map, which is the plain model: whatever went in comes out, through the stored form and back. */
+    /** Compares a segment, encoded and decoded from time to time, with a map as the reference model. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void holdsWhatAMapHolds(long seed) throws InvalidMessageException {
+    void segmentMatchesMapModelAfterEncodingAndDecoding(long seed) throws InvalidMessageException {
         SplittableRandom random = new SplittableRandom(seed);
         Map<Integer, TerminatedJob> model = new HashMap<>();
         Segment segment = Segment.EMPTY;
@@ -34,8 +38,8 @@
             TerminatedJob ended = random.nextInt(4) == 0
                     ? new TerminatedJob(Job.Status.CANCELLED, 0)
                     : new TerminatedJob(Job.Status.DONE, 1 + random.nextInt(1 << random.nextInt(17)));
-            TerminatedJob kept = model.putIfAbsent(offset, ended);
-            segment = segment.with(Map.of(offset, kept == null ? ended : kept));
+            TerminatedJob recordedEnd = model.putIfAbsent(offset, ended);
+            segment = segment.with(Map.of(offset, recordedEnd == null ? ended : recordedEnd));
             if (i % 50 == 0) {
                 segment = Segment.read(segment.json());
             }
@@ -47,40 +51,42 @@
     }
 
     @Test
-    void theLargestFitsTheSmallestValues() {
+    void segmentOfLargestJobsFitsMaxBytes() {
         Segment segment = Segment.EMPTY;
         for (int i = 0; i < Segment.JOBS; i++) {
             segment = segment.with(Map.of(i, new TerminatedJob(Job.Status.DONE, JobSpec.MAX_TASKS)));
         }
         assertTrue(
-                Json.bytes(segment.json()).length <= Segment.MAX_BYTES, "bytes " + Json.bytes(segment.json()).length);
+                Json.bytes(segment.json()).length <= Segment.MAX_BYTES,
+                "stored size in bytes: " + Json.bytes(segment.json()).length);
     }
 
     @Test
-    void anEndStaysAsItIs() {
+    void recordedEndCannotBeReplacedByAnotherEnd() {
         Segment segment = Segment.EMPTY.with(Map.of(7, new TerminatedJob(Job.Status.DONE, 3)));
         assertEquals(segment, segment.with(Map.of(7, new TerminatedJob(Job.Status.DONE, 3))));
         assertThrows(
                 IllegalStateException.class, () -> segment.with(Map.of(7, new TerminatedJob(Job.Status.CANCELLED, 0))));
     }
 
-    /** Any single byte that is wrong is noticed: a damaged segment may not be read as one with fewer jobs. */
+    /** One damaged byte or a truncated value must be an error: a damaged segment must not be read as one with fewer jobs. */
     @Test
-    void damageIsNoticed() throws InvalidMessageException {
+    void readRejectsDamagedOrTruncatedValue() throws InvalidMessageException {
         Segment segment = Segment.EMPTY.with(
                 Map.of(0, new TerminatedJob(Job.Status.DONE, 300), 9, new TerminatedJob(Job.Status.CANCELLED, 0)));
-        byte[] whole = Base64.getDecoder().decode(Json.text(segment.json(), "ended"));
-        for (int i = 0; i < whole.length; i++) {
-            byte[] damaged = whole.clone();
+        byte[] intact = Base64.getDecoder().decode(Json.text(segment.json(), "ended"));
+        for (int i = 0; i < intact.length; i++) {
+            byte[] damaged = intact.clone();
             damaged[i] ^= 0x10;
             assertThrows(InvalidMessageException.class, () -> Segment.read(value(damaged)));
         }
-        for (int length = 0; length < whole.length; length++) {
-            byte[] cut = java.util.Arrays.copyOf(whole, length);
-            assertThrows(InvalidMessageException.class, () -> Segment.read(value(cut)));
+        for (int length = 0; length < intact.length; length++) {
+            byte[] truncated = java.util.Arrays.copyOf(intact, length);
+            assertThrows(InvalidMessageException.class, () -> Segment.read(value(truncated)));
         }
-        for (JsonNode odd : new JsonNode[] {null, Json.object(), Json.object().put("ended", "?"), Json.array()}) {
-            assertThrows(InvalidMessageException.class, () -> Segment.read(odd));
+        for (JsonNode invalid :
+                new JsonNode[] {null, Json.object(), Json.object().put("ended", "?"), Json.array()}) {
+            assertThrows(InvalidMessageException.class, () -> Segment.read(invalid));
         }
         assertEquals(segment, Segment.read(segment.json()));
     }
@@ -89,10 +95,10 @@
         return Json.object().put("ended", Base64.getEncoder().encodeToString(bytes));
     }
 
-    /** Names that look alike are different jobs, and none shares a place with another. */
+    /** Ids that look alike are different jobs, so each needs an address of its own. */
     @Test
-    void noTwoIdsShareAPlace() {
-        Set<SegmentAddress> places = new HashSet<>();
+    void differentIdsHaveDifferentAddresses() {
+        Set<SegmentAddress> addresses = new HashSet<>();
         String[] ids = {
             "job-000412",
             "job-0000412",
@@ -109,15 +115,16 @@
             "job-٠٠٠٤١٢"
         };
         for (String id : ids) {
-            assertTrue(places.add(SegmentAddress.of(id)), id);
+            assertTrue(addresses.add(SegmentAddress.of(id)), id);
         }
         assertEquals(new SegmentAddress(SegmentAddress.ROOT + "0", 412), SegmentAddress.of("job-000412"));
         assertEquals(
                 new SegmentAddress(SegmentAddress.ROOT + "1953", 1_000_412 % 512), SegmentAddress.of("job-1000412"));
-        for (int n = 0; n < 3_000; n++) {
-            SegmentAddress place = SegmentAddress.of(String.format("job-%06d", n + 998_500));
-            assertEquals((n + 998_500) / 512, Long.parseLong(place.key().substring(SegmentAddress.ROOT.length())));
-            assertEquals((n + 998_500) % 512, place.offset());
+        for (int index = 0; index < 3_000; index++) {
+            SegmentAddress address = SegmentAddress.of(String.format("job-%06d", index + 998_500));
+            assertEquals(
+                    (index + 998_500) / 512, Long.parseLong(address.key().substring(SegmentAddress.ROOT.length())));
+            assertEquals((index + 998_500) % 512, address.offset());
         }
         assertNull(Segment.EMPTY.get(5));
     }
