--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -40,17 +40,17 @@
 import org.landingridge.wire.Json;
 import org.landingridge.wire.MachineType;
 
-/** One controller: the parts that every controller runs, and the leader term while it leads. */
+/** One controller process: the components that every controller runs, and the leader term while this controller leads. */
 public final class Controller implements Leadership.Listener {
-    /** Without an answer of the state service for so long this controller is not ready. */
+    /** Time without an answer from the state service after which this controller is not ready. */
     private static final long READY_MS = 4_000;
-    /** So long after its start the process lets users and workers in, whatever it knows by then. */
+    /** Time after the start at which the process accepts connections even if it has not read the state yet. */
     private static final long OPEN_MS = 2_000;
-    /** After a start the leases of hundreds of workers come first, and users' changes. */
+    /** Delays the announcement of capabilities after a start: workers' leases and users' changes are more urgent. */
     private static final long ANNOUNCE_MS = 6_000;
-    /** Of the state service's changes a second, what the leader's documents may use. */
+    /** Share of the state service's write rate that the leader's documents may use. */
     private static final double WRITER_SHARE = 0.5;
-    /** How often a new leader announces itself while the others may not have heard of it. */
+    /** Number of announcements that a new leader makes within {@link LeaderView}'s limit for its first message. */
     private static final int FIRST_ANNOUNCEMENTS = 4;
 
     private final EventLoop loop;
@@ -92,7 +92,7 @@
         // A third of the requests go to watches and a third to barriers; the rest is for renewals and writes.
         long pause = Math.max(
                 20, Math.round(1000 * 3.0 * nodes / settings.stateLimits().rps()));
-        // Wider than what is read at the start: it brings the changes of the history too.
+        // Watches more keys than it reads at the start: the changes of the history too.
         String watched = Keys.ROOT.substring(0, Keys.ROOT.length() - 1);
         watchCache = new WatchCache(client, loop, Keys.ROOT, watched, pause, metrics.busy, new WatchListener());
         table = new JobTable(loop::now, id -> watchCache.forget(Keys.JOBS + id));
@@ -140,12 +140,16 @@
         requests = new RequestRouter(heartbeats, jobs, configurations, metrics, this::ready, this::status);
     }
 
-    /** The structured events of this controller. */
+    /** Returns the log of this controller's structured events. */
     public EventLog eventLog() {
         return eventLog;
     }
 
-    /** Starts everything; {@code open} lets users and workers in, once there is something to tell them. */
+    /**
+     * Starts this controller.
+     *
+     * @param open starts to accept connections of users and workers; called once their requests can be served
+     */
     public void start(Runnable open) {
         watchCache.start();
         lead.start();
@@ -157,8 +161,9 @@
     }
 
     /**
-     * While a fresh process reads the state, hundreds of workers may want to connect after a crash of all controllers.
-     * Turning each away costs more than a port that does not listen yet, and delays the election.
+     * Accepts connections once the state has been read, a leader's message has arrived or the time {@code latest} has come.
+     * After a crash of all controllers hundreds of workers try to connect while the state is being read; to refuse each
+     * request costs more than a closed port, and delays the election.
      */
     private void open(Runnable open, long latest) {
         if (watchCache.following() || forwarder.heard() != null || loop.now() >= latest) {
@@ -170,7 +175,7 @@
         }
     }
 
-    /** Takes a message of another controller in. */
+    /** Handles a message of another controller. */
     public void received(PeerMessage message) {
         if (message instanceof PeerMessage.Ask m) {
             lead.asked(m);
@@ -190,7 +195,7 @@
     }
 
     private void runningCountsReceived(PeerMessage.RunningCounts message) {
-        // The sign of life of a former leader may come late: it may not hide the one that is heard now.
+        // A delayed message of an earlier leader must not replace the current leader, whose messages arrive.
         if (!leaderView.otherIsHeard(message.host())) {
             forwarder.heard(message.host());
             jobs.leaderHeard(message.writesStarved());
@@ -219,7 +224,7 @@
         loop.after(10_000, this::logActivity);
     }
 
-    /** Passes what the watch brings to whoever keeps that kind of key. */
+    /** Passes each change from the watch to the component that holds this kind of key. */
     private final class WatchListener implements WatchCache.Listener {
         @Override
         public void changed(String key, JsonNode value, long version) {
@@ -265,7 +270,7 @@
     @Override
     public void elected(long token) {
         if (types.isEmpty()) {
-            // Without the machine types no machine can be judged: they come with the next answer of the cloud.
+            // A leader term needs the machine types to decide on machines; waits for the cloud's answer.
             loop.after(200, () -> {
                 if (lead.leads() && lead.token() == token) {
                     elected(token);
@@ -279,7 +284,7 @@
         heartbeats.releaseParked();
     }
 
-    /** The others forward heartbeats from the moment they hear of the new leader, instead of redirecting every worker. */
+    /** Announces the new leader early and often: from its first message on the others forward heartbeats to it, not redirect. */
     private void announceOften() {
         long pause = LeaderView.HEARD_WITHIN_MS / FIRST_ANNOUNCEMENTS;
         for (long at = 0; at < LeaderView.HEARD_WITHIN_MS; at += pause) {
@@ -316,7 +321,7 @@
         });
     }
 
-    /** Asks the state service for an answer where the watch has brought none for a while: readiness depends on it. */
+    /** Sends a request to the state service if the watch has had no answer recently: readiness depends on the last answer. */
     private void probe() {
         if (!probing && watchCache.following() && loop.now() - watchCache.lastAnswer() > READY_MS / 4) {
             probing = true;
@@ -334,7 +339,7 @@
         requests.serve(exchange);
     }
 
-    /** Heartbeats that wait hold a connection each: half of the connections may be used for that. */
+    /** Each waiting heartbeat holds a connection; at most half of the connections may be held in this way. */
     private int maxWaitingHeartbeats() {
         return settings.machine().maxConnections() / 2;
     }
--- a/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
+++ b/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
@@ -16,21 +16,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes workers' heartbeats in: hands them to the leader term where this controller leads, forwards them to the leader
- * where another does, and parks them for a moment while no leader is known.
+ * Receives workers' heartbeats. Passes them to the leader term if this controller leads, forwards them to the leader if
+ * another controller leads, and parks them for a limited time while no leader is known.
  */
 final class HeartbeatReceiver {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReceiver.class);
-    /** A heartbeat waits so long for a leader to be known; the worker gives up after 4 s. */
+    /** Longest wait of a heartbeat for a leader to become known; below the worker's own timeout of 4 s. */
     private static final long PARK_MS = 1_500;
-    /** Pause between two looks whether a leader is known. */
+    /** Interval between checks whether a leader is known. */
     private static final long PARK_POLL_MS = 100;
 
+    /** Limit on the total size of the parked heartbeats, in bytes. */
     private static final int MAX_PARKED_BYTES = 8 << 20;
-    /** No leader is known here: the worker turns to another controller. */
+    /** HTTP status "Misdirected Request": no leader is known here, so the worker tries another controller. */
     private static final int MISDIRECTED = 421;
 
-    /** A heartbeat that came while no leader was known. */
+    /** A heartbeat that arrived while no leader was known; {@code until} is the loop time at which it is turned away. */
     private record Parked(Http.Exchange exchange, long until) {}
 
     private final EventLoop loop;
@@ -44,8 +45,8 @@
     private int parkedBytes;
 
     /**
-     * @param currentTerm the leader term of this controller, null while it does not lead
-     * @param maxParked heartbeats that may wait at a time; each holds a connection
+     * @param currentTerm supplies the leader term of this controller, null while it does not lead
+     * @param maxParked limit on the number of parked heartbeats; each holds a connection
      */
     HeartbeatReceiver(
             EventLoop loop,
@@ -90,8 +91,9 @@
     }
 
     /**
-     * Redirected, the worker would try the next controller a second later, which may know as little. And redirected to
-     * a leader that was elected a moment ago, hundreds would all be served by that one processor.
+     * Keeps a heartbeat until a leader is known. A worker turned away at once would try the next controller a second later,
+     * which may not know the leader either. And if hundreds of workers were redirected to a newly elected leader, that
+     * one processor would have to serve all of them.
      */
     private void park(Http.Exchange exchange) {
         parked.addLast(new Parked(exchange, loop.now() + PARK_MS));
@@ -101,7 +103,7 @@
         }
     }
 
-    /** Takes parked heartbeats in again where a leader is known by now, and turns away those that waited too long. */
+    /** Processes the parked heartbeats if a leader is known, and otherwise turns away those that have waited too long. */
     void releaseParked() {
         boolean known = currentTerm.get() != null || leaderView.otherLeads();
         for (int left = parked.size(); left > 0; left--) {
--- a/controller/src/main/java/org/landingridge/controller/LeaderDocuments.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderDocuments.java
@@ -7,20 +7,20 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * The leader's documents as the state service has them: machine registry, completed tasks, operations. Every controller
- * follows them, so that a new leader takes over from what is here already.
+ * Cache of the leader's documents in the state service: machine registry, completed tasks, operations. Every controller
+ * keeps it up to date from the watch, so that a new leader need not read the documents first.
  */
 final class LeaderDocuments {
     private final EventLoop loop;
     private final Map<String, JsonNode> values = new TreeMap<>();
-    /** By key: loop time at which the present value came to be known here. */
+    /** Loop time at which this controller received the current value, by key. */
     private final Map<String, Long> seenAt = new TreeMap<>();
 
     LeaderDocuments(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Takes a new value over; null removes the key. */
+    /** Stores the new value of a key; null removes the key. */
     void changed(String key, JsonNode value) {
         if (value == null) {
             values.remove(key);
@@ -31,12 +31,12 @@
         }
     }
 
-    /** The values by key, in the order of the keys. */
+    /** Returns the values by key, in the order of the keys. */
     Map<String, JsonNode> values() {
         return Collections.unmodifiableMap(values);
     }
 
-    /** By key: loop time at which the present value came to be known here. */
+    /** Returns the loop time at which this controller received the current value, by key. */
     Map<String, Long> seenAt() {
         return Collections.unmodifiableMap(seenAt);
     }
--- a/controller/src/main/java/org/landingridge/controller/LeaderView.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderView.java
@@ -6,11 +6,11 @@
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.net.EventLoop;
 
-/** Which controller this one takes for the leader, and whether workers' heartbeats can be forwarded or sent there. */
+/** Determines which controller currently leads, and whether workers' heartbeats can be forwarded or redirected to it. */
 final class LeaderView {
-    /** Without an answer of the state service for so long, the stored leader may be one of the past. */
+    /** Time without an answer from the state service after which the stored leader may be outdated. */
     private static final long STALE_MS = 2_500;
-    /** A new leader is heard over the peer connections within this time, or it cannot be reached over them. */
+    /** Time within which a new leader's first message must arrive; otherwise it cannot be reached over the peer connections. */
     static final long HEARD_WITHIN_MS = 1_000;
 
     private final EventLoop loop;
@@ -33,7 +33,7 @@
         this.ownHost = ownHost;
     }
 
-    /** Notes when the stored leader became another one; {@code before} is the host that was stored until now. */
+    /** Records the time of a change of the stored leader; {@code before} is the previously stored host. */
     void leaderKeyChanged(String before) {
         if (!Objects.equals(before, leadership.leaderHost())) {
             leaderSince = loop.now();
@@ -41,9 +41,9 @@
     }
 
     /**
-     * The leader's host, or null. A process that began in an outage of the state service knows the leader by its
-     * messages alone. Where the state service has not answered lately, as one that refuses this controller, the stored
-     * leader may be one of the past, to which workers would be redirected in a circle.
+     * Returns the leader's host, or null if no leader is known. A process that started during an outage of the state
+     * service knows the leader only by its messages. If the state service has not answered recently, for instance because
+     * it refuses this controller's requests, the stored leader may be outdated, and redirected workers would go in a circle.
      */
     String leader() {
         String heard = forwarder.heard();
@@ -51,7 +51,7 @@
         return !current && heard != null ? heard : leadership.leaderHost();
     }
 
-    /** True if another controller leads and heartbeats can be forwarded to it, or workers redirected. */
+    /** Returns true if another controller leads and heartbeats can be forwarded or workers redirected to it. */
     boolean otherLeads() {
         String leader = leader();
         return leader != null
@@ -59,7 +59,7 @@
                 && (leader.equals(forwarder.heard()) || loop.now() - leaderSince > HEARD_WITHIN_MS);
     }
 
-    /** True if the leader is another controller than {@code host}, and is heard over the peer connections. */
+    /** Returns true if a controller other than {@code host} leads, and its messages arrive over the peer connections. */
     boolean otherIsHeard(String host) {
         String leader = leader();
         return leader != null && !leader.equals(host) && leader.equals(forwarder.heard());
--- a/controller/src/main/java/org/landingridge/controller/RequestRouter.java
+++ b/controller/src/main/java/org/landingridge/controller/RequestRouter.java
@@ -26,8 +26,8 @@
     private final Supplier<byte[]> status;
 
     /**
-     * @param ready whether this controller can serve users
-     * @param status the body of {@code /api/status}
+     * @param ready tells whether this controller is ready to serve users
+     * @param status supplies the response body of {@code /api/status}
      */
     RequestRouter(
             HeartbeatReceiver heartbeats,
@@ -44,7 +44,7 @@
         this.status = status;
     }
 
-    /** Serves one request. */
+    /** Serves one request; the response may be sent later. */
     void serve(Http.Exchange exchange) {
         switch (exchange.path()) {
             case "/hello" ->
--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -12,8 +12,8 @@
 import org.landingridge.controller.store.BatchWriter;
 
 /**
- * Tells the other controllers how many tasks of each job run, and shows what the leader tells. Users poll any controller,
- * and only the leader knows. The message is also the leader's sign of life to the others.
+ * Sends the leader's number of running tasks of each job to the other controllers, and displays the numbers received. Users
+ * poll any controller, but only the leader has these numbers. By the same message the others see that the leader is reachable.
  */
 final class RunningCountsExchange {
     private final Supplier<LeaderTerm> currentTerm;
@@ -24,7 +24,7 @@
     private final String ownHost;
     private final List<String> otherHosts;
 
-    /** @param currentTerm the leader term of this controller; it is there whenever {@link #announce} is called */
+    /** @param currentTerm supplies the leader term of this controller; must not be null when {@link #announce} is called */
     RunningCountsExchange(
             Supplier<LeaderTerm> currentTerm,
             JobTable table,
@@ -42,7 +42,7 @@
         this.otherHosts = otherHosts;
     }
 
-    /** The leader's side: shows its counts here and sends them to every other controller. */
+    /** Displays the leader's counts on this controller and sends them to every other; called on the leader only. */
     void announce() {
         Map<String, Integer> counts = currentTerm.get().running();
         show(counts);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Notes the counts with the jobs, for display. */
+    /** Stores the counts in the job table for display; jobs without a count have no running tasks. */
     void show(Map<String, Integer> counts) {
         for (Job job : table.active()) {
             job.running(counts.getOrDefault(job.id(), 0));
--- a/controller/src/main/java/org/landingridge/controller/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/package-info.java
@@ -1,8 +1,9 @@
 /**
- * One controller: {@link org.landingridge.controller.Controller} wires the parts that every controller runs and holds the
- * leader term while this one leads. Requests, messages and news of the state service come in here and are passed on.
+ * One controller process: {@link org.landingridge.controller.Controller} connects the components that every controller runs
+ * and holds the leader term while this controller leads. Requests, messages of other controllers and changes in the state
+ * service arrive here and are passed on.
  *
- * <p>All state of the process is owned by the event loop's one thread. This package depends on all the others; none depends
- * on it, but the command line.
+ * <p>All state of the process is accessed only on the event loop's single thread. This package depends on all the others;
+ * only the command line depends on it.
  */
 package org.landingridge.controller;
--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -8,16 +8,17 @@
 import org.landingridge.wire.LeaderRedirect;
 
 /**
- * Forwards heartbeats of workers to the leader and its answers back, so that a worker may stay with any controller: a leader
- * that the workers cannot reach keeps their leases, and a failover moves only the workers that were with the leader itself.
- * Where the leader is not heard over {@code back}, the worker is redirected to it.
+ * Forwards workers' heartbeats to the leader and returns the leader's answers to the workers, so that a worker can stay
+ * connected to any controller. Workers renew their leases even when they cannot reach the leader directly, and a failover
+ * makes only the workers of the failed leader reconnect. If no messages arrive from the leader over the peer network
+ * ({@code back}), workers are redirected to the leader instead.
  */
 public final class HeartbeatForwarder {
-    /** The leader sends the others every second what runs: after a few misses the connection to it is taken to be cut. */
+    /** The leader sends a message every second; after more than two missing ones the connection counts as cut. */
     private static final long FRESH_MS = 2_800;
-    /** Less than the 4 s after which the worker gives up. */
+    /** Below the worker's own timeout of 4 s, so that the redirect still reaches the worker. */
     private static final long WAIT_MS = 1_500;
-    /** Heartbeats that wait may take so many bytes together. */
+    /** Limit on the total size of the heartbeats that wait for an answer, in bytes. */
     private static final int MOST_BYTES = 8 << 20;
 
     private final EventLoop loop;
@@ -29,16 +30,16 @@
     private String heardHost;
     private long heardAt = Long.MIN_VALUE / 2;
     /**
-     * Of the heartbeat forwarded last. Each incarnation begins somewhere else: a process that is back within a fraction of a
-     * second may get the answer to a heartbeat that its former incarnation forwarded, and would give one machine's commands
-     * to another.
+     * Number of the last forwarded heartbeat. Each incarnation starts at a random number: a process that restarts within a
+     * fraction of a second may receive the answer to a heartbeat that its previous incarnation forwarded, and with equal
+     * numbers would send one machine's commands to another.
      */
     private long number;
 
     /**
-     * @param random      draws the number of the first heartbeat
-     * @param host        of this controller
-     * @param mostWaiting heartbeats that may wait for the leader at a time; each takes a connection of its worker
+     * @param random      source of the number at which this incarnation starts
+     * @param host        host of this controller
+     * @param mostWaiting limit on the heartbeats that wait for an answer; each occupies a connection of its worker
      */
     public HeartbeatForwarder(
             EventLoop loop, PeerTransport transport, RandomGenerator random, String host, int mostWaiting) {
@@ -49,18 +50,18 @@
         this.number = random.nextLong();
     }
 
-    /** A message of this leader has come. */
+    /** Records that a message from this leader has arrived. */
     public void heard(String leader) {
         heardHost = leader;
         heardAt = loop.now();
     }
 
-    /** The leader that is heard over {@code back}, or null. */
+    /** Returns the leader whose messages arrive over {@code back}, or null if none has arrived recently. */
     public String heard() {
         return loop.now() - heardAt < FRESH_MS ? heardHost : null;
     }
 
-    /** Answers a heartbeat at a controller that does not lead: 421 with the leader's host where it cannot be forwarded. */
+    /** Forwards a heartbeat to the leader, or answers 421 with the leader's host if it cannot be forwarded. */
     public void report(String leader, Http.Exchange exchange) {
         if (!leader.equals(heard()) || waiting.size() >= mostWaiting || waitingBytes > MOST_BYTES) {
             redirect(leader, exchange);
@@ -87,7 +88,7 @@
         exchange.answer(421, LeaderRedirect.bytes(leader));
     }
 
-    /** The leader's answer. */
+    /** Passes the leader's answer to the worker that waits for it. */
     public void answered(PeerMessage.Answer answer) {
         Http.Exchange exchange = take(answer.number());
         if (exchange != null) {
@@ -95,7 +96,7 @@
         }
     }
 
-    /** The leader's side: an exchange whose answer goes back over {@code back}. */
+    /** Returns an exchange by which the leader answers a forwarded heartbeat; the answer is sent over {@code back}. */
     public Http.Exchange carried(PeerMessage.ForwardedHeartbeat heartbeat) {
         return new Http.Exchange() {
             @Override
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
@@ -11,7 +11,7 @@
 import org.xnio.StreamConnection;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** Reads frames off one controller's connection until it ends: four bytes of length, then one record. */
+/** Reads frames from another controller's connection until it ends. A frame is a four-byte length followed by one record. */
 final class PeerFrameReader {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     private static final int LENGTH_BYTES = 4;
@@ -79,7 +79,7 @@
         try {
             message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(frame)));
         } catch (IOException e) {
-            // A frame of its own: what follows it can be read all the same.
+            // The frame's length is known, so the frames after it can still be read.
             LOG.warn("a controller's record of {} bytes cannot be read and is dropped: {}", frame.length, e.toString());
             return;
         }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerLink.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerLink.java
@@ -15,7 +15,7 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** The connection to one controller, dialled when there is something to send. What cannot be sent soon is dropped as stale. */
+/** The outgoing connection to one controller, opened on demand. Records that cannot be sent soon are dropped as stale. */
 final class PeerLink {
     private enum State {
         DOWN,
@@ -23,7 +23,7 @@
         UP
     }
 
-    /** Bytes that may wait for one controller: the heartbeats of a large fleet in the moment of an election. */
+    /** Limit on the queue to one controller, in bytes: room for the heartbeats of a large fleet during an election. */
     private static final int MOST_QUEUED = 2 << 20;
 
     private static final long DIAL_MS = 2_000;
@@ -42,7 +42,10 @@
         this.addr = addr;
     }
 
-    /** Sends a record once the connection is up, if that is soon. */
+    /**
+     * Sends a record, or queues it until the connection is up. If the queue is full, its records are dropped first. If dialling
+     * fails, all queued records are dropped.
+     */
     void send(byte[] record) {
         if (queued > MOST_QUEUED) {
             drop();
@@ -64,7 +67,7 @@
         IoFuture<StreamConnection> future =
                 worker.openStreamConnection(addr, null, OptionMap.create(Options.TCP_NODELAY, true));
         future.addNotifier(new DialNotifier(dial), null);
-        // A cut connection shows no error: the dial is given up, and made again for the next record.
+        // A network partition causes no error, so a dial has a timeout; the next record starts another dial.
         loop.after(DIAL_MS, () -> {
             if (state == State.DIALLING && dial == dials) {
                 future.cancel();
@@ -73,7 +76,7 @@
         });
     }
 
-    /** Brings the outcome of a dial to the loop. */
+    /** Passes the outcome of a dial to the event loop. */
     private final class DialNotifier extends IoFuture.HandlingNotifier<StreamConnection, Void> {
         private final long dial;
 
@@ -110,7 +113,7 @@
         write(dialled.getSinkChannel());
     }
 
-    /** The other side never writes here: a read shows the end of the connection. */
+    /** Detects the end of the connection: the other controller never writes on it, so a read yields nothing else. */
     private void dropAtEnd(ConduitStreamSourceChannel source) {
         try {
             if (source.read(ByteBuffer.allocate(16)) < 0) {
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -6,18 +6,20 @@
 import java.util.Map;
 import org.landingridge.controller.jobs.CancellationLog;
 
-/** What controllers send to each other; {@link PeerMessageCodec} has the form on the wire. */
+/** A message between controllers; {@link PeerMessageCodec} defines its wire format. */
 public sealed interface PeerMessage {
-    /** The largest record, in bytes. */
+    /** Size limit of a record, in bytes. */
     int MAX_BYTES = 256 * 1024;
 
     /**
-     * The leader asks for a promise not to take the lead for a bounded time, and for what the other knows to be cancelled.
+     * A leader's request for a promise not to claim the leadership for a bounded time, and for the cancellations that the
+     * receiver knows.
      *
-     * @param number        of this request
-     * @param knownRevision the leader knows everything up to this revision
-     * @param incarnation   of the asked controller, as the leader knows it; 0 if it does not
-     * @param position      up to which the leader has the log of that incarnation
+     * @param token         the leader's fencing token
+     * @param number        request number, returned in the response
+     * @param knownRevision revision up to which the leader knows the state
+     * @param incarnation   the receiver's incarnation as last known to the leader; 0 if unknown
+     * @param position      position up to which the leader knows the cancellation log of that incarnation
      */
     record Ask(String host, long token, long number, long knownRevision, long incarnation, long position)
             implements PeerMessage {
@@ -28,9 +30,11 @@
     }
 
     /**
-     * The promise is given, counted by the leader from when it sent the request of this number.
+     * The requested promise. The leader counts its duration from the time at which it sent the request.
      *
-     * @param report what the giver vouches for; null where it cannot, or is of a version that does not
+     * @param token  fencing token of the request
+     * @param number number of the request
+     * @param report the cancellations that the sender knows; null if it cannot report them or runs an earlier version
      */
     record Grant(String host, long token, long number, CancellationReport report) implements PeerMessage {
         @Override
@@ -40,18 +44,18 @@
     }
 
     /**
-     * What a controller's present incarnation knows to be cancelled.
+     * A section of the cancellation log of a controller's current incarnation.
      *
-     * @param incarnation   which one
-     * @param from          the position in its log after which this begins
-     * @param to            the position that it reaches
-     * @param complete      nothing is known there beyond it
-     * @param cancellations in the order of the log
+     * @param incarnation   the incarnation that keeps the log
+     * @param from          log position after which the section starts
+     * @param to            log position at which the section ends
+     * @param complete      true if the log has no entries after the section
+     * @param cancellations the entries, in the order of the log
      */
     record CancellationReport(
             long incarnation, long from, long to, boolean complete, List<CancellationLog.Ending> cancellations) {}
 
-    /** No promise: the refuser can use the state service itself, or leads. */
+    /** Refusal of a promise: the sender can use the state service itself, or leads. */
     record Refuse(String host, long token, long number) implements PeerMessage {
         @Override
         public PeerRecordType type() {
@@ -59,7 +63,7 @@
         }
     }
 
-    /** The leader of this token has stepped down for good: its key may be replaced. */
+    /** Announces that the leader with this fencing token has ended its term: its key may be replaced. */
     record HandOver(String host, long token) implements PeerMessage {
         @Override
         public PeerRecordType type() {
@@ -68,10 +72,10 @@
     }
 
     /**
-     * The leader sends it every second, which shows that it is reachable.
+     * The leader's message of every second, by which the receivers also know that it is reachable.
      *
-     * @param counts        how many tasks run of each job, for display
-     * @param writesStarved whether the leader gets fewer changes into the state service than it has to make
+     * @param counts        number of running tasks by job id, for display
+     * @param writesStarved true if the state service limits the leader's writes and documents still wait to be written
      */
     record RunningCounts(String host, Map<String, Integer> counts, boolean writesStarved) implements PeerMessage {
         @Override
@@ -80,7 +84,12 @@
         }
     }
 
-    /** A worker's heartbeat, carried to the leader by a controller that the worker can reach. */
+    /**
+     * A worker's heartbeat, forwarded to the leader by another controller.
+     *
+     * @param number identifies the heartbeat among those of the sender
+     * @param body   body of the worker's HTTP request
+     */
     record ForwardedHeartbeat(String host, long number, byte[] body) implements PeerMessage {
         @Override
         public PeerRecordType type() {
@@ -88,7 +97,13 @@
         }
     }
 
-    /** The leader's answer to a forwarded heartbeat; status 0 where it has none. */
+    /**
+     * The leader's answer to a forwarded heartbeat.
+     *
+     * @param number number of the heartbeat
+     * @param status HTTP status for the worker
+     * @param body   body of the HTTP response for the worker
+     */
     record Answer(String host, long number, int status, byte[] body) implements PeerMessage {
         @Override
         public PeerRecordType type() {
@@ -96,21 +111,21 @@
         }
     }
 
-    /** The controller that sent it. */
+    /** Returns the host of the controller that sent the message. */
     String host();
 
-    /** The type of its record on the wire. */
+    /** Returns the type of the record on the wire. */
     PeerRecordType type();
 
-    /** The record on the wire. */
+    /** Returns the record on the wire. */
     default byte[] encode() {
         return PeerMessageCodec.encode(this);
     }
 
     /**
-     * Reads one record.
+     * Decodes one record.
      *
-     * @throws IOException if it is malformed
+     * @throws IOException if the record is malformed
      */
     static PeerMessage decode(DataInputStream in) throws IOException {
         return PeerMessageCodec.decode(in);
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -12,8 +12,9 @@
 import org.landingridge.controller.jobs.CancellationLog;
 
 /**
- * The form of messages on the wire: records of DataOutputStream, a byte of the type and the sender first. Fields that later
- * versions added stand last, and a record without them is read as one of an earlier version.
+ * Wire format of the messages between controllers. A record is written with {@link DataOutputStream}: the type as one byte,
+ * the sender's host, then the fields. Fields added by later versions come last, and a record that ends before them is read
+ * as one of an earlier version.
  */
 final class PeerMessageCodec {
     private PeerMessageCodec() {}
@@ -102,7 +103,7 @@
         out.write(body);
     }
 
-    /** Reads one record; anything malformed is an IOException. */
+    /** Decodes one record; throws an IOException if it is malformed. */
     static PeerMessage decode(DataInputStream in) throws IOException {
         int code = in.readUnsignedByte();
         String host = in.readUTF();
@@ -117,7 +118,7 @@
         };
     }
 
-    /** A controller of an earlier version does not ask for the others' reports. */
+    /** In requests of earlier versions, which do not ask for cancellations, the last three fields are missing. */
     private static PeerMessage readAsk(String host, DataInputStream in) throws IOException {
         return new PeerMessage.Ask(
                 host,
@@ -128,7 +129,7 @@
                 in.available() > 0 ? in.readLong() : 0);
     }
 
-    /** A controller of an earlier version gives no report. */
+    /** In responses of earlier versions the report is missing. */
     private static PeerMessage readGrant(String host, DataInputStream in) throws IOException {
         long token = in.readLong();
         long number = in.readLong();
@@ -152,7 +153,7 @@
         return new PeerMessage.CancellationReport(incarnation, from, to, complete, cancellations);
     }
 
-    /** A leader of a version before 0.3 says nothing of its writes. */
+    /** In messages of versions before 0.3 the last field is missing. */
     private static PeerMessage readRunningCounts(String host, DataInputStream in) throws IOException {
         int size = in.readInt();
         Map<String, Integer> counts = new LinkedHashMap<>();
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The types of records between controllers, each with the byte that its record begins with. */
+/** The types of records between controllers, each with its code: the first byte of the record. */
 public enum PeerRecordType {
     ASK(1),
     GRANT(2),
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerTransport.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerTransport.java
@@ -1,7 +1,7 @@
 package org.landingridge.controller.peer;
 
-/** Sends messages to the other controllers. Messages may be lost, and may arrive late. */
+/** Sends messages to the other controllers. Messages may be lost or delayed. */
 public interface PeerTransport {
-    /** Sends to the controller of this host; a host that is none of the others is ignored. */
+    /** Sends a message to the controller on this host; a message to an unknown host is ignored. */
     void send(String host, PeerMessage message);
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
@@ -17,19 +17,23 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** Frames over TCP on {@code back}: four bytes of length, then one record. Each controller dials every other. */
+/**
+ * Sends messages as frames over TCP on the peer network ({@code back}). A frame is a four-byte length followed by one record.
+ * Each controller connects to every other and sends on its own connections only.
+ */
 public final class XnioPeerTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     private final Consumer<PeerMessage> receiver;
     private final Map<String, PeerLink> links = new HashMap<>();
 
     /**
-     * Listens at once; connections to the others are made when there is something to send.
+     * Starts to listen at once; connects to another controller when there is something to send.
      *
-     * @param worker   its one thread runs the event loop
+     * @param worker   I/O worker whose only thread runs the event loop
      * @param peers    the other controllers
-     * @param receiver takes what the others send
-     * @throws IOException if the address cannot be listened on
+     * @param listen   address to listen on
+     * @param receiver called with each message that arrives
+     * @throws IOException if the server socket cannot be opened on the address
      */
     public XnioPeerTransport(
             XnioWorker worker,
--- a/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
+++ b/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
@@ -10,8 +10,12 @@
 import org.landingridge.net.EventLoop;
 import org.landingridge.net.Http;
 
+/**
+ * Guards against a controller that restarts so quickly that the leader's answer to a heartbeat of its previous incarnation
+ * reaches the new one: with equal heartbeat numbers, one machine would receive the commands of another.
+ */
 class HeartbeatForwarderTest {
-    /** A clock that stands; nothing that is put off ever happens. */
+    /** An event loop whose clock stays at 1 s and whose timers never fire. */
     private static final EventLoop LOOP = new EventLoop() {
         @Override
         public long now() {
