--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -43,101 +43,109 @@
 /** One controller process: the components that every controller runs, and the leader term while this controller leads. */
 public final class Controller implements Leadership.Listener {
     /** Time without an answer from the state service after which this controller is not ready. */
-    private static final long READY_MS = 4_000;
+    private static final long READINESS_TIMEOUT_MS = 4_000;
     /** Time after the start at which the process accepts connections even if it has not read the state yet. */
-    private static final long OPEN_MS = 2_000;
+    private static final long MAX_OPEN_DELAY_MS = 2_000;
     /** Delays the announcement of capabilities after a start: workers' leases and users' changes are more urgent. */
-    private static final long ANNOUNCE_MS = 6_000;
+    private static final long CAPABILITIES_DELAY_MS = 6_000;
     /** Share of the state service's write rate that the leader's documents may use. */
-    private static final double WRITER_SHARE = 0.5;
+    private static final double DOCUMENT_WRITE_SHARE = 0.5;
     /** Number of announcements that a new leader makes within {@link LeaderView}'s limit for its first message. */
-    private static final int FIRST_ANNOUNCEMENTS = 4;
+    private static final int INITIAL_ANNOUNCEMENTS = 4;
 
     private final EventLoop loop;
     private final Settings settings;
     private final WatchCache watchCache;
-    private final JobTable table;
+    private final JobTable jobTable;
     private final History history;
     private final Capabilities capabilities;
     private final Metrics metrics;
     private final IncidentReport incidents;
     private final EventLog eventLog;
-    private final JobService jobs;
-    private final ConfigurationView configuration;
-    private final ConfigurationService configurations;
+    private final JobService jobService;
+    private final ConfigurationView configurationView;
+    private final ConfigurationService configurationService;
     private final Leadership lead;
-    private final CloudClient cloud;
+    private final CloudClient cloudClient;
     private final LeaderContext parts;
-    private final Map<String, MachineType> types = new LinkedHashMap<>();
-    private final LeaderDocuments documents;
+    private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    private final LeaderDocuments leaderDocuments;
     private final HeartbeatForwarder forwarder;
     private final LeaderView leaderView;
-    private final HeartbeatReceiver heartbeats;
+    private final HeartbeatReceiver heartbeatReceiver;
     private final RunningCountsExchange runningCounts;
-    private final RequestRouter requests;
+    private final RequestRouter requestRouter;
     /** Null while this controller does not lead. */
     private LeaderTerm leaderTerm;
 
-    private boolean probing;
+    private boolean probePending;
 
     public Controller(
-            EventLoop loop, Http http, PeerTransport peers, RandomGenerator random, Settings settings, Policy policy) {
+            EventLoop loop,
+            Http http,
+            PeerTransport transport,
+            RandomGenerator random,
+            Settings settings,
+            Policy policy) {
         this.loop = loop;
         this.settings = settings;
         this.incidents = new IncidentReport(loop);
         this.eventLog = new EventLog(loop);
         this.metrics = new Metrics(loop::nanos);
-        StateClient client = new StateClient(http, settings.state());
-        int nodes = settings.peers().size() + 1;
+        StateClient stateClient = new StateClient(http, settings.state());
+        int controllerCount = settings.peers().size() + 1;
         // A third of the requests go to watches and a third to barriers; the rest is for renewals and writes.
-        long pause = Math.max(
-                20, Math.round(1000 * 3.0 * nodes / settings.stateLimits().rps()));
+        long watchPauseMs = Math.max(
+                20,
+                Math.round(1000 * 3.0 * controllerCount / settings.stateLimits().rps()));
         // Watches more keys than it reads at the start: the changes of the history too.
-        String watched = Keys.ROOT.substring(0, Keys.ROOT.length() - 1);
-        watchCache = new WatchCache(client, loop, Keys.ROOT, watched, pause, metrics.busy, new WatchListener());
-        table = new JobTable(loop::now, id -> watchCache.forget(Keys.JOBS + id));
-        history = new History(client, watchCache, metrics);
-        documents = new LeaderDocuments(loop);
+        String watchedPrefix = Keys.ROOT.substring(0, Keys.ROOT.length() - 1);
+        watchCache = new WatchCache(
+                stateClient, loop, Keys.ROOT, watchedPrefix, watchPauseMs, metrics.busy, new WatchListener());
+        jobTable = new JobTable(loop::now, id -> watchCache.forget(Keys.JOBS + id));
+        history = new History(stateClient, watchCache, metrics);
+        leaderDocuments = new LeaderDocuments(loop);
         List<String> others = settings.peers().stream().map(Settings.Peer::host).toList();
-        capabilities = new Capabilities(client, watchCache, loop, settings.host(), others);
-        forwarder = new HeartbeatForwarder(loop, peers, random, settings.host(), maxWaitingHeartbeats());
+        capabilities = new Capabilities(stateClient, watchCache, loop, settings.host(), others);
+        forwarder = new HeartbeatForwarder(loop, transport, random, settings.host(), maxWaitingHeartbeats());
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
-        StoreAccess store = new StoreAccess(client, watchCache, loop);
-        PeerGroup group = new PeerGroup(settings.host(), others, peers);
+        StoreAccess storeAccess = new StoreAccess(stateClient, watchCache, loop);
+        PeerGroup peerGroup = new PeerGroup(settings.host(), others, transport);
         long freshnessMs = ElectionSettings.freshnessMs(
                 settings.workers().cancelS(), settings.workers().leaseS(), holdMs);
-        ElectionSettings election = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
-        lead = new Leadership(store, random, group, election, table.endings(), this);
+        ElectionSettings electionSettings = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
+        lead = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.endings(), this);
         BatchWriter writer = new BatchWriter(
-                store, settings.stateLimits(), WRITER_SHARE, Keys.LEADER, lead::writeGuard, metrics.busy);
-        cloud = new CloudClient(
+                storeAccess, settings.stateLimits(), DOCUMENT_WRITE_SHARE, Keys.LEADER, lead::writeGuard, metrics.busy);
+        cloudClient = new CloudClient(
                 http, loop, settings.cloud(), settings.cloudLimits().rps());
-        JobLookup lookup = new JobLookup(client, watchCache, table, history);
-        configuration = new ConfigurationView(settings.teams());
-        configurations = new ConfigurationService(
-                client, watchCache, loop, configuration, settings.host(), settings.stateLimits());
-        jobs = new JobService(
-                new JobService.Dependencies(client, watchCache, loop, table, lookup, metrics),
-                configuration,
+        JobLookup jobLookup = new JobLookup(stateClient, watchCache, jobTable, history);
+        configurationView = new ConfigurationView(settings.teams());
+        configurationService = new ConfigurationService(
+                stateClient, watchCache, loop, configurationView, settings.host(), settings.stateLimits());
+        jobService = new JobService(
+                new JobService.Dependencies(stateClient, watchCache, loop, jobTable, jobLookup, metrics),
+                configurationView,
                 settings,
-                types,
+                machineTypes,
                 () -> capabilities.all(Capabilities.Feature.PIPELINES));
         parts = new LeaderContext(
                 new LeaderContext.Environment(loop, http, random),
                 new LeaderContext.Configured(settings, policy),
-                new LeaderContext.Store(client, watchCache, writer),
+                new LeaderContext.Store(stateClient, watchCache, writer),
                 lead,
-                new LeaderContext.Cloud(cloud, types),
-                new LeaderContext.Jobs(table, history, lookup),
+                new LeaderContext.Cloud(cloudClient, machineTypes),
+                new LeaderContext.Jobs(jobTable, history, jobLookup),
                 capabilities,
-                configuration,
+                configurationView,
                 new LeaderContext.Observability(metrics, incidents, eventLog));
         leaderView = new LeaderView(loop, lead, watchCache, forwarder, settings.host());
-        heartbeats = new HeartbeatReceiver(
+        heartbeatReceiver = new HeartbeatReceiver(
                 loop, lead, leaderView, forwarder, () -> leaderTerm, metrics, maxWaitingHeartbeats());
-        runningCounts =
-                new RunningCountsExchange(() -> leaderTerm, table, jobs, writer, peers, settings.host(), others);
-        requests = new RequestRouter(heartbeats, jobs, configurations, metrics, this::ready, this::status);
+        runningCounts = new RunningCountsExchange(
+                () -> leaderTerm, jobTable, jobService, writer, transport, settings.host(), others);
+        requestRouter = new RequestRouter(
+                heartbeatReceiver, jobService, configurationService, metrics, this::isReady, this::status);
     }
 
     /** Returns the log of this controller's structured events. */
@@ -153,60 +161,60 @@
     public void start(Runnable open) {
         watchCache.start();
         lead.start();
-        refreshTypes();
-        probe();
+        refreshMachineTypes();
+        probeStateService();
         announceEverySecond();
         logActivity();
-        open(open, loop.now() + OPEN_MS);
+        openWhenInformed(open, loop.now() + MAX_OPEN_DELAY_MS);
     }
 
     /**
-     * Accepts connections once the state has been read, a leader's message has arrived or the time {@code latest} has come.
+     * Accepts connections once the state has been read, a leader's message has arrived, or the time {@code latestOpenAt} has come.
      * After a crash of all controllers hundreds of workers try to connect while the state is being read; to refuse each
      * request costs more than a closed port, and delays the election.
      */
-    private void open(Runnable open, long latest) {
-        if (watchCache.following() || forwarder.heard() != null || loop.now() >= latest) {
+    private void openWhenInformed(Runnable open, long latestOpenAt) {
+        if (watchCache.following() || forwarder.reachableLeader() != null || loop.now() >= latestOpenAt) {
             open.run();
             lead.consider();
-            loop.after(ANNOUNCE_MS, capabilities::announce);
+            loop.after(CAPABILITIES_DELAY_MS, capabilities::announce);
         } else {
-            loop.after(20, () -> open(open, latest));
+            loop.after(20, () -> openWhenInformed(open, latestOpenAt));
         }
     }
 
     /** Handles a message of another controller. */
     public void received(PeerMessage message) {
-        if (message instanceof PeerMessage.Ask m) {
-            lead.asked(m);
-        } else if (message instanceof PeerMessage.Grant m) {
-            lead.granted(m);
-        } else if (message instanceof PeerMessage.Refuse m) {
-            lead.refused(m);
-        } else if (message instanceof PeerMessage.HandOver m) {
-            lead.handedOver(m);
-        } else if (message instanceof PeerMessage.RunningCounts m) {
-            runningCountsReceived(m);
-        } else if (message instanceof PeerMessage.ForwardedHeartbeat m) {
-            forwardedHeartbeatReceived(m);
-        } else if (message instanceof PeerMessage.Answer m) {
-            forwarder.answered(m);
+        if (message instanceof PeerMessage.Ask ask) {
+            lead.asked(ask);
+        } else if (message instanceof PeerMessage.Grant grant) {
+            lead.granted(grant);
+        } else if (message instanceof PeerMessage.Refuse refusal) {
+            lead.refused(refusal);
+        } else if (message instanceof PeerMessage.HandOver handOver) {
+            lead.handedOver(handOver);
+        } else if (message instanceof PeerMessage.RunningCounts counts) {
+            receiveRunningCounts(counts);
+        } else if (message instanceof PeerMessage.ForwardedHeartbeat heartbeat) {
+            receiveForwardedHeartbeat(heartbeat);
+        } else if (message instanceof PeerMessage.HeartbeatAnswer answer) {
+            forwarder.receiveAnswer(answer);
         }
     }
 
-    private void runningCountsReceived(PeerMessage.RunningCounts message) {
+    private void receiveRunningCounts(PeerMessage.RunningCounts message) {
         // A delayed message of an earlier leader must not replace the current leader, whose messages arrive.
-        if (!leaderView.otherIsHeard(message.host())) {
-            forwarder.heard(message.host());
-            jobs.leaderHeard(message.writesStarved());
-            metrics.busy.during(Part.STATUS, () -> runningCounts.show(message.counts()));
+        if (!leaderView.hasReachableLeaderOtherThan(message.host())) {
+            forwarder.recordLeaderMessage(message.host());
+            jobService.leaderHeard(message.writesStarved());
+            metrics.busy.during(Part.STATUS, () -> runningCounts.display(message.counts()));
         }
     }
 
-    private void forwardedHeartbeatReceived(PeerMessage.ForwardedHeartbeat message) {
-        Http.Exchange exchange = forwarder.carried(message);
+    private void receiveForwardedHeartbeat(PeerMessage.ForwardedHeartbeat message) {
+        Http.Exchange exchange = forwarder.exchangeFor(message);
         if (leaderTerm != null && lead.mayAct()) {
-            metrics.busy.during(Part.FORWARDED_HEARTBEATS, () -> heartbeats.receive(exchange));
+            metrics.busy.during(Part.FORWARDED_HEARTBEATS, () -> heartbeatReceiver.receive(exchange));
         } else {
             exchange.answer(503, new byte[0]);
         }
@@ -229,7 +237,7 @@
         @Override
         public void changed(String key, JsonNode value, long version) {
             if (key.startsWith(Keys.JOBS)) {
-                table.changed(key.substring(Keys.JOBS.length()), value, version);
+                jobTable.changed(key.substring(Keys.JOBS.length()), value, version);
             } else if (key.startsWith(SegmentAddress.ROOT)) {
                 history.changed(key, value, version);
             } else if (key.startsWith(Capabilities.ROOT)) {
@@ -237,9 +245,9 @@
             } else if (key.startsWith(ConfigurationView.ROOT)) {
                 configurationChanged(key, value);
             } else if (key.equals(Keys.LEADER)) {
-                String before = lead.leaderHost();
+                String previousLeader = lead.leaderHost();
                 lead.keyChanged(value, version);
-                leaderView.leaderKeyChanged(before);
+                leaderView.leaderKeyChanged(previousLeader);
             } else if (key.equals(Keys.LEADER_LAST)) {
                 lead.lastLeaderChanged(value);
             } else {
@@ -254,22 +262,22 @@
     }
 
     private void configurationChanged(String key, JsonNode value) {
-        configuration.changed(key, value);
+        configurationView.changed(key, value);
         if (leaderTerm != null) {
             leaderTerm.changed();
         }
     }
 
     private void leaderDocumentChanged(String key, JsonNode value) {
-        documents.changed(key, value);
+        leaderDocuments.update(key, value);
         if (key.startsWith(Keys.ROOT + CompletionStore.PREFIX)) {
-            CompletionStore.read(value, table);
+            CompletionStore.read(value, jobTable);
         }
     }
 
     @Override
     public void elected(long token) {
-        if (types.isEmpty()) {
+        if (machineTypes.isEmpty()) {
             // A leader term needs the machine types to decide on machines; waits for the cloud's answer.
             loop.after(200, () -> {
                 if (lead.leads() && lead.token() == token) {
@@ -278,17 +286,17 @@
             });
             return;
         }
-        leaderTerm = new LeaderTerm(parts, documents.values(), documents.seenAt());
-        table.listener(leaderTerm);
-        announceOften();
-        heartbeats.releaseParked();
+        leaderTerm = new LeaderTerm(parts, leaderDocuments.valuesByKey(), leaderDocuments.receivedAtByKey());
+        jobTable.listener(leaderTerm);
+        announceNewLeader();
+        heartbeatReceiver.releaseParked();
     }
 
     /** Announces the new leader early and often: from its first message on the others forward heartbeats to it, not redirect. */
-    private void announceOften() {
-        long pause = LeaderView.HEARD_WITHIN_MS / FIRST_ANNOUNCEMENTS;
-        for (long at = 0; at < LeaderView.HEARD_WITHIN_MS; at += pause) {
-            loop.after(at, () -> {
+    private void announceNewLeader() {
+        long intervalMs = LeaderView.FIRST_MESSAGE_TIMEOUT_MS / INITIAL_ANNOUNCEMENTS;
+        for (long delayMs = 0; delayMs < LeaderView.FIRST_MESSAGE_TIMEOUT_MS; delayMs += intervalMs) {
+            loop.after(delayMs, () -> {
                 if (leaderTerm != null && lead.mayAct()) {
                     runningCounts.announce();
                 }
@@ -299,7 +307,7 @@
     @Override
     public void deposed() {
         incidents.record("this controller no longer leads");
-        table.listener(null);
+        jobTable.listener(null);
         if (leaderTerm != null) {
             leaderTerm.close();
             leaderTerm = null;
@@ -308,35 +316,39 @@
 
     @Override
     public void cancelled(String job, long revision) {
-        table.cancelled(job, revision);
+        jobTable.cancelled(job, revision);
     }
 
-    private void refreshTypes() {
-        cloud.types(all -> {
-            if (all != null && !all.isEmpty()) {
-                types.clear();
-                all.forEach(t -> types.put(t.name(), t));
+    private void refreshMachineTypes() {
+        cloudClient.types(listed -> {
+            if (listed != null && !listed.isEmpty()) {
+                machineTypes.clear();
+                listed.forEach(type -> machineTypes.put(type.name(), type));
             }
-            loop.after(types.isEmpty() ? 500 : 60_000, this::refreshTypes);
+            loop.after(machineTypes.isEmpty() ? 500 : 60_000, this::refreshMachineTypes);
         });
     }
 
     /** Sends a request to the state service if the watch has had no answer recently: readiness depends on the last answer. */
-    private void probe() {
-        if (!probing && watchCache.following() && loop.now() - watchCache.lastAnswer() > READY_MS / 4) {
-            probing = true;
-            watchCache.barrier(() -> probing = false, () -> probing = false);
+    private void probeStateService() {
+        if (!probePending
+                && watchCache.following()
+                && loop.now() - watchCache.lastAnswer() > READINESS_TIMEOUT_MS / 4) {
+            probePending = true;
+            watchCache.barrier(() -> probePending = false, () -> probePending = false);
         }
-        loop.after(READY_MS / 4, this::probe);
+        loop.after(READINESS_TIMEOUT_MS / 4, this::probeStateService);
     }
 
-    private boolean ready() {
-        return watchCache.following() && !types.isEmpty() && loop.now() - watchCache.lastAnswer() < READY_MS;
+    private boolean isReady() {
+        return watchCache.following()
+                && !machineTypes.isEmpty()
+                && loop.now() - watchCache.lastAnswer() < READINESS_TIMEOUT_MS;
     }
 
     /** Serves one request of a user, a worker or the load balancer. */
     public void serve(Http.Exchange exchange) {
-        requests.serve(exchange);
+        requestRouter.serve(exchange);
     }
 
     /** Each waiting heartbeat holds a connection; at most half of the connections may be held in this way. */
@@ -350,11 +362,11 @@
                 .put("leadership", lead.state().name())
                 .put("leader", lead.leaderHost())
                 .put("token", lead.leads() ? lead.token() : 0)
-                .put("configuration", configuration.current().number())
-                .put("ready", ready())
+                .put("configuration", configurationView.current().number())
+                .put("ready", isReady())
                 .put("revision", watchCache.revision())
-                .put("jobs", table.size())
-                .put("activeJobs", table.active().size());
+                .put("jobs", jobTable.size())
+                .put("activeJobs", jobTable.active().size());
         if (leaderTerm != null) {
             leaderTerm.describe(status);
         }
--- a/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
+++ b/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
@@ -22,17 +22,17 @@
 final class HeartbeatReceiver {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReceiver.class);
     /** Longest wait of a heartbeat for a leader to become known; below the worker's own timeout of 4 s. */
-    private static final long PARK_MS = 1_500;
+    private static final long MAX_PARKED_MS = 1_500;
     /** Interval between checks whether a leader is known. */
     private static final long PARK_POLL_MS = 100;
 
     /** Limit on the total size of the parked heartbeats, in bytes. */
     private static final int MAX_PARKED_BYTES = 8 << 20;
     /** HTTP status "Misdirected Request": no leader is known here, so the worker tries another controller. */
-    private static final int MISDIRECTED = 421;
+    private static final int STATUS_MISDIRECTED = 421;
 
-    /** A heartbeat that arrived while no leader was known; {@code until} is the loop time at which it is turned away. */
-    private record Parked(Http.Exchange exchange, long until) {}
+    /** A heartbeat that arrived while no leader was known; {@code expiresAt} is the loop time at which it is turned away. */
+    private record ParkedHeartbeat(Http.Exchange exchange, long expiresAt) {}
 
     private final EventLoop loop;
     private final Leadership leadership;
@@ -41,7 +41,7 @@
     private final Supplier<LeaderTerm> currentTerm;
     private final Metrics metrics;
     private final int maxParked;
-    private final Deque<Parked> parked = new ArrayDeque<>();
+    private final Deque<ParkedHeartbeat> parkedHeartbeats = new ArrayDeque<>();
     private int parkedBytes;
 
     /**
@@ -71,12 +71,12 @@
         LeaderTerm term = currentTerm.get();
         if (term != null && leadership.mayAct()) {
             handle(term, exchange);
-        } else if (leaderView.otherLeads()) {
-            forwarder.report(leaderView.leader(), exchange);
-        } else if (term == null && parked.size() < maxParked && parkedBytes < MAX_PARKED_BYTES) {
+        } else if (leaderView.hasOtherLeader()) {
+            forwarder.forward(leaderView.leaderHost(), exchange);
+        } else if (term == null && parkedHeartbeats.size() < maxParked && parkedBytes < MAX_PARKED_BYTES) {
             park(exchange);
         } else {
-            exchange.answer(MISDIRECTED, Json.bytes(Json.object()));
+            exchange.answer(STATUS_MISDIRECTED, Json.bytes(Json.object()));
         }
     }
 
@@ -96,30 +96,30 @@
      * one processor would have to serve all of them.
      */
     private void park(Http.Exchange exchange) {
-        parked.addLast(new Parked(exchange, loop.now() + PARK_MS));
+        parkedHeartbeats.addLast(new ParkedHeartbeat(exchange, loop.now() + MAX_PARKED_MS));
         parkedBytes += exchange.body().length;
-        if (parked.size() == 1) {
+        if (parkedHeartbeats.size() == 1) {
             loop.after(PARK_POLL_MS, this::releaseParked);
         }
     }
 
     /** Processes the parked heartbeats if a leader is known, and otherwise turns away those that have waited too long. */
     void releaseParked() {
-        boolean known = currentTerm.get() != null || leaderView.otherLeads();
-        for (int left = parked.size(); left > 0; left--) {
-            Parked next = parked.pollFirst();
-            if (!known && loop.now() < next.until) {
-                parked.addLast(next);
+        boolean leaderKnown = currentTerm.get() != null || leaderView.hasOtherLeader();
+        for (int remaining = parkedHeartbeats.size(); remaining > 0; remaining--) {
+            ParkedHeartbeat heartbeat = parkedHeartbeats.pollFirst();
+            if (!leaderKnown && loop.now() < heartbeat.expiresAt) {
+                parkedHeartbeats.addLast(heartbeat);
                 continue;
             }
-            parkedBytes -= next.exchange.body().length;
-            if (known) {
-                receive(next.exchange);
+            parkedBytes -= heartbeat.exchange.body().length;
+            if (leaderKnown) {
+                receive(heartbeat.exchange);
             } else {
-                next.exchange.answer(MISDIRECTED, Json.bytes(Json.object()));
+                heartbeat.exchange.answer(STATUS_MISDIRECTED, Json.bytes(Json.object()));
             }
         }
-        if (!parked.isEmpty()) {
+        if (!parkedHeartbeats.isEmpty()) {
             loop.after(PARK_POLL_MS, this::releaseParked);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/LeaderDocuments.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderDocuments.java
@@ -12,32 +12,32 @@
  */
 final class LeaderDocuments {
     private final EventLoop loop;
-    private final Map<String, JsonNode> values = new TreeMap<>();
+    private final Map<String, JsonNode> valuesByKey = new TreeMap<>();
     /** Loop time at which this controller received the current value, by key. */
-    private final Map<String, Long> seenAt = new TreeMap<>();
+    private final Map<String, Long> receivedAtByKey = new TreeMap<>();
 
     LeaderDocuments(EventLoop loop) {
         this.loop = loop;
     }
 
     /** Stores the new value of a key; null removes the key. */
-    void changed(String key, JsonNode value) {
+    void update(String key, JsonNode value) {
         if (value == null) {
-            values.remove(key);
-            seenAt.remove(key);
+            valuesByKey.remove(key);
+            receivedAtByKey.remove(key);
         } else {
-            values.put(key, value);
-            seenAt.put(key, loop.now());
+            valuesByKey.put(key, value);
+            receivedAtByKey.put(key, loop.now());
         }
     }
 
     /** Returns the values by key, in the order of the keys. */
-    Map<String, JsonNode> values() {
-        return Collections.unmodifiableMap(values);
+    Map<String, JsonNode> valuesByKey() {
+        return Collections.unmodifiableMap(valuesByKey);
     }
 
     /** Returns the loop time at which this controller received the current value, by key. */
-    Map<String, Long> seenAt() {
-        return Collections.unmodifiableMap(seenAt);
+    Map<String, Long> receivedAtByKey() {
+        return Collections.unmodifiableMap(receivedAtByKey);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/LeaderView.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderView.java
@@ -9,16 +9,16 @@
 /** Determines which controller currently leads, and whether workers' heartbeats can be forwarded or redirected to it. */
 final class LeaderView {
     /** Time without an answer from the state service after which the stored leader may be outdated. */
-    private static final long STALE_MS = 2_500;
+    private static final long STATE_SERVICE_TIMEOUT_MS = 2_500;
     /** Time within which a new leader's first message must arrive; otherwise it cannot be reached over the peer connections. */
-    static final long HEARD_WITHIN_MS = 1_000;
+    static final long FIRST_MESSAGE_TIMEOUT_MS = 1_000;
 
     private final EventLoop loop;
     private final Leadership leadership;
     private final WatchCache watchCache;
     private final HeartbeatForwarder forwarder;
     private final String ownHost;
-    private long leaderSince = Long.MIN_VALUE / 2;
+    private long leaderChangedAt = Long.MIN_VALUE / 2;
 
     LeaderView(
             EventLoop loop,
@@ -33,10 +33,10 @@
         this.ownHost = ownHost;
     }
 
-    /** Records the time of a change of the stored leader; {@code before} is the previously stored host. */
-    void leaderKeyChanged(String before) {
-        if (!Objects.equals(before, leadership.leaderHost())) {
-            leaderSince = loop.now();
+    /** Records the time of a change of the stored leader; {@code previousLeader} is the previously stored host. */
+    void leaderKeyChanged(String previousLeader) {
+        if (!Objects.equals(previousLeader, leadership.leaderHost())) {
+            leaderChangedAt = loop.now();
         }
     }
 
@@ -45,23 +45,25 @@
      * service knows the leader only by its messages. If the state service has not answered recently, for instance because
      * it refuses this controller's requests, the stored leader may be outdated, and redirected workers would go in a circle.
      */
-    String leader() {
-        String heard = forwarder.heard();
-        boolean current = watchCache.following() && loop.now() - watchCache.lastAnswer() < STALE_MS;
-        return !current && heard != null ? heard : leadership.leaderHost();
+    String leaderHost() {
+        String reachableLeader = forwarder.reachableLeader();
+        boolean isStoredLeaderCurrent =
+                watchCache.following() && loop.now() - watchCache.lastAnswer() < STATE_SERVICE_TIMEOUT_MS;
+        return !isStoredLeaderCurrent && reachableLeader != null ? reachableLeader : leadership.leaderHost();
     }
 
     /** Returns true if another controller leads and heartbeats can be forwarded or workers redirected to it. */
-    boolean otherLeads() {
-        String leader = leader();
-        return leader != null
-                && !leader.equals(ownHost)
-                && (leader.equals(forwarder.heard()) || loop.now() - leaderSince > HEARD_WITHIN_MS);
+    boolean hasOtherLeader() {
+        String leaderHost = leaderHost();
+        return leaderHost != null
+                && !leaderHost.equals(ownHost)
+                && (leaderHost.equals(forwarder.reachableLeader())
+                        || loop.now() - leaderChangedAt > FIRST_MESSAGE_TIMEOUT_MS);
     }
 
     /** Returns true if a controller other than {@code host} leads, and its messages arrive over the peer connections. */
-    boolean otherIsHeard(String host) {
-        String leader = leader();
-        return leader != null && !leader.equals(host) && leader.equals(forwarder.heard());
+    boolean hasReachableLeaderOtherThan(String host) {
+        String leaderHost = leaderHost();
+        return leaderHost != null && !leaderHost.equals(host) && leaderHost.equals(forwarder.reachableLeader());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/RequestRouter.java
+++ b/controller/src/main/java/org/landingridge/controller/RequestRouter.java
@@ -12,97 +12,101 @@
 
 /** Dispatches the HTTP requests of users, operators, workers and the load balancer by path and method. */
 final class RequestRouter {
-    private static final String JOBS = "/api/jobs";
-    private static final String JOB_PREFIX = JOBS + "/";
+    private static final String JOBS_PATH = "/api/jobs";
+    private static final String JOB_PREFIX = JOBS_PATH + "/";
     private static final String CANCEL_SUFFIX = "/cancel";
     private static final String GET = "GET";
     private static final String POST = "POST";
 
-    private final HeartbeatReceiver heartbeats;
-    private final JobService jobs;
-    private final ConfigurationService configurations;
+    private final HeartbeatReceiver heartbeatReceiver;
+    private final JobService jobService;
+    private final ConfigurationService configurationService;
     private final Metrics metrics;
-    private final BooleanSupplier ready;
-    private final Supplier<byte[]> status;
+    private final BooleanSupplier isReady;
+    private final Supplier<byte[]> statusBody;
 
     /**
-     * @param ready tells whether this controller is ready to serve users
-     * @param status supplies the response body of {@code /api/status}
+     * @param isReady tells whether this controller is ready to serve users
+     * @param statusBody supplies the response body of {@code /api/status}
      */
     RequestRouter(
-            HeartbeatReceiver heartbeats,
-            JobService jobs,
-            ConfigurationService configurations,
+            HeartbeatReceiver heartbeatReceiver,
+            JobService jobService,
+            ConfigurationService configurationService,
             Metrics metrics,
-            BooleanSupplier ready,
-            Supplier<byte[]> status) {
-        this.heartbeats = heartbeats;
-        this.jobs = jobs;
-        this.configurations = configurations;
+            BooleanSupplier isReady,
+            Supplier<byte[]> statusBody) {
+        this.heartbeatReceiver = heartbeatReceiver;
+        this.jobService = jobService;
+        this.configurationService = configurationService;
         this.metrics = metrics;
-        this.ready = ready;
-        this.status = status;
+        this.isReady = isReady;
+        this.statusBody = statusBody;
     }
 
     /** Serves one request; the response may be sent later. */
     void serve(Http.Exchange exchange) {
         switch (exchange.path()) {
             case "/hello" ->
-                only(POST, exchange, () -> metrics.busy.during(Part.HEARTBEATS, () -> heartbeats.receive(exchange)));
-            case "/ready" -> only(GET, exchange, () -> ready(exchange));
-            case JOBS -> only(POST, exchange, () -> user(() -> jobs.submit(exchange)));
+                serveMethod(
+                        POST,
+                        exchange,
+                        () -> metrics.busy.during(Part.HEARTBEATS, () -> heartbeatReceiver.receive(exchange)));
+            case "/ready" -> serveMethod(GET, exchange, () -> answerReadiness(exchange));
+            case JOBS_PATH -> serveMethod(POST, exchange, () -> measureApiTime(() -> jobService.submit(exchange)));
             case "/metrics" ->
-                only(GET, exchange, () -> exchange.answer(200, metrics.text().getBytes(StandardCharsets.UTF_8)));
-            case "/api/config/history" -> only(GET, exchange, () -> configurations.history(exchange));
-            case "/api/config" -> configuration(exchange);
-            case "/api/status" -> only(GET, exchange, () -> exchange.answer(200, status.get()));
-            default -> job(exchange);
+                serveMethod(
+                        GET, exchange, () -> exchange.answer(200, metrics.text().getBytes(StandardCharsets.UTF_8)));
+            case "/api/config/history" -> serveMethod(GET, exchange, () -> configurationService.history(exchange));
+            case "/api/config" -> serveConfiguration(exchange);
+            case "/api/status" -> serveMethod(GET, exchange, () -> exchange.answer(200, statusBody.get()));
+            default -> serveJob(exchange);
         }
     }
 
-    private void ready(Http.Exchange exchange) {
+    private void answerReadiness(Http.Exchange exchange) {
         exchange.answer(
-                ready.getAsBoolean() ? 200 : 503, Json.bytes(Json.object().put("ready", ready.getAsBoolean())));
+                isReady.getAsBoolean() ? 200 : 503, Json.bytes(Json.object().put("ready", isReady.getAsBoolean())));
     }
 
-    private void configuration(Http.Exchange exchange) {
+    private void serveConfiguration(Http.Exchange exchange) {
         if (exchange.method().equals(POST)) {
-            user(() -> configurations.change(exchange));
+            measureApiTime(() -> configurationService.change(exchange));
         } else {
-            only(GET, exchange, () -> configurations.show(exchange));
+            serveMethod(GET, exchange, () -> configurationService.show(exchange));
         }
     }
 
-    private void job(Http.Exchange exchange) {
+    private void serveJob(Http.Exchange exchange) {
         String path = exchange.path();
         if (!path.startsWith(JOB_PREFIX)) {
-            notFound(exchange);
+            answerNotFound(exchange);
             return;
         }
-        String rest = path.substring(JOB_PREFIX.length());
-        if (rest.endsWith(CANCEL_SUFFIX) && rest.length() > CANCEL_SUFFIX.length()) {
-            String id = rest.substring(0, rest.length() - CANCEL_SUFFIX.length());
-            only(POST, exchange, () -> user(() -> jobs.cancel(exchange, id)));
-        } else if (rest.indexOf('/') < 0) {
-            only(GET, exchange, () -> user(() -> jobs.poll(exchange, rest)));
+        String jobPath = path.substring(JOB_PREFIX.length());
+        if (jobPath.endsWith(CANCEL_SUFFIX) && jobPath.length() > CANCEL_SUFFIX.length()) {
+            String id = jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length());
+            serveMethod(POST, exchange, () -> measureApiTime(() -> jobService.cancel(exchange, id)));
+        } else if (jobPath.indexOf('/') < 0) {
+            serveMethod(GET, exchange, () -> measureApiTime(() -> jobService.poll(exchange, jobPath)));
         } else {
-            notFound(exchange);
+            answerNotFound(exchange);
         }
     }
 
-    private void user(Runnable request) {
+    private void measureApiTime(Runnable request) {
         metrics.busy.during(Part.API, request);
     }
 
-    private static void only(String method, Http.Exchange exchange, Runnable served) {
+    private static void serveMethod(String method, Http.Exchange exchange, Runnable handler) {
         if (method.equals(exchange.method())) {
-            served.run();
+            handler.run();
         } else {
             exchange.answer(405, Json.bytes(Json.object().put("error", "only " + method + " is served here")));
         }
     }
 
-    private static void notFound(Http.Exchange exchange) {
+    private static void answerNotFound(Http.Exchange exchange) {
         exchange.answer(404, Json.bytes(Json.object().put("error", "no such path")));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -17,27 +17,27 @@
  */
 final class RunningCountsExchange {
     private final Supplier<LeaderTerm> currentTerm;
-    private final JobTable table;
-    private final JobService jobs;
+    private final JobTable jobTable;
+    private final JobService jobService;
     private final BatchWriter writer;
-    private final PeerTransport peers;
+    private final PeerTransport transport;
     private final String ownHost;
     private final List<String> otherHosts;
 
     /** @param currentTerm supplies the leader term of this controller; must not be null when {@link #announce} is called */
     RunningCountsExchange(
             Supplier<LeaderTerm> currentTerm,
-            JobTable table,
-            JobService jobs,
+            JobTable jobTable,
+            JobService jobService,
             BatchWriter writer,
-            PeerTransport peers,
+            PeerTransport transport,
             String ownHost,
             List<String> otherHosts) {
         this.currentTerm = currentTerm;
-        this.table = table;
-        this.jobs = jobs;
+        this.jobTable = jobTable;
+        this.jobService = jobService;
         this.writer = writer;
-        this.peers = peers;
+        this.transport = transport;
         this.ownHost = ownHost;
         this.otherHosts = otherHosts;
     }
@@ -45,17 +45,17 @@
     /** Displays the leader's counts on this controller and sends them to every other; called on the leader only. */
     void announce() {
         Map<String, Integer> counts = currentTerm.get().running();
-        show(counts);
-        boolean starved = writer.starved();
-        jobs.leaderHeard(starved);
-        for (String other : otherHosts) {
-            peers.send(other, new PeerMessage.RunningCounts(ownHost, counts, starved));
+        display(counts);
+        boolean writesStarved = writer.starved();
+        jobService.leaderHeard(writesStarved);
+        for (String otherHost : otherHosts) {
+            transport.send(otherHost, new PeerMessage.RunningCounts(ownHost, counts, writesStarved));
         }
     }
 
     /** Stores the counts in the job table for display; jobs without a count have no running tasks. */
-    void show(Map<String, Integer> counts) {
-        for (Job job : table.active()) {
+    void display(Map<String, Integer> counts) {
+        for (Job job : jobTable.active()) {
             job.running(counts.getOrDefault(job.id(), 0));
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -15,72 +15,74 @@
  */
 public final class HeartbeatForwarder {
     /** The leader sends a message every second; after more than two missing ones the connection counts as cut. */
-    private static final long FRESH_MS = 2_800;
+    private static final long LEADER_MESSAGE_TIMEOUT_MS = 2_800;
     /** Below the worker's own timeout of 4 s, so that the redirect still reaches the worker. */
-    private static final long WAIT_MS = 1_500;
+    private static final long ANSWER_TIMEOUT_MS = 1_500;
     /** Limit on the total size of the heartbeats that wait for an answer, in bytes. */
-    private static final int MOST_BYTES = 8 << 20;
+    private static final int MAX_PENDING_BYTES = 8 << 20;
 
     private final EventLoop loop;
     private final PeerTransport transport;
-    private final String host;
-    private final Map<Long, Http.Exchange> waiting = new HashMap<>();
-    private final int mostWaiting;
-    private int waitingBytes;
-    private String heardHost;
-    private long heardAt = Long.MIN_VALUE / 2;
+    private final String ownHost;
+    private final Map<Long, Http.Exchange> exchangesByNumber = new HashMap<>();
+    private final int maxPending;
+    private int pendingBytes;
+    private String lastSender;
+    private long lastMessageAt = Long.MIN_VALUE / 2;
     /**
      * Number of the last forwarded heartbeat. Each incarnation starts at a random number: a process that restarts within a
      * fraction of a second may receive the answer to a heartbeat that its previous incarnation forwarded, and with equal
      * numbers would send one machine's commands to another.
      */
-    private long number;
+    private long lastNumber;
 
     /**
-     * @param random      source of the number at which this incarnation starts
-     * @param host        host of this controller
-     * @param mostWaiting limit on the heartbeats that wait for an answer; each occupies a connection of its worker
+     * @param random     source of the number at which this incarnation starts
+     * @param ownHost    host of this controller
+     * @param maxPending limit on the heartbeats that wait for an answer; each occupies a connection of its worker
      */
     public HeartbeatForwarder(
-            EventLoop loop, PeerTransport transport, RandomGenerator random, String host, int mostWaiting) {
-        this.mostWaiting = mostWaiting;
+            EventLoop loop, PeerTransport transport, RandomGenerator random, String ownHost, int maxPending) {
+        this.maxPending = maxPending;
         this.loop = loop;
         this.transport = transport;
-        this.host = host;
-        this.number = random.nextLong();
+        this.ownHost = ownHost;
+        this.lastNumber = random.nextLong();
     }
 
     /** Records that a message from this leader has arrived. */
-    public void heard(String leader) {
-        heardHost = leader;
-        heardAt = loop.now();
+    public void recordLeaderMessage(String leader) {
+        lastSender = leader;
+        lastMessageAt = loop.now();
     }
 
     /** Returns the leader whose messages arrive over {@code back}, or null if none has arrived recently. */
-    public String heard() {
-        return loop.now() - heardAt < FRESH_MS ? heardHost : null;
+    public String reachableLeader() {
+        return loop.now() - lastMessageAt < LEADER_MESSAGE_TIMEOUT_MS ? lastSender : null;
     }
 
     /** Forwards a heartbeat to the leader, or answers 421 with the leader's host if it cannot be forwarded. */
-    public void report(String leader, Http.Exchange exchange) {
-        if (!leader.equals(heard()) || waiting.size() >= mostWaiting || waitingBytes > MOST_BYTES) {
+    public void forward(String leader, Http.Exchange exchange) {
+        if (!leader.equals(reachableLeader())
+                || exchangesByNumber.size() >= maxPending
+                || pendingBytes > MAX_PENDING_BYTES) {
             redirect(leader, exchange);
             return;
         }
-        long forwarded = ++number;
-        waiting.put(forwarded, exchange);
-        waitingBytes += exchange.body().length;
-        transport.send(leader, new PeerMessage.ForwardedHeartbeat(host, forwarded, exchange.body()));
-        loop.after(WAIT_MS, () -> {
-            if (take(forwarded) != null) {
+        long number = ++lastNumber;
+        exchangesByNumber.put(number, exchange);
+        pendingBytes += exchange.body().length;
+        transport.send(leader, new PeerMessage.ForwardedHeartbeat(ownHost, number, exchange.body()));
+        loop.after(ANSWER_TIMEOUT_MS, () -> {
+            if (removePending(number) != null) {
                 redirect(leader, exchange);
             }
         });
     }
 
-    private Http.Exchange take(long number) {
-        Http.Exchange exchange = waiting.remove(number);
-        waitingBytes -= exchange == null ? 0 : exchange.body().length;
+    private Http.Exchange removePending(long number) {
+        Http.Exchange exchange = exchangesByNumber.remove(number);
+        pendingBytes -= exchange == null ? 0 : exchange.body().length;
         return exchange;
     }
 
@@ -89,15 +91,15 @@
     }
 
     /** Passes the leader's answer to the worker that waits for it. */
-    public void answered(PeerMessage.Answer answer) {
-        Http.Exchange exchange = take(answer.number());
+    public void receiveAnswer(PeerMessage.HeartbeatAnswer answer) {
+        Http.Exchange exchange = removePending(answer.number());
         if (exchange != null) {
             exchange.answer(answer.status(), answer.body());
         }
     }
 
     /** Returns an exchange by which the leader answers a forwarded heartbeat; the answer is sent over {@code back}. */
-    public Http.Exchange carried(PeerMessage.ForwardedHeartbeat heartbeat) {
+    public Http.Exchange exchangeFor(PeerMessage.ForwardedHeartbeat heartbeat) {
         return new Http.Exchange() {
             @Override
             public String method() {
@@ -116,7 +118,8 @@
 
             @Override
             public void answer(int status, byte[] json, int retryAfterS) {
-                transport.send(heartbeat.host(), new PeerMessage.Answer(host, heartbeat.number(), status, json));
+                transport.send(
+                        heartbeat.host(), new PeerMessage.HeartbeatAnswer(ownHost, heartbeat.number(), status, json));
             }
         };
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
@@ -15,10 +15,10 @@
 final class PeerFrameReader {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     private static final int LENGTH_BYTES = 4;
-    private static final int INITIAL_BYTES = 2048;
+    private static final int INITIAL_BUFFER_BYTES = 2048;
     private final StreamConnection connection;
     private final Consumer<PeerMessage> receiver;
-    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
     PeerFrameReader(StreamConnection connection, Consumer<PeerMessage> receiver) {
         this.connection = connection;
@@ -27,17 +27,17 @@
 
     void start() {
         ConduitStreamSourceChannel source = connection.getSourceChannel();
-        source.setReadListener(this::drain);
+        source.setReadListener(this::readAvailable);
         source.resumeReads();
     }
 
-    private void drain(ConduitStreamSourceChannel source) {
+    private void readAvailable(ConduitStreamSourceChannel source) {
         try {
-            int count;
-            while ((count = source.read(buffer)) > 0) {
-                takeFrames();
+            int bytesRead;
+            while ((bytesRead = source.read(buffer)) > 0) {
+                deliverFrames();
             }
-            if (count < 0) {
+            if (bytesRead < 0) {
                 IoUtils.safeClose(connection);
             }
         } catch (IOException e) {
@@ -46,7 +46,7 @@
         }
     }
 
-    private void takeFrames() throws IOException {
+    private void deliverFrames() throws IOException {
         buffer.flip();
         while (buffer.remaining() >= LENGTH_BYTES) {
             int length = buffer.getInt(buffer.position());
@@ -55,7 +55,7 @@
             }
             if (buffer.remaining() < LENGTH_BYTES + length) {
                 if (buffer.capacity() < LENGTH_BYTES + length) {
-                    grow(LENGTH_BYTES + length);
+                    growBuffer(LENGTH_BYTES + length);
                     return;
                 }
                 break;
@@ -63,18 +63,18 @@
             buffer.getInt();
             byte[] frame = new byte[length];
             buffer.get(frame);
-            deliver(frame);
+            deliverFrame(frame);
         }
         buffer.compact();
     }
 
-    private void grow(int bytes) {
-        ByteBuffer larger = ByteBuffer.allocate(bytes);
+    private void growBuffer(int capacity) {
+        ByteBuffer larger = ByteBuffer.allocate(capacity);
         larger.put(buffer);
         buffer = larger;
     }
 
-    private void deliver(byte[] frame) {
+    private void deliverFrame(byte[] frame) {
         PeerMessage message;
         try {
             message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(frame)));
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerLink.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerLink.java
@@ -24,22 +24,22 @@
     }
 
     /** Limit on the queue to one controller, in bytes: room for the heartbeats of a large fleet during an election. */
-    private static final int MOST_QUEUED = 2 << 20;
+    private static final int MAX_QUEUED_BYTES = 2 << 20;
 
-    private static final long DIAL_MS = 2_000;
+    private static final long DIAL_TIMEOUT_MS = 2_000;
     private final XnioWorker worker;
     private final EventLoop loop;
-    private final InetSocketAddress addr;
+    private final InetSocketAddress address;
     private final Deque<ByteBuffer> queue = new ArrayDeque<>();
-    private long queued;
+    private long queuedBytes;
     private State state = State.DOWN;
     private StreamConnection connection;
-    private long dials;
+    private long lastDialNumber;
 
-    PeerLink(XnioWorker worker, EventLoop loop, InetSocketAddress addr) {
+    PeerLink(XnioWorker worker, EventLoop loop, InetSocketAddress address) {
         this.worker = worker;
         this.loop = loop;
-        this.addr = addr;
+        this.address = address;
     }
 
     /**
@@ -47,15 +47,15 @@
      * fails, all queued records are dropped.
      */
     void send(byte[] record) {
-        if (queued > MOST_QUEUED) {
-            drop();
+        if (queuedBytes > MAX_QUEUED_BYTES) {
+            disconnect();
         }
         ByteBuffer frame = ByteBuffer.allocate(4 + record.length);
         frame.putInt(record.length).put(record).flip();
         queue.addLast(frame);
-        queued += frame.remaining();
+        queuedBytes += frame.remaining();
         if (state == State.UP) {
-            write(connection.getSinkChannel());
+            writeQueued(connection.getSinkChannel());
         } else if (state == State.DOWN) {
             dial();
         }
@@ -63,96 +63,96 @@
 
     private void dial() {
         state = State.DIALLING;
-        long dial = ++dials;
+        long dialNumber = ++lastDialNumber;
         IoFuture<StreamConnection> future =
-                worker.openStreamConnection(addr, null, OptionMap.create(Options.TCP_NODELAY, true));
-        future.addNotifier(new DialNotifier(dial), null);
+                worker.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
+        future.addNotifier(new DialNotifier(dialNumber), null);
         // A network partition causes no error, so a dial has a timeout; the next record starts another dial.
-        loop.after(DIAL_MS, () -> {
-            if (state == State.DIALLING && dial == dials) {
+        loop.after(DIAL_TIMEOUT_MS, () -> {
+            if (state == State.DIALLING && dialNumber == lastDialNumber) {
                 future.cancel();
-                down(dial);
+                dialFailed(dialNumber);
             }
         });
     }
 
     /** Passes the outcome of a dial to the event loop. */
     private final class DialNotifier extends IoFuture.HandlingNotifier<StreamConnection, Void> {
-        private final long dial;
+        private final long dialNumber;
 
-        DialNotifier(long dial) {
-            this.dial = dial;
+        DialNotifier(long dialNumber) {
+            this.dialNumber = dialNumber;
         }
 
         @Override
-        public void handleDone(StreamConnection dialled, Void none) {
-            loop.after(0, () -> up(dial, dialled));
+        public void handleDone(StreamConnection newConnection, Void attachment) {
+            loop.after(0, () -> dialSucceeded(dialNumber, newConnection));
         }
 
         @Override
-        public void handleFailed(IOException e, Void none) {
-            loop.after(0, () -> down(dial));
+        public void handleFailed(IOException e, Void attachment) {
+            loop.after(0, () -> dialFailed(dialNumber));
         }
 
         @Override
-        public void handleCancelled(Void none) {
-            loop.after(0, () -> down(dial));
+        public void handleCancelled(Void attachment) {
+            loop.after(0, () -> dialFailed(dialNumber));
         }
     }
 
-    private void up(long dial, StreamConnection dialled) {
-        if (dial != dials || state != State.DIALLING) {
-            IoUtils.safeClose(dialled);
+    private void dialSucceeded(long dialNumber, StreamConnection newConnection) {
+        if (dialNumber != lastDialNumber || state != State.DIALLING) {
+            IoUtils.safeClose(newConnection);
             return;
         }
-        connection = dialled;
+        connection = newConnection;
         state = State.UP;
-        dialled.getSinkChannel().setWriteListener(this::write);
-        dialled.getSourceChannel().setReadListener(this::dropAtEnd);
-        dialled.getSourceChannel().resumeReads();
-        write(dialled.getSinkChannel());
+        newConnection.getSinkChannel().setWriteListener(this::writeQueued);
+        newConnection.getSourceChannel().setReadListener(this::disconnectAtEnd);
+        newConnection.getSourceChannel().resumeReads();
+        writeQueued(newConnection.getSinkChannel());
     }
 
     /** Detects the end of the connection: the other controller never writes on it, so a read yields nothing else. */
-    private void dropAtEnd(ConduitStreamSourceChannel source) {
+    private void disconnectAtEnd(ConduitStreamSourceChannel source) {
         try {
             if (source.read(ByteBuffer.allocate(16)) < 0) {
-                drop();
+                disconnect();
             }
         } catch (IOException e) {
-            drop();
+            disconnect();
         }
     }
 
-    private void down(long dial) {
-        if (dial == dials && state == State.DIALLING) {
+    private void dialFailed(long dialNumber) {
+        if (dialNumber == lastDialNumber && state == State.DIALLING) {
             state = State.DOWN;
-            forget();
+            clearQueue();
         }
     }
 
-    private void forget() {
+    private void clearQueue() {
         queue.clear();
-        queued = 0;
+        queuedBytes = 0;
     }
 
-    private void drop() {
+    private void disconnect() {
         IoUtils.safeClose(connection);
         connection = null;
         if (state == State.UP) {
             state = State.DOWN;
         }
-        forget();
+        clearQueue();
     }
 
-    private void write(ConduitStreamSinkChannel sink) {
+    private void writeQueued(ConduitStreamSinkChannel sink) {
         try {
             while (!queue.isEmpty()) {
                 ByteBuffer next = queue.peekFirst();
                 while (next.hasRemaining()) {
-                    int count = sink.write(next);
-                    queued -= count;
-                    if (count == 0) {
+                    int bytesWritten = sink.write(next);
+                    queuedBytes -= bytesWritten;
+                    if (bytesWritten == 0) {
                         sink.resumeWrites();
                         return;
                     }
@@ -161,7 +161,7 @@
             }
             sink.suspendWrites();
         } catch (IOException e) {
-            drop();
+            disconnect();
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -104,7 +104,7 @@
      * @param status HTTP status for the worker
      * @param body   body of the HTTP response for the worker
      */
-    record Answer(String host, long number, int status, byte[] body) implements PeerMessage {
+    record HeartbeatAnswer(String host, long number, int status, byte[] body) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.ANSWER;
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -20,8 +20,8 @@
     private PeerMessageCodec() {}
 
     static byte[] encode(PeerMessage message) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(bytes);
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        DataOutputStream out = new DataOutputStream(buffer);
         try {
             out.writeByte(message.type().code());
             out.writeUTF(message.host());
@@ -29,7 +29,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException("a byte array takes everything", e);
         }
-        return bytes.toByteArray();
+        return buffer.toByteArray();
     }
 
     private static void writeFields(DataOutputStream out, PeerMessage message) throws IOException {
@@ -40,7 +40,7 @@
             case HAND_OVER -> out.writeLong(((PeerMessage.HandOver) message).token());
             case RUNNING_COUNTS -> write(out, (PeerMessage.RunningCounts) message);
             case FORWARDED_HEARTBEAT -> write(out, (PeerMessage.ForwardedHeartbeat) message);
-            case ANSWER -> write(out, (PeerMessage.Answer) message);
+            case ANSWER -> write(out, (PeerMessage.HeartbeatAnswer) message);
         }
     }
 
@@ -92,7 +92,7 @@
         writeBody(out, heartbeat.body());
     }
 
-    private static void write(DataOutputStream out, PeerMessage.Answer answer) throws IOException {
+    private static void write(DataOutputStream out, PeerMessage.HeartbeatAnswer answer) throws IOException {
         out.writeLong(answer.number());
         out.writeInt(answer.status());
         writeBody(out, answer.body());
@@ -107,14 +107,14 @@
     static PeerMessage decode(DataInputStream in) throws IOException {
         int code = in.readUnsignedByte();
         String host = in.readUTF();
-        return switch (PeerRecordType.of(code)) {
+        return switch (PeerRecordType.forCode(code)) {
             case ASK -> readAsk(host, in);
             case GRANT -> readGrant(host, in);
             case REFUSE -> new PeerMessage.Refuse(host, in.readLong(), in.readLong());
             case HAND_OVER -> new PeerMessage.HandOver(host, in.readLong());
             case RUNNING_COUNTS -> readRunningCounts(host, in);
             case FORWARDED_HEARTBEAT -> new PeerMessage.ForwardedHeartbeat(host, in.readLong(), readBody(in));
-            case ANSWER -> new PeerMessage.Answer(host, in.readLong(), in.readInt(), readBody(in));
+            case ANSWER -> new PeerMessage.HeartbeatAnswer(host, in.readLong(), in.readInt(), readBody(in));
         };
     }
 
@@ -133,8 +133,8 @@
     private static PeerMessage readGrant(String host, DataInputStream in) throws IOException {
         long token = in.readLong();
         long number = in.readLong();
-        boolean reports = in.available() > 0 && in.readBoolean();
-        return new PeerMessage.Grant(host, token, number, reports ? readReport(in) : null);
+        boolean hasReport = in.available() > 0 && in.readBoolean();
+        return new PeerMessage.Grant(host, token, number, hasReport ? readReport(in) : null);
     }
 
     private static PeerMessage.CancellationReport readReport(DataInputStream in) throws IOException {
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
@@ -12,7 +12,7 @@
     FORWARDED_HEARTBEAT(6),
     ANSWER(7);
 
-    private static final PeerRecordType[] ALL = values();
+    private static final PeerRecordType[] TYPES = values();
     private final int code;
 
     PeerRecordType(int code) {
@@ -23,8 +23,8 @@
         return code;
     }
 
-    static PeerRecordType of(int code) throws IOException {
-        for (PeerRecordType type : ALL) {
+    static PeerRecordType forCode(int code) throws IOException {
+        for (PeerRecordType type : TYPES) {
             if (type.code == code) {
                 return type;
             }
--- a/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
@@ -29,36 +29,36 @@
     /**
      * Starts to listen at once; connects to another controller when there is something to send.
      *
-     * @param worker   I/O worker whose only thread runs the event loop
-     * @param peers    the other controllers
-     * @param listen   address to listen on
-     * @param receiver called with each message that arrives
+     * @param worker        I/O worker whose only thread runs the event loop
+     * @param peers         the other controllers
+     * @param listenAddress address to listen on
+     * @param receiver      called with each message that arrives
      * @throws IOException if the server socket cannot be opened on the address
      */
     public XnioPeerTransport(
             XnioWorker worker,
             EventLoop loop,
             List<Settings.Peer> peers,
-            InetSocketAddress listen,
+            InetSocketAddress listenAddress,
             Consumer<PeerMessage> receiver)
             throws IOException {
         this.receiver = receiver;
         for (Settings.Peer peer : peers) {
-            HostAndPort addr = HostAndPort.fromString(peer.addr());
-            InetSocketAddress target = new InetSocketAddress(addr.getHost(), addr.getPort());
-            links.put(peer.host(), new PeerLink(worker, loop, target));
+            HostAndPort hostAndPort = HostAndPort.fromString(peer.addr());
+            InetSocketAddress address = new InetSocketAddress(hostAndPort.getHost(), hostAndPort.getPort());
+            links.put(peer.host(), new PeerLink(worker, loop, address));
         }
         worker.createStreamConnectionServer(
-                        listen,
-                        this::accept,
+                        listenAddress,
+                        this::acceptConnections,
                         OptionMap.create(Options.REUSE_ADDRESSES, true, Options.TCP_NODELAY, true))
                 .resumeAccepts();
     }
 
-    private void accept(AcceptingChannel<StreamConnection> channel) {
+    private void acceptConnections(AcceptingChannel<StreamConnection> server) {
         try {
             StreamConnection connection;
-            while ((connection = channel.accept()) != null) {
+            while ((connection = server.accept()) != null) {
                 new PeerFrameReader(connection, receiver).start();
             }
         } catch (IOException e) {
--- a/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
+++ b/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
@@ -16,7 +16,7 @@
  */
 class HeartbeatForwarderTest {
     /** An event loop whose clock stays at 1 s and whose timers never fire. */
-    private static final EventLoop LOOP = new EventLoop() {
+    private static final EventLoop FIXED_TIME_LOOP = new EventLoop() {
         @Override
         public long now() {
             return 1_000;
@@ -41,14 +41,14 @@
     private final List<PeerMessage> sent = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
 
-    private HeartbeatForwarder incarnation(long seed) {
+    private HeartbeatForwarder startIncarnation(long seed) {
         HeartbeatForwarder forwarder = new HeartbeatForwarder(
-                LOOP, (host, message) -> sent.add(message), new SplittableRandom(seed), "rig-1", 100);
-        forwarder.heard("rig-0");
+                FIXED_TIME_LOOP, (host, message) -> sent.add(message), new SplittableRandom(seed), "rig-1", 100);
+        forwarder.recordLeaderMessage("rig-0");
         return forwarder;
     }
 
-    private Http.Exchange report(String machine) {
+    private Http.Exchange heartbeatOf(String machine) {
         return new Http.Exchange() {
             @Override
             public String method() {
@@ -74,14 +74,14 @@
 
     @Test
     @DisplayName("an answer to a report that the former incarnation forwarded is not handed to another machine")
-    void answerForTheFormerIncarnation() {
-        incarnation(1).report("rig-0", report("m-1"));
-        HeartbeatForwarder present = incarnation(2);
-        present.report("rig-0", report("m-2"));
+    void answerToHeartbeatOfPreviousIncarnationIsNotSentToAnotherMachine() {
+        startIncarnation(1).forward("rig-0", heartbeatOf("m-1"));
+        HeartbeatForwarder newIncarnation = startIncarnation(2);
+        newIncarnation.forward("rig-0", heartbeatOf("m-2"));
         for (PeerMessage message : sent) {
-            PeerMessage.ForwardedHeartbeat carried = (PeerMessage.ForwardedHeartbeat) message;
-            present.answered(new PeerMessage.Answer(
-                    "rig-0", carried.number(), 200, ("that of " + new String(carried.body())).getBytes()));
+            PeerMessage.ForwardedHeartbeat heartbeat = (PeerMessage.ForwardedHeartbeat) message;
+            newIncarnation.receiveAnswer(new PeerMessage.HeartbeatAnswer(
+                    "rig-0", heartbeat.number(), 200, ("that of " + new String(heartbeat.body())).getBytes()));
         }
         assertEquals(List.of("m-2 gets that of m-2"), answers);
     }
