--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -292,7 +292,10 @@
         heartbeatReceiver.releaseParked();
     }
 
-    /** Announces the new leader early and often: from its first message on the others forward heartbeats to it, not redirect. */
+    /**
+     * Announces the new leader several times, as messages may be lost: the other controllers redirect workers to it until its
+     * first message arrives, and forward heartbeats from then on.
+     */
     private void announceNewLeader() {
         long intervalMs = LeaderView.FIRST_MESSAGE_TIMEOUT_MS / INITIAL_ANNOUNCEMENTS;
         for (long delayMs = 0; delayMs < LeaderView.FIRST_MESSAGE_TIMEOUT_MS; delayMs += intervalMs) {
--- a/controller/src/main/java/org/landingridge/controller/LeaderView.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderView.java
@@ -18,6 +18,7 @@
     private final WatchCache watchCache;
     private final HeartbeatForwarder forwarder;
     private final String ownHost;
+    /** Loop time of the last change of the stored leader. */
     private long leaderChangedAt = Long.MIN_VALUE / 2;
 
     LeaderView(
--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -24,7 +24,9 @@
     private final EventLoop loop;
     private final PeerTransport transport;
     private final String ownHost;
+    /** Exchanges of the forwarded heartbeats that wait for an answer, by heartbeat number. */
     private final Map<Long, Http.Exchange> exchangesByNumber = new HashMap<>();
+
     private final int maxPending;
     private int pendingBytes;
     private String lastSender;
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerLink.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerLink.java
@@ -34,6 +34,7 @@
     private long queuedBytes;
     private State state = State.DOWN;
     private StreamConnection connection;
+    /** Number of the last dial; outcomes of earlier dials are ignored. */
     private long lastDialNumber;
 
     PeerLink(XnioWorker worker, EventLoop loop, InetSocketAddress address) {
