--- a/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
+++ b/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
@@ -85,7 +85,7 @@
             term.report(Heartbeat.parse(Json.parse(exchange.body())), exchange);
         } catch (InvalidMessageException e) {
             metrics.malformed.increment();
-            LOG.warn("dropping a heartbeat: {}", e.getMessage());
+            LOG.warn("malformed heartbeat rejected, error={}", e.getMessage());
             exchange.answer(400, Json.bytes(Json.object().put("error", e.getMessage())));
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
@@ -41,7 +41,7 @@
                 IoUtils.safeClose(connection);
             }
         } catch (IOException e) {
-            LOG.debug("a controller's connection failed: {}", e.toString());
+            LOG.debug("peer connection failed, error={}", e.toString());
             IoUtils.safeClose(connection);
         }
     }
@@ -51,7 +51,8 @@
         while (buffer.remaining() >= LENGTH_BYTES) {
             int length = buffer.getInt(buffer.position());
             if (length < 1 || length > PeerMessage.MAX_BYTES) {
-                throw new IOException("a frame of " + length + " bytes");
+                throw new IOException(
+                        "peer frame: length " + length + " is not between 1 and " + PeerMessage.MAX_BYTES);
             }
             if (buffer.remaining() < LENGTH_BYTES + length) {
                 if (buffer.capacity() < LENGTH_BYTES + length) {
@@ -80,13 +81,13 @@
             message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(frame)));
         } catch (IOException e) {
             // The frame's length is known, so the frames after it can still be read.
-            LOG.warn("a controller's record of {} bytes cannot be read and is dropped: {}", frame.length, e.toString());
+            LOG.warn("unreadable peer record dropped, bytes={} error={}", frame.length, e.toString());
             return;
         }
         try {
             receiver.accept(message);
         } catch (RuntimeException e) {
-            LOG.error("a record of {} failed", message.host(), e);
+            LOG.error("handling a peer message failed, sender={}", message.host(), e);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -27,7 +27,7 @@
             out.writeUTF(message.host());
             writeFields(out, message);
         } catch (IOException e) {
-            throw new UncheckedIOException("a byte array takes everything", e);
+            throw new UncheckedIOException("writing a peer record to a byte array failed", e);
         }
         return buffer.toByteArray();
     }
@@ -144,7 +144,8 @@
         boolean complete = in.readBoolean();
         int size = in.readInt();
         if (size < 0 || size > PeerMessage.MAX_BYTES) {
-            throw new IOException(size + " cancellations");
+            throw new IOException(
+                    "cancellation report: count " + size + " is not between 0 and " + PeerMessage.MAX_BYTES);
         }
         List<CancellationLog.Ending> cancellations = new ArrayList<>();
         for (int i = 0; i < size; i++) {
@@ -166,7 +167,8 @@
     private static byte[] readBody(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > PeerMessage.MAX_BYTES) {
-            throw new IOException("a body of " + length + " bytes");
+            throw new IOException(
+                    "peer record: body length " + length + " is not between 0 and " + PeerMessage.MAX_BYTES);
         }
         return in.readNBytes(length);
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
@@ -29,6 +29,6 @@
                 return type;
             }
         }
-        throw new IOException("unknown record type " + code);
+        throw new IOException("peer record: unknown type " + code);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
@@ -62,7 +62,7 @@
                 new PeerFrameReader(connection, receiver).start();
             }
         } catch (IOException e) {
-            LOG.debug("accepting a controller failed: {}", e.toString());
+            LOG.debug("accepting a peer connection failed, error={}", e.toString());
         }
     }
 
--- a/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
+++ b/controller/src/test/java/org/landingridge/controller/peer/HeartbeatForwarderTest.java
@@ -73,7 +73,7 @@
     }
 
     @Test
-    @DisplayName("an answer to a report that the former incarnation forwarded is not handed to another machine")
+    @DisplayName("an answer to a heartbeat that the previous incarnation forwarded is not sent to another machine")
     void answerToHeartbeatOfPreviousIncarnationIsNotSentToAnotherMachine() {
         startIncarnation(1).forward("rig-0", heartbeatOf("m-1"));
         HeartbeatForwarder newIncarnation = startIncarnation(2);
