--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -169,8 +169,8 @@
     }
 
     /**
-     * Accepts connections once the state has been read, a leader's message has arrived, or the time {@code latestOpenAt} has come.
-     * After a crash of all controllers hundreds of workers try to connect while the state is being read; to refuse each
+     * Accepts connections once the state has been read, a leader's message has arrived, or the time {@code latestOpenAt} has
+     * come. After a crash of all controllers hundreds of workers try to connect while the state is being read; to refuse each
      * request costs more than a closed port, and delays the election.
      */
     private void openWhenInformed(Runnable open, long latestOpenAt) {
