--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -8,78 +8,83 @@
 import org.landingridge.wire.LeaderRedirect;
 
 /**
- * Forwards heartbeats of workers to the leader and its answers back, so that a worker may stay with any controller: a leader
- * that the workers cannot reach keeps their leases, and a failover moves only the workers that were with the leader itself.
- * Where the leader is not heard over {@code back}, the worker is redirected to it.
+ * Forwards workers' heartbeats to the leader and returns the leader's answers to the workers, so that a worker can stay
+ * connected to any controller. Workers renew their leases even when they cannot reach the leader directly, and a failover
+ * makes only the workers of the failed leader reconnect. If no messages arrive from the leader over the peer network
+ * ({@code back}), workers are redirected to the leader instead.
  */
 public final class HeartbeatForwarder {
-    /** The leader sends the others every second what runs: after a few misses the connection to it is taken to be cut. */
-    private static final long FRESH_MS = 2_800;
-    /** Less than the 4 s after which the worker gives up. */
-    private static final long WAIT_MS = 1_500;
-    /** Heartbeats that wait may take so many bytes together. */
-    private static final int MOST_BYTES = 8 << 20;
+    /** The leader sends a message every second; after more than two missing ones the connection counts as cut. */
+    private static final long LEADER_MESSAGE_TIMEOUT_MS = 2_800;
+    /** Below the worker's own timeout of 4 s, so that the redirect still reaches the worker. */
+    private static final long ANSWER_TIMEOUT_MS = 1_500;
+    /** Limit on the total size of the heartbeats that wait for an answer, in bytes. */
+    private static final int MAX_PENDING_BYTES = 8 << 20;
 
     private final EventLoop loop;
     private final PeerTransport transport;
-    private final String host;
-    private final Map<Long, Http.Exchange> waiting = new HashMap<>();
-    private final int mostWaiting;
-    private int waitingBytes;
-    private String heardHost;
-    private long heardAt = Long.MIN_VALUE / 2;
+    private final String ownHost;
+    /** Exchanges of the forwarded heartbeats that wait for an answer, by heartbeat number. */
+    private final Map<Long, Http.Exchange> exchangesByNumber = new HashMap<>();
+
+    private final int maxPending;
+    private int pendingBytes;
+    private String lastSender;
+    private long lastMessageAt = Long.MIN_VALUE / 2;
     /**
-     * Of the heartbeat forwarded last. Each incarnation begins somewhere else: a process that is back within a fraction of a
-     * second may get the answer to a heartbeat that its former incarnation forwarded, and would give one machine's commands
-     * to another.
+     * Number of the last forwarded heartbeat. Each incarnation starts at a random number: a process that restarts within a
+     * fraction of a second may receive the answer to a heartbeat that its previous incarnation forwarded, and with equal
+     * numbers would send one machine's commands to another.
      */
-    private long number;
+    private long lastNumber;
 
     /**
-     * @param random      draws the number of the first heartbeat
-     * @param host        of this controller
-     * @param mostWaiting heartbeats that may wait for the leader at a time; each takes a connection of its worker
+     * @param random     source of the number at which this incarnation starts
+     * @param ownHost    host of this controller
+     * @param maxPending limit on the heartbeats that wait for an answer; each occupies a connection of its worker
      */
     public HeartbeatForwarder(
-            EventLoop loop, PeerTransport transport, RandomGenerator random, String host, int mostWaiting) {
-        this.mostWaiting = mostWaiting;
+            EventLoop loop, PeerTransport transport, RandomGenerator random, String ownHost, int maxPending) {
+        this.maxPending = maxPending;
         this.loop = loop;
         this.transport = transport;
-        this.host = host;
-        this.number = random.nextLong();
+        this.ownHost = ownHost;
+        this.lastNumber = random.nextLong();
     }
 
-    /** A message of this leader has come. */
-    public void heard(String leader) {
-        heardHost = leader;
-        heardAt = loop.now();
+    /** Records that a message from this leader has arrived. */
+    public void recordLeaderMessage(String leader) {
+        lastSender = leader;
+        lastMessageAt = loop.now();
     }
 
-    /** The leader that is heard over {@code back}, or null. */
-    public String heard() {
-        return loop.now() - heardAt < FRESH_MS ? heardHost : null;
+    /** Returns the leader whose messages arrive over {@code back}, or null if none has arrived recently. */
+    public String reachableLeader() {
+        return loop.now() - lastMessageAt < LEADER_MESSAGE_TIMEOUT_MS ? lastSender : null;
     }
 
-    /** Answers a heartbeat at a controller that does not lead: 421 with the leader's host where it cannot be forwarded. */
-    public void report(String leader, Http.Exchange exchange) {
-        if (!leader.equals(heard()) || waiting.size() >= mostWaiting || waitingBytes > MOST_BYTES) {
+    /** Forwards a heartbeat to the leader, or answers 421 with the leader's host if it cannot be forwarded. */
+    public void forward(String leader, Http.Exchange exchange) {
+        if (!leader.equals(reachableLeader())
+                || exchangesByNumber.size() >= maxPending
+                || pendingBytes > MAX_PENDING_BYTES) {
             redirect(leader, exchange);
             return;
         }
-        long forwarded = ++number;
-        waiting.put(forwarded, exchange);
-        waitingBytes += exchange.body().length;
-        transport.send(leader, new PeerMessage.ForwardedHeartbeat(host, forwarded, exchange.body()));
-        loop.after(WAIT_MS, () -> {
-            if (take(forwarded) != null) {
+        long number = ++lastNumber;
+        exchangesByNumber.put(number, exchange);
+        pendingBytes += exchange.body().length;
+        transport.send(leader, new PeerMessage.ForwardedHeartbeat(ownHost, number, exchange.body()));
+        loop.after(ANSWER_TIMEOUT_MS, () -> {
+            if (removePending(number) != null) {
                 redirect(leader, exchange);
             }
         });
     }
 
-    private Http.Exchange take(long number) {
-        Http.Exchange exchange = waiting.remove(number);
-        waitingBytes -= exchange == null ? 0 : exchange.body().length;
+    private Http.Exchange removePending(long number) {
+        Http.Exchange exchange = exchangesByNumber.remove(number);
+        pendingBytes -= exchange == null ? 0 : exchange.body().length;
         return exchange;
     }
 
@@ -87,16 +92,16 @@
         exchange.answer(421, LeaderRedirect.bytes(leader));
     }
 
-    /** The leader's answer. */
-    public void answered(PeerMessage.Answer answer) {
-        Http.Exchange exchange = take(answer.number());
+    /** Passes the leader's answer to the worker that waits for it. */
+    public void receiveAnswer(PeerMessage.HeartbeatAnswer answer) {
+        Http.Exchange exchange = removePending(answer.number());
         if (exchange != null) {
             exchange.answer(answer.status(), answer.body());
         }
     }
 
-    /** The leader's side: an exchange whose answer goes back over {@code back}. */
-    public Http.Exchange carried(PeerMessage.ForwardedHeartbeat heartbeat) {
+    /** Returns an exchange by which the leader answers a forwarded heartbeat; the answer is sent over {@code back}. */
+    public Http.Exchange exchangeFor(PeerMessage.ForwardedHeartbeat heartbeat) {
         return new Http.Exchange() {
             @Override
             public String method() {
@@ -115,7 +120,8 @@
 
             @Override
             public void answer(int status, byte[] json, int retryAfterS) {
-                transport.send(heartbeat.host(), new PeerMessage.Answer(host, heartbeat.number(), status, json));
+                transport.send(
+                        heartbeat.host(), new PeerMessage.HeartbeatAnswer(ownHost, heartbeat.number(), status, json));
             }
         };
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
@@ -11,14 +11,14 @@
 import org.xnio.StreamConnection;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** Reads frames off one controller's connection until it ends: four bytes of length, then one record. */
+/** Reads frames from another controller's connection until it ends. A frame is a four-byte length followed by one record. */
 final class PeerFrameReader {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     private static final int LENGTH_BYTES = 4;
-    private static final int INITIAL_BYTES = 2048;
+    private static final int INITIAL_BUFFER_BYTES = 2048;
     private final StreamConnection connection;
     private final Consumer<PeerMessage> receiver;
-    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
     PeerFrameReader(StreamConnection connection, Consumer<PeerMessage> receiver) {
         this.connection = connection;
@@ -27,35 +27,36 @@
 
     void start() {
         ConduitStreamSourceChannel source = connection.getSourceChannel();
-        source.setReadListener(this::drain);
+        source.setReadListener(this::readAvailable);
         source.resumeReads();
     }
 
-    private void drain(ConduitStreamSourceChannel source) {
+    private void readAvailable(ConduitStreamSourceChannel source) {
         try {
-            int count;
-            while ((count = source.read(buffer)) > 0) {
-                takeFrames();
+            int bytesRead;
+            while ((bytesRead = source.read(buffer)) > 0) {
+                deliverFrames();
             }
-            if (count < 0) {
+            if (bytesRead < 0) {
                 IoUtils.safeClose(connection);
             }
         } catch (IOException e) {
-            LOG.debug("a controller's connection failed: {}", e.toString());
+            LOG.debug("peer connection failed, error={}", e.toString());
             IoUtils.safeClose(connection);
         }
     }
 
-    private void takeFrames() throws IOException {
+    private void deliverFrames() throws IOException {
         buffer.flip();
         while (buffer.remaining() >= LENGTH_BYTES) {
             int length = buffer.getInt(buffer.position());
             if (length < 1 || length > PeerMessage.MAX_BYTES) {
-                throw new IOException("a frame of " + length + " bytes");
+                throw new IOException(
+                        "peer frame: length " + length + " is not between 1 and " + PeerMessage.MAX_BYTES);
             }
             if (buffer.remaining() < LENGTH_BYTES + length) {
                 if (buffer.capacity() < LENGTH_BYTES + length) {
-                    grow(LENGTH_BYTES + length);
+                    growBuffer(LENGTH_BYTES + length);
                     return;
                 }
                 break;
@@ -63,30 +64,30 @@
             buffer.getInt();
             byte[] frame = new byte[length];
             buffer.get(frame);
-            deliver(frame);
+            deliverFrame(frame);
         }
         buffer.compact();
     }
 
-    private void grow(int bytes) {
-        ByteBuffer larger = ByteBuffer.allocate(bytes);
+    private void growBuffer(int capacity) {
+        ByteBuffer larger = ByteBuffer.allocate(capacity);
         larger.put(buffer);
         buffer = larger;
     }
 
-    private void deliver(byte[] frame) {
+    private void deliverFrame(byte[] frame) {
         PeerMessage message;
         try {
             message = PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(frame)));
         } catch (IOException e) {
-            // A frame of its own: what follows it can be read all the same.
-            LOG.warn("a controller's record of {} bytes cannot be read and is dropped: {}", frame.length, e.toString());
+            // The frame's length is known, so the frames after it can still be read.
+            LOG.warn("unreadable peer record dropped, bytes={} error={}", frame.length, e.toString());
             return;
         }
         try {
             receiver.accept(message);
         } catch (RuntimeException e) {
-            LOG.error("a record of {} failed", message.host(), e);
+            LOG.error("handling a peer message failed, sender={}", message.host(), e);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -12,23 +12,24 @@
 import org.landingridge.controller.jobs.CancellationLog;
 
 /**
- * The form of messages on the wire: records of DataOutputStream, a byte of the type and the sender first. Fields that later
- * versions added stand last, and a record without them is read as one of an earlier version.
+ * Wire format of the messages between controllers. A record is written with {@link DataOutputStream}: the type as one byte,
+ * the sender's host, then the fields. Fields added by later versions come last, and a record that ends before them is read
+ * as one of an earlier version.
  */
 final class PeerMessageCodec {
     private PeerMessageCodec() {}
 
     static byte[] encode(PeerMessage message) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(bytes);
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        DataOutputStream out = new DataOutputStream(buffer);
         try {
             out.writeByte(message.type().code());
             out.writeUTF(message.host());
             writeFields(out, message);
         } catch (IOException e) {
-            throw new UncheckedIOException("a byte array takes everything", e);
+            throw new UncheckedIOException("writing a peer record to a byte array failed", e);
         }
-        return bytes.toByteArray();
+        return buffer.toByteArray();
     }
 
     private static void writeFields(DataOutputStream out, PeerMessage message) throws IOException {
@@ -39,7 +40,7 @@
             case HAND_OVER -> out.writeLong(((PeerMessage.HandOver) message).token());
             case RUNNING_COUNTS -> write(out, (PeerMessage.RunningCounts) message);
             case FORWARDED_HEARTBEAT -> write(out, (PeerMessage.ForwardedHeartbeat) message);
-            case ANSWER -> write(out, (PeerMessage.Answer) message);
+            case ANSWER -> write(out, (PeerMessage.HeartbeatAnswer) message);
         }
     }
 
@@ -91,7 +92,7 @@
         writeBody(out, heartbeat.body());
     }
 
-    private static void write(DataOutputStream out, PeerMessage.Answer answer) throws IOException {
+    private static void write(DataOutputStream out, PeerMessage.HeartbeatAnswer answer) throws IOException {
         out.writeLong(answer.number());
         out.writeInt(answer.status());
         writeBody(out, answer.body());
@@ -102,22 +103,22 @@
         out.write(body);
     }
 
-    /** Reads one record; anything malformed is an IOException. */
+    /** Decodes one record; throws an IOException if it is malformed. */
     static PeerMessage decode(DataInputStream in) throws IOException {
         int code = in.readUnsignedByte();
         String host = in.readUTF();
-        return switch (PeerRecordType.of(code)) {
+        return switch (PeerRecordType.forCode(code)) {
             case ASK -> readAsk(host, in);
             case GRANT -> readGrant(host, in);
             case REFUSE -> new PeerMessage.Refuse(host, in.readLong(), in.readLong());
             case HAND_OVER -> new PeerMessage.HandOver(host, in.readLong());
             case RUNNING_COUNTS -> readRunningCounts(host, in);
             case FORWARDED_HEARTBEAT -> new PeerMessage.ForwardedHeartbeat(host, in.readLong(), readBody(in));
-            case ANSWER -> new PeerMessage.Answer(host, in.readLong(), in.readInt(), readBody(in));
+            case ANSWER -> new PeerMessage.HeartbeatAnswer(host, in.readLong(), in.readInt(), readBody(in));
         };
     }
 
-    /** A controller of an earlier version does not ask for the others' reports. */
+    /** In requests of earlier versions, which do not ask for cancellations, the last three fields are missing. */
     private static PeerMessage readAsk(String host, DataInputStream in) throws IOException {
         return new PeerMessage.Ask(
                 host,
@@ -128,12 +129,12 @@
                 in.available() > 0 ? in.readLong() : 0);
     }
 
-    /** A controller of an earlier version gives no report. */
+    /** In responses of earlier versions the report is missing. */
     private static PeerMessage readGrant(String host, DataInputStream in) throws IOException {
         long token = in.readLong();
         long number = in.readLong();
-        boolean reports = in.available() > 0 && in.readBoolean();
-        return new PeerMessage.Grant(host, token, number, reports ? readReport(in) : null);
+        boolean hasReport = in.available() > 0 && in.readBoolean();
+        return new PeerMessage.Grant(host, token, number, hasReport ? readReport(in) : null);
     }
 
     private static PeerMessage.CancellationReport readReport(DataInputStream in) throws IOException {
@@ -143,7 +144,8 @@
         boolean complete = in.readBoolean();
         int size = in.readInt();
         if (size < 0 || size > PeerMessage.MAX_BYTES) {
-            throw new IOException(size + " cancellations");
+            throw new IOException(
+                    "cancellation report: count " + size + " is not between 0 and " + PeerMessage.MAX_BYTES);
         }
         List<CancellationLog.Ending> cancellations = new ArrayList<>();
         for (int i = 0; i < size; i++) {
@@ -152,7 +154,7 @@
         return new PeerMessage.CancellationReport(incarnation, from, to, complete, cancellations);
     }
 
-    /** A leader of a version before 0.3 says nothing of its writes. */
+    /** In messages of versions before 0.3 the last field is missing. */
     private static PeerMessage readRunningCounts(String host, DataInputStream in) throws IOException {
         int size = in.readInt();
         Map<String, Integer> counts = new LinkedHashMap<>();
@@ -165,7 +167,8 @@
     private static byte[] readBody(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > PeerMessage.MAX_BYTES) {
-            throw new IOException("a body of " + length + " bytes");
+            throw new IOException(
+                    "peer record: body length " + length + " is not between 0 and " + PeerMessage.MAX_BYTES);
         }
         return in.readNBytes(length);
     }
