--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * The cancellations that this process has come to know, in that order: what it can vouch for towards a leader that has lost
- * the state service. A cancellation is in the log before any user is told of it. Bounded: of the overwritten entries the
- * newest revision is kept, and for a leader that lacks it this process cannot vouch.
+ * The cancellations known to this process, in the order in which it learned of them. The process reports them to a leader that
+ * has lost the state service. A cancellation is logged before any user is informed of it. The log is bounded: it keeps the
+ * newest revision among the overwritten entries, and cannot give a complete report to a leader whose view is older than that.
  */
 public final class CancellationLog {
-    /** A job that is cancelled, and the revision at which that was stored. */
+    /** A cancelled job, and the revision at which the cancellation was stored. */
     public record Ending(long revision, String id) {}
 
     /**
-     * The entries that follow a position.
+     * A page of entries that follow a given position.
      *
-     * @param to       the position after the last entry considered
-     * @param complete nothing is known beyond it
+     * @param to       the position after the last entry examined
+     * @param complete whether the page reaches the newest entry of the log
      */
     public record Page(long to, boolean complete, List<Ending> endings) {}
 
@@ -25,7 +25,7 @@
 
     private final Ending[] ring = new Ending[CAPACITY];
     private long count;
-    /** The newest revision of an entry that has been overwritten. */
+    /** The newest revision among the overwritten entries. */
     private long overwritten;
 
     void note(long revision, String id) {
@@ -36,18 +36,18 @@
         ring[slot] = new Ending(revision, id);
     }
 
-    /** How many cancellations came to be known so far: the position after the newest. */
+    /** Returns the number of cancellations added so far, which is the position after the newest entry. */
     public long count() {
         return count;
     }
 
     /**
-     * A page of what came to be known here after the position, as far as it was stored after the revision; null where some of
-     * that may have been overwritten.
+     * Returns a page of the entries after the position that were stored after the revision; null if some of them may have been
+     * overwritten.
      */
     public Page after(long position, long revision) {
         long oldest = Math.max(0, count - CAPACITY);
-        // Otherwise a leader would take a part of the entries that it lacks for all of them.
+        // A page without the overwritten entries would look complete to a leader that lacks them.
         if (position < oldest && overwritten > revision) {
             return null;
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 import org.landingridge.wire.JobSpec;
 
-/** A job as this controller knows it from what is stored. Jobs that are done keep no description. */
+/** A job as this controller knows it from the state service. The specification of a done job is dropped. */
 public final class Job {
-    /** Where a job is in its life cycle; the names of the two ends are stored. */
+    /** The states of a job's life cycle. The names {@link #DONE} and {@link #CANCELLED} are stored. */
     public enum Status {
         /** Neither done nor cancelled. */
         ACCEPTED,
-        /** All tasks have finished, and that is stored. */
+        /** All tasks have finished, and the end of the job is stored. */
         DONE,
-        /** Cancelled by a user, or with a job that it awaits. */
+        /** Cancelled by a user, or because a job that it awaits was cancelled. */
         CANCELLED,
-        /** It has ended, and only the history knows how. */
+        /** Ended and moved to the history, which alone records whether it was done or cancelled. */
         MOVED
     }
 
@@ -30,7 +30,7 @@
     private long submittedAt;
     private long endedAt;
     private int running;
-    /** Jobs that this one awaits and that are not known to be done; empty for most. */
+    /** Ids of the awaited jobs that are not known to be done; empty for most jobs. */
     private Set<String> awaited = Set.of();
 
     private long readySince;
@@ -41,74 +41,77 @@
         this.created = created;
     }
 
-    /** The id that the user chose. */
+    /** Returns the id chosen by the user. */
     public String id() {
         return id;
     }
 
-    /** Dense index, in the order in which this controller came to know the jobs. */
+    /** Returns a dense index, in the order in which this controller first saw the jobs. */
     public int index() {
         return index;
     }
 
-    /** Revision at which this controller first saw the job. */
+    /** Returns the revision at which this controller first saw the job. */
     public long created() {
         return created;
     }
 
-    /** Where the job is in its life cycle. */
+    /** Returns the state of the job's life cycle. */
     public Status status() {
         return status;
     }
 
-    /** The description; null for a job that is done, and for a terminated one that was stored without. */
+    /** Returns the specification; null for a done job, and for a terminated job that was stored without one. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** How many tasks the job has. */
+    /** Returns the number of tasks of the job. */
     public int tasks() {
         return tasks;
     }
 
-    /** The finished tasks that are stored, by index; null once the job has ended. */
+    /** Returns the indexes of the tasks that are stored as finished; null once the job has ended. */
     public BitSet done() {
         return done;
     }
 
-    /** Records finished tasks: those at the set bits, counted from {@code firstTask}. */
+    /** Records finished tasks: bit {@code i} stands for task {@code firstTask + i}. */
     void finished(int firstTask, BitSet bits) {
         for (int bit = bits.nextSetBit(0); bit >= 0; bit = bits.nextSetBit(bit + 1)) {
             done.set(firstTask + bit);
         }
     }
 
-    /** Time of day of the submission in milliseconds; 0 where it is not stored. */
+    /** Returns the time of day of the submission, in milliseconds; 0 if it is not stored. */
     public long submittedAt() {
         return submittedAt;
     }
 
-    /** Time of the event loop at which this controller came to know the job's end, in milliseconds. */
+    /** Returns the time of the event loop, in milliseconds, at which this controller learned that the job had ended. */
     public long endedAt() {
         return endedAt;
     }
 
-    /** True while the job is neither done nor cancelled. */
+    /** Returns true while the job has not ended. */
     public boolean active() {
         return status == Status.ACCEPTED;
     }
 
-    /** True once all jobs that this one awaits are stored as done: no task of it may start before. */
+    /** Returns true once all awaited jobs are stored as done. No task of the job may start before. */
     public boolean ready() {
         return awaited.isEmpty();
     }
 
-    /** Ids of the jobs that this one awaits and that are not known to be done. */
+    /** Returns the ids of the awaited jobs that are not known to be done. */
     public Set<String> awaited() {
         return Collections.unmodifiableSet(awaited);
     }
 
-    /** Time of the event loop at which this controller saw the last awaited job done; 0 for a job that was ready when it became known. */
+    /**
+     * Returns the time of the event loop, in milliseconds, at which this controller learned that the last awaited job was done;
+     * 0 before that, and for a job that was ready when first seen.
+     */
     public long readySince() {
         return readySince;
     }
@@ -120,7 +123,7 @@
         awaited.add(id);
     }
 
-    /** An awaited job is done; true if it was the last. */
+    /** Records that an awaited job is done; returns true if it was the last. */
     boolean satisfied(String id, long now) {
         if (!awaited.remove(id) || !awaited.isEmpty()) {
             return false;
@@ -129,24 +132,24 @@
         return true;
     }
 
-    /** How many tasks run, as the leader last said; for display. */
+    /** Returns the number of running tasks that the leader last published; for display only. */
     public int running() {
         return running;
     }
 
-    /** Sets how many tasks run, as the leader says. */
+    /** Sets the number of running tasks that the leader published. */
     public void running(int count) {
         running = count;
     }
 
-    /** Sets the description, before the job is in the table's lists. */
+    /** Sets the specification. Called before the job is added to the lists of {@link JobTable}. */
     void accepted(JobSpec description, long at) {
         spec = description;
         tasks = description.tasks();
         submittedAt = at;
     }
 
-    /** The one transition of a job's status: it ends, once. False if it had ended before. */
+    /** Makes the only status transition of a job, from accepted to ended. Returns false if the job had already ended. */
     boolean end(Status how, int count, long now) {
         if (status != Status.ACCEPTED) {
             return false;
@@ -163,7 +166,7 @@
         return true;
     }
 
-    /** How many finished tasks are stored; 0 for a job that did not end as done. */
+    /** Returns the number of tasks stored as finished; 0 for a job that ended otherwise than done. */
     public int doneCount() {
         return switch (status) {
             case ACCEPTED -> done.cardinality();
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobDependencies.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobDependencies.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The edges of the DAG of jobs: by the id of a job that is awaited and not known to be done, the jobs that await it. */
+/** The edges of the DAG of jobs: maps the id of each awaited job that is not known to be done to the jobs that await it. */
 final class JobDependencies {
     private final Map<String, Job> known;
     private final Map<String, Set<Job>> dependents = new HashMap<>();
 
-    /** @param known the jobs of the table by id, as they change */
+    /** @param known live view of the jobs of {@link JobTable}, by id */
     JobDependencies(Map<String, Job> known) {
         this.known = known;
     }
 
-    /** Adds the edges of an accepted job to those that it awaits and that are not known to be done; true if one is cancelled. */
+    /** Adds edges from an accepted job to the awaited jobs not known to be done; returns true if an awaited job is cancelled. */
     boolean add(Job dependent) {
         boolean cancelled = false;
         for (String id : dependent.spec().awaits()) {
@@ -32,13 +32,13 @@
         return cancelled;
     }
 
-    /** Removes the edges to a job whose end is known, and returns the jobs that awaited it, in the order of acceptance. */
+    /** Removes the edges to a job that has ended, and returns the jobs that awaited it, in the order of acceptance. */
     Set<Job> remove(String awaited) {
         Set<Job> removed = dependents.remove(awaited);
         return removed == null ? Set.of() : removed;
     }
 
-    /** Removes the edges of a dependent that has ended itself. */
+    /** Removes the edges of a dependent job that has ended. */
     void removeDependent(Job dependent, Set<String> awaited) {
         for (String id : awaited) {
             Set<Job> others = dependents.get(id);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** True if the job awaits one that the table does not keep. */
+    /** Returns true if the job awaits a job that the table does not hold. */
     boolean unresolved(Job dependent) {
         for (String id : dependent.awaited()) {
             if (!known.containsKey(id)) {
@@ -61,7 +61,7 @@
         return false;
     }
 
-    /** Ids of the jobs that are awaited and that the table does not keep. */
+    /** Returns the ids of awaited jobs that the table does not hold. */
     List<String> unresolved() {
         List<String> ids = new ArrayList<>();
         for (String id : dependents.keySet()) {
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -18,38 +18,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The active jobs, and a bounded number of those that terminated lately, as the watch on their keys shows them. Jobs that have
- * no key any more are in the history.
+ * The active jobs and a bounded number of recently terminated jobs, kept up to date by the watch on their keys. Jobs without a
+ * key have moved to the history.
  */
 public final class JobTable {
-    /** Notified of changes of jobs, after the table shows them. */
+    /** Receives changes of jobs after the table has applied them. */
     public interface Listener {
-        /** An active job has become known. */
+        /** Called when this controller has first seen an active job. */
         void jobAccepted(Job job);
 
-        /** A job that was active has ended. */
+        /** Called when an active job has ended. */
         void jobEnded(Job job);
 
-        /** The last job that this one awaits is done. */
+        /** Called when the last awaited job of this job is done. */
         void jobReady(Job job);
     }
 
     /**
-     * The end of a job, to be applied.
+     * The end of a job, to be applied to the table.
      *
-     * @param revision  at which it was stored, or at which that of the job was from which it follows
-     * @param notifies    whether the listener is notified
-     * @param persisted whether the job's own key states it
+     * @param revision  revision at which the end was stored; for a derived cancellation, that of its cause or of the job itself
+     * @param notifies  whether to call the listener
+     * @param persisted whether the job's own key records the end
      */
     private record Termination(Job job, Job.Status how, int tasks, long revision, boolean notifies, boolean persisted) {
-        /** A cancellation that follows from other jobs, or that another controller vouches for. */
+        /** Returns a cancellation that is caused by an awaited job or reported by another controller. */
         static Termination derived(Job job, long revision, boolean notifies) {
             return new Termination(job, Job.Status.CANCELLED, job.tasks(), revision, notifies, false);
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
-    /** Half a kilobyte each, with the watch cache's part. */
+    /** Each retained job takes about 0.5 kB, including its entry in the watch cache. */
     private static final int RETAINED = 2_048;
 
     private final Map<String, Job> byId = new HashMap<>();
@@ -57,9 +57,9 @@
     private final TerminatedJobs terminated;
     private final JobDependencies dependencies = new JobDependencies(byId);
     private final CancellationLog cancellations = new CancellationLog();
-    /** Revisions of cancellations that another controller vouched for before this one knew the job, by its id. */
+    /** Revisions of cancellations, by job id, that another controller reported before this one had seen the job. */
     private final Map<String, Long> earlyCancellations = new HashMap<>();
-    /** Ids whose stored value makes no sense. */
+    /** Ids of the jobs whose stored value cannot be parsed. */
     private final Set<String> unreadable = new HashSet<>();
 
     private final LongSupplier clock;
@@ -69,75 +69,75 @@
     private int nextIndex;
 
     /**
-     * @param clock   milliseconds of the steady clock
-     * @param evicted called with the ids of terminated jobs that are no longer kept here although they have a key of their own
+     * @param clock   steady clock, in milliseconds
+     * @param evicted called with the id of each terminated job that is evicted from the table although its key still exists
      */
     public JobTable(LongSupplier clock, Consumer<String> evicted) {
         this(clock, evicted, RETAINED);
     }
 
-    /** @param retained terminated jobs that are kept at most */
+    /** @param retained maximum number of terminated jobs in the table, apart from unpersisted ones */
     JobTable(LongSupplier clock, Consumer<String> evicted, int retained) {
         this.clock = clock;
         this.evicted = evicted;
         this.terminated = new TerminatedJobs(retained);
     }
 
-    /** Replaces the listener; null for none. */
+    /** Sets the listener; null for none. */
     public void listener(Listener newListener) {
         listener = newListener;
     }
 
-    /** The job, or null where it is not kept here. */
+    /** Returns the job, or null if the table does not hold it. */
     public Job get(String id) {
         return byId.get(id);
     }
 
-    /** The cancellations known here. */
+    /** Returns the log of the cancellations known to this process. */
     public CancellationLog endings() {
         return cancellations;
     }
 
-    /** Jobs that are neither done nor cancelled, in the order of their acceptance. */
+    /** Returns the jobs that have not ended, in the order of acceptance. */
     public List<Job> active() {
         return active;
     }
 
-    /** Jobs that have ended and still have a key of their own. */
+    /** Returns the terminated jobs that still have their own key. */
     public TerminatedJobs terminated() {
         return terminated;
     }
 
-    /** How many jobs are kept here. */
+    /** Returns the number of jobs in the table. */
     public int size() {
         return byId.size();
     }
 
-    /** True if what is stored under the job's id makes no sense: nothing can be said of the job. */
+    /** Returns true if the value stored under the job's key cannot be parsed, so that the job's status is unknown. */
     public boolean unreadable(String id) {
         return unreadable.contains(id);
     }
 
-    /** True if the job awaits one that is not kept here: only its key or the history tells how that ended. */
+    /** Returns true if the job awaits a job that is not in the table; its outcome must be read from its key or the history. */
     public boolean unresolved(Job job) {
         return dependencies.unresolved(job);
     }
 
-    /** Ids of the jobs that are awaited and not kept here. */
+    /** Returns the ids of awaited jobs that are not in the table. */
     public List<String> unresolved() {
         return dependencies.unresolved();
     }
 
-    /** An awaited job that is not kept here has ended, by its key or the history. */
+    /** Applies the end of an awaited job that is not in the table, as read from its key or the history. */
     public void resolved(String id, Job.Status how, long revision) {
         propagate(id, how, revision).forEach(this::terminate);
     }
 
     /**
-     * A job's key has changed.
+     * Applies a change of a job's key.
      *
-     * @param value   null where the key was deleted
-     * @param version the revision of the change
+     * @param value   new value; null if the key was deleted
+     * @param version revision of the change
      */
     public void changed(String id, JsonNode value, long version) {
         Long earlyCancellation = earlyCancellations.remove(id);
@@ -150,7 +150,7 @@
         try {
             stored = StoredJobCodec.read(value);
         } catch (InvalidMessageException e) {
-            // Taken neither for an accepted job nor for an absent one: whoever asks is told to come back.
+            // Treated as neither accepted nor absent: requests for this job get the answer "unavailable, retry".
             LOG.error("stored job unreadable: job={} error={}", id, e.getMessage());
             unreadable.add(id);
             return;
@@ -164,7 +164,7 @@
         }
     }
 
-    /** Only terminated jobs lose their key. One that was active here until now ended while the watch was lost. */
+    /** Only keys of terminated jobs are deleted. A job that is still active in the table ended while the watch was lost. */
     private void keyDeleted(String id, long version) {
         Job job = byId.get(id);
         if (job != null) {
@@ -188,7 +188,7 @@
         }
     }
 
-    /** The job has not ended by its own key, but a job that it awaits may be cancelled. */
+    /** Adds a job whose own key records no end, and cancels it at once if an awaited job is cancelled. */
     private void activate(Job job) {
         active.add(job);
         if (dependencies.add(job)) {
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Another controller vouches for a cancellation: that is final, and holds before this one's own view shows it. */
+    /** Applies a cancellation reported by another controller. It is final, even if this controller's watch lags behind. */
     public void cancelled(String id, long revision) {
         Job job = byId.get(id);
         if (job != null) {
@@ -209,17 +209,17 @@
     }
 
     /**
-     * Ends a job as its own key states: by the watch, or by the process that has just committed the end. Jobs that await a
-     * cancelled one are cancelled with it. Does nothing for a job that has ended already.
+     * Ends a job whose own key records the end, as seen by the watch or just committed by this process. Jobs that await a
+     * cancelled job are cancelled with it. Does nothing if the job has already ended.
      *
-     * @param revision at which the end was stored
-     * @param notifies   whether the listener is notified
+     * @param revision revision at which the end was stored
+     * @param notifies whether to call the listener
      */
     public void end(Job job, Job.Status how, int tasks, long revision, boolean notifies) {
         terminate(new Termination(job, how, tasks, revision, notifies, true));
     }
 
-    /** Chains of dependants can be long: they are worked off by a queue, not by recursion. */
+    /** Applies an end and all ends derived from it. A queue replaces recursion, because chains of dependents can be long. */
     private void terminate(Termination first) {
         Deque<Termination> due = new ArrayDeque<>();
         due.add(first);
@@ -231,10 +231,10 @@
         }
     }
 
-    /** A job has ended: its dependants come a step nearer to being ready, or end with it. Returns the ends that follow. */
+    /** Updates the dependents of an ended job, and returns the cancellations derived for them. */
     private List<Termination> propagate(String id, Job.Status how, long revision) {
         if (how == Job.Status.MOVED) {
-            // Only the history tells how the job ended: its dependants wait until that is read.
+            // The outcome is recorded only in the history; the dependents wait until it has been read.
             return List.of();
         }
         List<Termination> following = new ArrayList<>();
@@ -248,7 +248,7 @@
         return following;
     }
 
-    /** True if the job was active. */
+    /** Ends one job and updates the table; returns false if the job had already ended. */
     private boolean apply(Termination end) {
         Job job = end.job;
         Set<String> awaited = Set.copyOf(job.awaited());
@@ -273,7 +273,7 @@
         evicted.accept(job.id());
     }
 
-    /** Records finished tasks that are stored: those at the set bits, counted from {@code firstTask}. */
+    /** Records tasks that are stored as finished: bit {@code i} stands for task {@code firstTask + i}. */
     public void done(String id, int firstTask, BitSet bits) {
         Job job = byId.get(id);
         if (job != null && job.active()) {
--- a/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
@@ -8,8 +8,8 @@
 import org.landingridge.wire.Json;
 
 /**
- * Writes and reads the value of a job's own key. An accepted job is stored as {@code {"at", "spec"}}, a terminated one as
- * {@code {"ended", "takes"}}, with a {@code spec} where it was cancelled.
+ * Encodes and decodes the value of a job's own key. An accepted job has the fields {@code at} and {@code spec}; a terminated
+ * job has the fields {@code ended} and {@code takes}, and if it was cancelled also {@code spec}.
  */
 public final class StoredJobCodec {
     private static final String SUBMITTED_AT = "at";
@@ -20,18 +20,18 @@
     /**
      * A stored job.
      *
-     * @param spec        null where none is stored, or where that of a terminated job cannot be read
-     * @param submittedAt milliseconds of the time of day; 0 where not stored
-     * @param end         null while the job is accepted
+     * @param spec        specification; null if none is stored, or if that of a terminated job cannot be parsed
+     * @param submittedAt time of day of the submission, in milliseconds; 0 if not stored
+     * @param end         outcome; null for an accepted job
      */
     record StoredJob(JobSpec spec, long submittedAt, TerminatedJob end) {}
 
     private StoredJobCodec() {}
 
     /**
-     * The stored form of an accepted job.
+     * Returns the stored form of an accepted job.
      *
-     * @param submittedAt milliseconds of the time of day
+     * @param submittedAt time of day of the submission, in milliseconds
      */
     public static ObjectNode accepted(JobSpec spec, long submittedAt) {
         ObjectNode value = Json.object();
@@ -40,14 +40,14 @@
     }
 
     /**
-     * The stored form of a terminated job. A cancelled one keeps what its tasks take, since a later leader may still find
-     * them on machines and must count them within the team's limit.
+     * Returns the stored form of a terminated job. A cancelled job keeps its specification: a later leader may still find its
+     * tasks on machines, and must count their resources towards the team's limit.
      */
     public static ObjectNode terminated(Job job, Job.Status how) {
         return terminated(job.spec(), job.tasks(), how);
     }
 
-    /** The stored form of a job that is cancelled when it is accepted, since one that it awaits is cancelled. */
+    /** Returns the stored form of a job that is cancelled on acceptance because a job that it awaits is cancelled. */
     public static ObjectNode cancelled(JobSpec spec) {
         return terminated(spec, spec.tasks(), Job.Status.CANCELLED);
     }
@@ -56,13 +56,14 @@
         ObjectNode value = Json.object();
         value.put(ENDED, how.name()).put(TASKS, tasks);
         if (how == Job.Status.CANCELLED && spec != null) {
-            // An earlier version stored longer lists of types than the state service may take by now.
+            // An earlier version stored lists of machine types so long that the value may now exceed the state
+            // service's limit.
             value.set(SPEC, spec.withoutTypes().json());
         }
         return value;
     }
 
-    /** How the job of this stored value ended; empty where it has not, or where that cannot be read. */
+    /** Returns the outcome in a stored value; empty if the job has not ended, or if the outcome cannot be parsed. */
     public static Optional<TerminatedJob> termination(JsonNode value) {
         String how = Json.text(value, ENDED);
         int tasks = (int) Math.max(0, Json.integer(value, TASKS, 0));
@@ -76,9 +77,9 @@
     }
 
     /**
-     * Reads the value of a job's key. How a job ended counts even where its description cannot be read.
+     * Decodes the value of a job's key. The outcome of a terminated job is returned even if its specification cannot be parsed.
      *
-     * @throws InvalidMessageException if the value holds neither an end nor a valid description
+     * @throws InvalidMessageException if the value holds neither an outcome nor a valid specification
      */
     static StoredJob read(JsonNode value) throws InvalidMessageException {
         Optional<TerminatedJob> end = termination(value);
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
@@ -1,13 +1,13 @@
 package org.landingridge.controller.jobs;
 
 /**
- * How a job ended: what is kept of it for good.
+ * The outcome of a job, which is kept permanently.
  *
  * @param how   {@code DONE} or {@code CANCELLED}
- * @param tasks of a done job, how many tasks it had; 0 for a cancelled one, where it is not shown to anybody
+ * @param tasks number of tasks of a done job; 0 for a cancelled job, for which the number is never shown
  */
 public record TerminatedJob(Job.Status how, int tasks) {
-    /** @throws IllegalArgumentException if the job has not ended, or its end is not known */
+    /** @throws IllegalArgumentException if the status is neither done nor cancelled, or the number of tasks is negative */
     public TerminatedJob {
         if ((how != Job.Status.DONE && how != Job.Status.CANCELLED) || tasks < 0) {
             throw new IllegalArgumentException(how + " with " + tasks + " tasks is no end");
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -7,35 +7,35 @@
 import java.util.Set;
 
 /**
- * Terminated jobs that still have a key of their own, as many as are retained. A job whose key does not state its end yet is
- * never evicted: read from its key it would be taken for an accepted one.
+ * A bounded number of terminated jobs that still have their own key. A job whose key does not record its end yet is never
+ * evicted: a later read of its key would show it as accepted.
  */
 public final class TerminatedJobs {
     private final int limit;
-    /** In the order in which their ends came to be known here. */
+    /** In the order in which this process learned of their ends. */
     private final Set<Job> retained = new LinkedHashSet<>();
-    /** Cancelled jobs whose own key, as far as known here, does not say so yet; mostly since a job that they await was. */
+    /** Cancelled jobs whose own key is not known to record it yet; in most cases an awaited job was cancelled. */
     private final Set<Job> unpersisted = new LinkedHashSet<>();
 
     private int evictions;
     private boolean partial;
 
-    /** @param limit jobs that are retained at most, apart from the unpersisted ones */
+    /** @param limit maximum number of retained jobs, apart from unpersisted ones */
     TerminatedJobs(int limit) {
         this.limit = limit;
     }
 
-    /** The retained jobs, in the order in which their ends came to be known here. */
+    /** Returns the retained jobs, in the order in which this process learned of their ends. */
     public Collection<Job> all() {
         return retained;
     }
 
-    /** Cancelled jobs whose own key does not say so yet. */
+    /** Returns the cancelled jobs whose own key does not record the cancellation yet. */
     public Collection<Job> unpersisted() {
         return unpersisted;
     }
 
-    /** @param persisted whether the job's own key states its end */
+    /** @param persisted whether the job's own key records its end */
     void add(Job job, boolean persisted) {
         if (!persisted) {
             unpersisted.add(job);
@@ -43,18 +43,18 @@
         retained.add(job);
     }
 
-    /** The job's own key now states its end. */
+    /** Records that the job's own key now states its end. */
     public void persisted(Job job) {
         unpersisted.remove(job);
     }
 
-    /** The job's key is gone. */
+    /** Removes a job whose key was deleted. */
     void remove(Job job) {
         retained.remove(job);
         unpersisted.remove(job);
     }
 
-    /** Evicts the job that ended first, where more than the limit are retained. */
+    /** If more jobs than the limit are retained, evicts and returns the persisted one whose end has been known longest. */
     Optional<Job> evict() {
         if (retained.size() - unpersisted.size() <= limit) {
             return Optional.empty();
@@ -71,17 +71,17 @@
         return Optional.empty();
     }
 
-    /** How many jobs were evicted so far. */
+    /** Returns the number of jobs evicted so far. */
     public int evictions() {
         return evictions;
     }
 
-    /** True while there may be terminated jobs with a key of their own that are not retained. */
+    /** Returns true while there may be terminated jobs that have their own key but are not retained. */
     public boolean partial() {
         return partial;
     }
 
-    /** Every job's key has been read since the last eviction, and each terminated job that has one is retained. */
+    /** Records that a scan of all job keys since the last eviction found every terminated job with a key retained. */
     public void complete() {
         partial = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/package-info.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The jobs that this controller knows: the table of active and lately terminated jobs, their dependencies, the log of known
+ * The jobs known to this controller: the table of active and recently terminated jobs, their dependencies, the log of known
  * cancellations, and the stored form of a job.
  *
- * <p>State: everything in {@link org.landingridge.controller.jobs.JobTable}, derived from the watch on the jobs' keys, from
- * commits of this process and from cancellations that other controllers vouch for. All of it belongs to the event loop; nothing
- * here locks or blocks. Depends on module {@code wire} alone; the archive of terminated jobs is package {@code history}.
+ * <p>All state is in {@link org.landingridge.controller.jobs.JobTable}. It is derived from the watch on the jobs' keys, from
+ * commits of this process and from cancellations reported by other controllers. Only the event loop's thread accesses it;
+ * nothing here locks or blocks. Depends only on module {@code wire}; package {@code history} archives terminated jobs.
  */
 package org.landingridge.controller.jobs;
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
@@ -11,11 +11,11 @@
 import org.landingridge.wire.Json;
 
 /**
- * What an operator asks for, checked field by field.
+ * An operator's request to change the configuration, validated field by field.
  *
- * @param key      of the request: sent once more it is the same change
- * @param expected number of the configuration that the operator has seen; -1: whichever holds
- * @param rollback the number to go back to; -1: none
+ * @param key      idempotency key: a request that is sent again with the same key makes the change only once
+ * @param expected configuration number that the change is based on; -1 to accept any
+ * @param rollback configuration number to restore; -1 for none
  */
 record ChangeRequest(
         String key,
@@ -123,7 +123,10 @@
         return names;
     }
 
-    /** What the teams concerned are to be, by the configuration that holds; a null value: the platform's file speaks again. */
+    /**
+     * Returns the new values of the changed teams, based on the current configuration; a null value means that the settings
+     * file applies to the team again.
+     */
     Map<String, ConfiguredTeam> apply(Configuration holds, ConfigurationView view) throws InvalidMessageException {
         Map<String, ConfiguredTeam> after = rollback >= 0 ? rolledBack(holds, view) : new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> e : set.entrySet()) {
@@ -168,7 +171,7 @@
         return new ConfiguredTeam(limits, false);
     }
 
-    /** What every change since that number made is taken back, the newest first; a team that was added then is removed. */
+    /** Undoes all changes after the number to restore, newest first; a team added by one of them is marked as removed. */
     private Map<String, ConfiguredTeam> rolledBack(Configuration holds, ConfigurationView view)
             throws InvalidMessageException {
         if (rollback >= holds.number()) {
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/Configuration.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/Configuration.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * What is in force at one moment, whole at one number: a pass or an answer takes it once and works by it throughout.
+ * An immutable and consistent configuration. A scheduling cycle or a request reads it once and uses it to the end.
  *
- * @param number of the last change, 0 while only the platform's file counts
- * @param teams  by name, in a stable order
+ * @param number number of the last change; 0 while only the settings file applies
+ * @param teams  teams by name, in a stable order
  */
 public record Configuration(long number, Map<String, ConfiguredTeam> teams) {}
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
@@ -8,15 +8,15 @@
 import org.landingridge.wire.Json;
 
 /**
- * One change as the bounded log keeps it.
+ * An entry of the bounded log of changes.
  *
- * @param number  of the change, counted from 1
- * @param key     by which a lost answer is settled
- * @param at      time of day, in milliseconds
- * @param by      who made it
- * @param why     in the operator's words
- * @param before  of each team that it concerns; null values: only the platform's file spoke of it, or nobody
- * @param after   of the same teams; null: only the platform's file speaks of it again
+ * @param number  number of the change, counted from 1
+ * @param key     idempotency key, by which a retry after an unknown outcome finds its change
+ * @param at      time of day of the change, in milliseconds
+ * @param by      who made the change
+ * @param why     reason given by the operator
+ * @param before  previous stored value of each changed team; null if none was stored
+ * @param after   new stored value of each changed team; null if only the settings file applies to the team from now on
  */
 record ConfigurationRecord(
         long number,
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -24,16 +24,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What operators ask about the configuration: show it, its last changes, change it. A change is one transaction: the pages of
- * teams that it concerns, its place in the log and the head, conditional on the version of each. After an unknown outcome the
- * log tells, by the request's key, whether it was carried out.
+ * Handles operators' requests to show the configuration, list its last changes and change it. A change is one transaction that
+ * writes the pages of the changed teams, a log entry and the head, each by compare-and-set. After an unknown outcome, the log
+ * shows by the request's idempotency key whether the change was made.
  */
 public final class ConfigurationService {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationService.class);
     private static final int TRIES = 4;
-    /** What a page takes beside its rows. */
+    /** Size of a page without its rows, in bytes. */
     private static final int PAGE_OVERHEAD_BYTES = 60;
-    /** Writes of a change beside its pages: the head and the log. */
+    /** Number of writes of a change besides its pages: the head and the log entry. */
     private static final int FIXED_WRITES = 2;
 
     private final StateClient client;
@@ -58,7 +58,7 @@
         this.limits = limits;
     }
 
-    /** The configuration by which this controller acts now, without asking anybody. */
+    /** Answers with the configuration that this controller currently uses, without reading the state service. */
     public void show(Exchange exchange) {
         Configuration holds = view.current();
         ObjectNode n = Json.object().put("host", host).put("number", holds.number());
@@ -78,7 +78,7 @@
         exchange.answer(200, Json.bytes(n));
     }
 
-    /** The last changes, the newest first. */
+    /** Answers with the last changes, newest first. */
     public void history(Exchange exchange) {
         ObjectNode n = Json.object().put("number", view.current().number());
         ArrayNode changes = n.putArray("changes");
@@ -86,7 +86,7 @@
         exchange.answer(200, Json.bytes(n));
     }
 
-    /** Makes a change, or says why not. */
+    /** Makes a change, or answers with the reason why it is refused. */
     public void change(Exchange exchange) {
         ChangeRequest request;
         try {
@@ -108,7 +108,7 @@
                 () -> refuse(exchange, 503, "the state service does not answer: ask again with the same key"));
     }
 
-    /** The view is as new as any answer given before. */
+    /** Evaluates a request behind a read barrier, so the view includes every change that was answered before the request. */
     private void decide(Exchange exchange, ChangeRequest request, int tries) {
         Configuration holds = view.current();
         for (ConfigurationRecord r : view.log()) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** A change as it is sent. */
+    /** A change in the form in which it is committed. */
     private record Transaction(long number, List<Guard> guards, List<Write> writes) {}
 
     private Transaction transaction(ChangeRequest request, Configuration holds, Map<String, ConfiguredTeam> after)
@@ -225,7 +225,7 @@
         }
     }
 
-    /** What an operator may not have meant; nothing of it is refused. */
+    /** Returns notes on effects that the operator may not have intended. They don't prevent the change. */
     private static List<String> notes(Configuration holds, Map<String, ConfiguredTeam> after) {
         double before = 0;
         double sum = 0;
@@ -254,8 +254,8 @@
                 LOG.info("configuration {} by {}: {}", transaction.number, request.by(), request.why());
                 made(exchange, transaction.number, notes);
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
-                // Another change was quicker, or nobody knows: what holds is read before anything is said or sent
-                // again.
+                // A concurrent change won, or the outcome is unknown: read the current state before answering or
+                // retrying.
                 attempt(exchange, request, tries + 1);
             } else {
                 refuse(exchange, 503, "the state service refuses the change now");
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -16,18 +16,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration as this controller's mirror shows it. A head names the number of the last change and that of each page of
- * teams; a configuration is in force once all of its pages are here at their numbers. What cannot be read leaves the last
- * good one in force.
+ * The configuration in force at this controller, built from the documents in the watch cache. The head holds the number of the
+ * last change, and for each page of teams the number of the change that last wrote it. A configuration takes effect once the
+ * cache holds all pages at these numbers. If a document cannot be parsed, the last valid configuration stays in force.
  */
 public final class ConfigurationView {
-    /** All documents of the configuration are kept under this prefix. */
+    /** Key prefix of all documents of the configuration. */
     public static final String ROOT = Keys.ROOT + "config/";
 
     static final String HEAD = ROOT + "head";
     static final String PAGE = ROOT + "teams/";
     static final String LOG_ROOT = ROOT + "log/";
-    /** So many of the last changes are kept. */
+    /** Number of changes that the log keeps. */
     static final int KEPT_CHANGES = 64;
 
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationView.class);
@@ -36,13 +36,13 @@
     private Configuration current;
     private boolean stale;
 
-    /** @param teams of the platform's file */
+    /** @param teams teams of the settings file, by name */
     public ConfigurationView(Map<String, Settings.Team> teams) {
         teams.forEach((name, team) -> fromFile.put(name, new ConfiguredTeam(team, false)));
         current = new Configuration(0, Collections.unmodifiableMap(new LinkedHashMap<>(fromFile)));
     }
 
-    /** The mirror's news of one document; null: it is gone. */
+    /** Applies a change of one document; null if it was deleted. */
     public void changed(String key, JsonNode value) {
         if (value == null) {
             documents.remove(key);
@@ -52,7 +52,7 @@
         stale = true;
     }
 
-    /** What is in force at this controller. */
+    /** Returns the configuration in force at this controller. */
     public Configuration current() {
         if (stale) {
             stale = false;
@@ -69,7 +69,7 @@
         return current;
     }
 
-    /** The stored configuration over the platform's file; null while its pages are not all here. */
+    /** Returns the settings file's teams with the stored ones over them; null while the head or a page at its number is missing. */
     private Configuration read() throws InvalidMessageException {
         JsonNode head = documents.get(HEAD);
         if (head == null) {
@@ -95,7 +95,7 @@
         return fromFile.containsKey(team);
     }
 
-    /** Numbers of the changes in which each page was written last. */
+    /** Returns for each page the number of the change that last wrote it. */
     List<Long> pageNumbers() {
         List<Long> numbers = new ArrayList<>();
         JsonNode head = documents.get(HEAD);
@@ -105,13 +105,13 @@
         return numbers;
     }
 
-    /** The rows of one page; empty where there is no such page. */
+    /** Returns the teams of one page by name; empty if the page does not exist. */
     Map<String, ConfiguredTeam> page(int index) throws InvalidMessageException {
         JsonNode page = documents.get(PAGE + index);
         return page == null ? new LinkedHashMap<>() : ConfigurationRecord.teams(page.get("teams"));
     }
 
-    /** The last changes that can be read, the newest first. */
+    /** Returns the last changes, newest first, without entries that cannot be parsed. */
     List<ConfigurationRecord> log() {
         List<ConfigurationRecord> log = new ArrayList<>();
         documents.forEach((key, value) -> {
@@ -128,7 +128,7 @@
         return log;
     }
 
-    /** The stored form of a head. */
+    /** Returns the stored form of a head. */
     static JsonNode head(long number, String key, List<Long> pages) {
         ArrayNode numbers = Json.array();
         pages.forEach(numbers::add);
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
@@ -7,15 +7,15 @@
 import org.landingridge.wire.Json;
 
 /**
- * A team as it is configured now.
+ * A team of the current configuration.
  *
- * @param limits  its guarantee and limit
- * @param removed nothing new is accepted from it; what was accepted still runs within these limits
+ * @param limits  the team's guarantee and limit
+ * @param removed whether new jobs of the team are refused; jobs accepted earlier still run within the limits
  */
 public record ConfiguredTeam(Settings.Team limits, boolean removed) {
     private static final int FIELDS = 5;
 
-    /** The stored form: guarantee and limit of processors, of accelerators, and 1 for a removed team. */
+    /** Returns the stored form: guarantee and limit of CPUs, guarantee and limit of GPUs, and 1 for a removed team, else 0. */
     JsonNode json() {
         ArrayNode row = Json.array();
         row.add(limits.cpus())
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -22,14 +22,15 @@
 import org.landingridge.wire.Priority;
 
 /**
- * Tables of several controllers against a plain model of pipelines: which job is done, which was cancelled by its user, and
- * from that, worked out anew each time, which are cancelled with others and which may start.
+ * Compares the {@link JobTable}s of several controllers with a simple model of pipelines after each random step. Guards against
+ * tables that disagree about which jobs are cancelled through an awaited job and which may start, because changes arrive late,
+ * a key has moved to the history or a controller restarts. The model recomputes both from the stored ends after each step.
  */
 class PipelineModelTest {
     private static final int STEPS = 400;
     private static final int KEPT = 12;
 
-    /** What is stored, as the state service would show it, and what follows from it. */
+    /** The stored state as the state service holds it, and the cancellations derived from it. */
     private static final class Model {
         private final Map<String, JobSpec> specs = new LinkedHashMap<>();
         private final Set<String> done = new HashSet<>();
@@ -44,7 +45,7 @@
             return allCancelled.contains(id);
         }
 
-        /** Names point backwards in the order of acceptance: one look in that order finds all that follows. */
+        /** Jobs await only earlier accepted jobs, so one pass in the order of acceptance finds all derived cancellations. */
         void derive() {
             allCancelled.clear();
             for (JobSpec spec : specs.values()) {
@@ -110,7 +111,7 @@
         return new JobTable(() -> 1, id -> {}, KEPT);
     }
 
-    /** A controller that has just begun reads all keys in their order. */
+    /** Returns the table of a newly started controller, which reads all keys in key order. */
     private JobTable loaded() {
         JobTable table = table();
         model.keys.forEach((id, value) -> table.changed(id, value, model.versions.get(id)));
@@ -121,7 +122,7 @@
         tables.forEach(t -> t.changed(id, model.keys.get(id), model.versions.get(id)));
     }
 
-    /** Looks up what a table does not keep, as the controllers do. */
+    /** Looks up awaited jobs that the table does not hold, as a controller does. */
     private void resolve(JobTable table) {
         for (String id : table.unresolved()) {
             TerminatedJob ended = model.keys.containsKey(id)
@@ -163,7 +164,7 @@
 
     private void accept(int number) {
         String id = String.format("job-%06d", random.nextInt(1_000) * 1_000 + number);
-        // Mostly of the newest, so that chains grow long; now and then one that is over already.
+        // Mostly awaits the newest jobs, so that chains grow long; occasionally one that has already ended.
         List<String> known = new ArrayList<>(model.specs.keySet());
         Collections.reverse(known);
         List<String> awaits = new ArrayList<>();
@@ -178,7 +179,8 @@
         List<String> unfinished =
                 awaits.stream().filter(a -> !model.done.contains(a)).toList();
         boolean cancelled = unfinished.stream().anyMatch(model::isCancelled) && random.nextBoolean();
-        // A controller that is behind stores it as waiting, although what it needs is cancelled by now.
+        // A controller whose view lags behind stores the job as accepted although a job that it awaits is already
+        // cancelled.
         model.store(
                 id,
                 cancelled
@@ -207,7 +209,7 @@
                 }
             }
             case 6 -> {
-                // The leader writes what follows, and moves what has ended into the history.
+                // The leader writes the derived cancellations, and moves a terminated job to the history.
                 for (Job job : List.copyOf(tables.get(0).terminated().unpersisted())) {
                     model.store(job.id(), StoredJobCodec.terminated(job, Job.Status.CANCELLED));
                     tell(job.id());
@@ -243,7 +245,7 @@
         assertTrue(model.done.size() > 20 && those(model::isCancelled).size() > 10, "both happen");
     }
 
-    /** The word of another controller, in an outage, ends all that needs the job; a chain of any length is worked off. */
+    /** A cancellation reported by another controller during an outage cancels the whole chain of dependents, however long. */
     @Test
     void aLongChainEndsWithItsFirstJob() {
         JobTable table = table();
@@ -259,7 +261,7 @@
         assertTrue(table.endings().count() == length, "every one can be vouched for");
     }
 
-    /** What needs a job whose end is not known here is neither ready nor over, until that is looked up. */
+    /** A job that awaits one whose end is unknown to the table is neither ready nor ended until the end has been looked up. */
     @Test
     void anUnknownEndIsWaitedFor() {
         JobTable table = table();
--- a/controller/src/test/java/org/landingridge/controller/liveconfig/ConfigurationViewTest.java
+++ b/controller/src/test/java/org/landingridge/controller/liveconfig/ConfigurationViewTest.java
@@ -11,6 +11,10 @@
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.Json;
 
+/**
+ * Guards against a controller that acts on a configuration mixed from two changes, or drops its configuration because a stored
+ * document cannot be parsed.
+ */
 class ConfigurationViewTest {
     private final ConfigurationView view = new ConfigurationView(Map.of("blue", new Settings.Team("blue", 1, 2, 0, 0)));
 
@@ -32,7 +36,7 @@
         assertEquals(7, limit());
     }
 
-    /** While the state is read page by page, documents of two changes can be here together: neither is mixed with the other. */
+    /** The cache can hold documents of two changes while it reads the state page by page; these must not be mixed. */
     @Test
     void nothingIsInForceBeforeAllOfItIsHere() {
         view.changed(ConfigurationView.HEAD, ConfigurationView.head(2, "k", List.of(2L, 1L)));
