--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -69,7 +69,7 @@
         return current;
     }
 
-    /** Returns the settings file's teams overridden by the stored ones; null while the head or a page at its number is missing. */
+    /** Returns the settings file's teams overridden by the stored ones; null if the head or a page at its number is absent. */
     private Configuration read() throws InvalidMessageException {
         JsonNode head = documents.get(HEAD);
         if (head == null) {
