--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -26,14 +26,14 @@
     private final Ending[] ring = new Ending[CAPACITY];
     private long count;
     /** The newest revision among the overwritten entries. */
-    private long overwritten;
+    private long newestOverwrittenRevision;
 
-    void note(long revision, String id) {
+    void add(long revision, String jobId) {
         int slot = (int) (count++ % CAPACITY);
         if (ring[slot] != null) {
-            overwritten = Math.max(overwritten, ring[slot].revision);
+            newestOverwrittenRevision = Math.max(newestOverwrittenRevision, ring[slot].revision);
         }
-        ring[slot] = new Ending(revision, id);
+        ring[slot] = new Ending(revision, jobId);
     }
 
     /** Returns the number of cancellations added so far, which is the position after the newest entry. */
@@ -46,19 +46,19 @@
      * overwritten.
      */
     public Page after(long position, long revision) {
-        long oldest = Math.max(0, count - CAPACITY);
+        long oldestPosition = Math.max(0, count - CAPACITY);
         // A page without the overwritten entries would look complete to a leader that lacks them.
-        if (position < oldest && overwritten > revision) {
+        if (position < oldestPosition && newestOverwrittenRevision > revision) {
             return null;
         }
-        List<Ending> endings = new ArrayList<>();
-        long to = Math.min(count, Math.max(oldest, position));
-        while (to < count && endings.size() < PAGE_SIZE) {
-            Ending ending = ring[(int) (to++ % CAPACITY)];
-            if (ending.revision > revision) {
-                endings.add(ending);
+        List<Ending> cancellations = new ArrayList<>();
+        long endPosition = Math.min(count, Math.max(oldestPosition, position));
+        while (endPosition < count && cancellations.size() < PAGE_SIZE) {
+            Ending cancellation = ring[(int) (endPosition++ % CAPACITY)];
+            if (cancellation.revision > revision) {
+                cancellations.add(cancellation);
             }
         }
-        return new Page(to, to == count, endings);
+        return new Page(endPosition, endPosition == count, cancellations);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -22,23 +22,23 @@
 
     private final String id;
     private final int index;
-    private final long created;
+    private final long firstSeenRevision;
     private Status status = Status.ACCEPTED;
     private JobSpec spec;
     private int tasks;
-    private BitSet done = new BitSet();
+    private BitSet finishedTasks = new BitSet();
     private long submittedAt;
     private long endedAt;
-    private int running;
+    private int runningTasks;
     /** Ids of the awaited jobs that are not known to be done; empty for most jobs. */
     private Set<String> awaited = Set.of();
 
     private long readySince;
 
-    Job(String id, int index, long created) {
+    Job(String id, int index, long firstSeenRevision) {
         this.id = id;
         this.index = index;
-        this.created = created;
+        this.firstSeenRevision = firstSeenRevision;
     }
 
     /** Returns the id chosen by the user. */
@@ -53,7 +53,7 @@
 
     /** Returns the revision at which this controller first saw the job. */
     public long created() {
-        return created;
+        return firstSeenRevision;
     }
 
     /** Returns the state of the job's life cycle. */
@@ -73,13 +73,13 @@
 
     /** Returns the indexes of the tasks that are stored as finished; null once the job has ended. */
     public BitSet done() {
-        return done;
+        return finishedTasks;
     }
 
     /** Records finished tasks: bit {@code i} stands for task {@code firstTask + i}. */
-    void finished(int firstTask, BitSet bits) {
+    void markFinished(int firstTask, BitSet bits) {
         for (int bit = bits.nextSetBit(0); bit >= 0; bit = bits.nextSetBit(bit + 1)) {
-            done.set(firstTask + bit);
+            finishedTasks.set(firstTask + bit);
         }
     }
 
@@ -116,16 +116,16 @@
         return readySince;
     }
 
-    void await(String id) {
+    void addAwaited(String jobId) {
         if (awaited.isEmpty()) {
             awaited = new LinkedHashSet<>();
         }
-        awaited.add(id);
+        awaited.add(jobId);
     }
 
     /** Records that an awaited job is done; returns true if it was the last. */
-    boolean satisfied(String id, long now) {
-        if (!awaited.remove(id) || !awaited.isEmpty()) {
+    boolean markAwaitedDone(String jobId, long now) {
+        if (!awaited.remove(jobId) || !awaited.isEmpty()) {
             return false;
         }
         readySince = now;
@@ -134,33 +134,33 @@
 
     /** Returns the number of running tasks that the leader last published; for display only. */
     public int running() {
-        return running;
+        return runningTasks;
     }
 
     /** Sets the number of running tasks that the leader published. */
-    public void running(int count) {
-        running = count;
+    public void running(int newRunningTasks) {
+        runningTasks = newRunningTasks;
     }
 
     /** Sets the specification. Called before the job is added to the lists of {@link JobTable}. */
-    void accepted(JobSpec description, long at) {
-        spec = description;
-        tasks = description.tasks();
-        submittedAt = at;
+    void setSpec(JobSpec newSpec, long submissionTimeMs) {
+        spec = newSpec;
+        tasks = newSpec.tasks();
+        submittedAt = submissionTimeMs;
     }
 
     /** Makes the only status transition of a job, from accepted to ended. Returns false if the job had already ended. */
-    boolean end(Status how, int count, long now) {
+    boolean end(Status finalStatus, int taskCount, long now) {
         if (status != Status.ACCEPTED) {
             return false;
         }
-        status = how;
+        status = finalStatus;
         endedAt = now;
-        tasks = count;
-        running = 0;
-        done = null;
+        tasks = taskCount;
+        runningTasks = 0;
+        finishedTasks = null;
         awaited = Set.of();
-        if (how == Status.DONE) {
+        if (finalStatus == Status.DONE) {
             spec = null;
         }
         return true;
@@ -169,7 +169,7 @@
     /** Returns the number of tasks stored as finished; 0 for a job that ended otherwise than done. */
     public int doneCount() {
         return switch (status) {
-            case ACCEPTED -> done.cardinality();
+            case ACCEPTED -> finishedTasks.cardinality();
             case DONE -> tasks;
             case CANCELLED, MOVED -> 0;
         };
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobDependencies.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobDependencies.java
@@ -9,52 +9,52 @@
 
 /** The edges of the DAG of jobs: maps the id of each awaited job that is not known to be done to the jobs that await it. */
 final class JobDependencies {
-    private final Map<String, Job> known;
-    private final Map<String, Set<Job>> dependents = new HashMap<>();
+    private final Map<String, Job> jobsById;
+    private final Map<String, Set<Job>> dependentsById = new HashMap<>();
 
-    /** @param known live view of the jobs of {@link JobTable}, by id */
-    JobDependencies(Map<String, Job> known) {
-        this.known = known;
+    /** @param jobsById live view of the jobs of {@link JobTable}, by id */
+    JobDependencies(Map<String, Job> jobsById) {
+        this.jobsById = jobsById;
     }
 
     /** Adds edges from an accepted job to the awaited jobs not known to be done; returns true if an awaited job is cancelled. */
-    boolean add(Job dependent) {
-        boolean cancelled = false;
+    boolean addEdges(Job dependent) {
+        boolean anyCancelled = false;
         for (String id : dependent.spec().awaits()) {
-            Job awaited = known.get(id);
+            Job awaited = jobsById.get(id);
             if (awaited == null || awaited.status() == Job.Status.ACCEPTED) {
-                dependent.await(id);
-                dependents.computeIfAbsent(id, key -> new LinkedHashSet<>()).add(dependent);
+                dependent.addAwaited(id);
+                dependentsById.computeIfAbsent(id, key -> new LinkedHashSet<>()).add(dependent);
             } else if (awaited.status() == Job.Status.CANCELLED) {
-                cancelled = true;
+                anyCancelled = true;
             }
         }
-        return cancelled;
+        return anyCancelled;
     }
 
     /** Removes the edges to a job that has ended, and returns the jobs that awaited it, in the order of acceptance. */
-    Set<Job> remove(String awaited) {
-        Set<Job> removed = dependents.remove(awaited);
-        return removed == null ? Set.of() : removed;
+    Set<Job> removeEdgesTo(String endedId) {
+        Set<Job> dependents = dependentsById.remove(endedId);
+        return dependents == null ? Set.of() : dependents;
     }
 
     /** Removes the edges of a dependent job that has ended. */
-    void removeDependent(Job dependent, Set<String> awaited) {
-        for (String id : awaited) {
-            Set<Job> others = dependents.get(id);
-            if (others != null) {
-                others.remove(dependent);
-                if (others.isEmpty()) {
-                    dependents.remove(id);
+    void removeEdgesFrom(Job dependent, Set<String> awaitedIds) {
+        for (String id : awaitedIds) {
+            Set<Job> dependentsOfAwaited = dependentsById.get(id);
+            if (dependentsOfAwaited != null) {
+                dependentsOfAwaited.remove(dependent);
+                if (dependentsOfAwaited.isEmpty()) {
+                    dependentsById.remove(id);
                 }
             }
         }
     }
 
     /** Returns true if the job awaits a job that the table does not hold. */
-    boolean unresolved(Job dependent) {
+    boolean hasUnresolved(Job dependent) {
         for (String id : dependent.awaited()) {
-            if (!known.containsKey(id)) {
+            if (!jobsById.containsKey(id)) {
                 return true;
             }
         }
@@ -62,10 +62,10 @@
     }
 
     /** Returns the ids of awaited jobs that the table does not hold. */
-    List<String> unresolved() {
+    List<String> unresolvedIds() {
         List<String> ids = new ArrayList<>();
-        for (String id : dependents.keySet()) {
-            if (!known.containsKey(id)) {
+        for (String id : dependentsById.keySet()) {
+            if (!jobsById.containsKey(id)) {
                 ids.add(id);
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
@@ -22,9 +22,9 @@
      *
      * @param spec        specification; null if none is stored, or if that of a terminated job cannot be parsed
      * @param submittedAt time of day of the submission, in milliseconds; 0 if not stored
-     * @param end         outcome; null for an accepted job
+     * @param outcome     outcome; null for an accepted job
      */
-    record StoredJob(JobSpec spec, long submittedAt, TerminatedJob end) {}
+    record StoredJob(JobSpec spec, long submittedAt, TerminatedJob outcome) {}
 
     private StoredJobCodec() {}
 
@@ -43,8 +43,8 @@
      * Returns the stored form of a terminated job. A cancelled job keeps its specification: a later leader may still find its
      * tasks on machines, and must count their resources towards the team's limit.
      */
-    public static ObjectNode terminated(Job job, Job.Status how) {
-        return terminated(job.spec(), job.tasks(), how);
+    public static ObjectNode terminated(Job job, Job.Status status) {
+        return terminated(job.spec(), job.tasks(), status);
     }
 
     /** Returns the stored form of a job that is cancelled on acceptance because a job that it awaits is cancelled. */
@@ -52,10 +52,10 @@
         return terminated(spec, spec.tasks(), Job.Status.CANCELLED);
     }
 
-    private static ObjectNode terminated(JobSpec spec, int tasks, Job.Status how) {
+    private static ObjectNode terminated(JobSpec spec, int tasks, Job.Status status) {
         ObjectNode value = Json.object();
-        value.put(ENDED, how.name()).put(TASKS, tasks);
-        if (how == Job.Status.CANCELLED && spec != null) {
+        value.put(ENDED, status.name()).put(TASKS, tasks);
+        if (status == Job.Status.CANCELLED && spec != null) {
             // An earlier version stored lists of machine types so long that the value may now exceed the state
             // service's limit.
             value.set(SPEC, spec.withoutTypes().json());
@@ -65,12 +65,12 @@
 
     /** Returns the outcome in a stored value; empty if the job has not ended, or if the outcome cannot be parsed. */
     public static Optional<TerminatedJob> termination(JsonNode value) {
-        String how = Json.text(value, ENDED);
+        String status = Json.text(value, ENDED);
         int tasks = (int) Math.max(0, Json.integer(value, TASKS, 0));
-        if (Job.Status.DONE.name().equals(how)) {
+        if (Job.Status.DONE.name().equals(status)) {
             return Optional.of(new TerminatedJob(Job.Status.DONE, tasks));
         }
-        if (Job.Status.CANCELLED.name().equals(how)) {
+        if (Job.Status.CANCELLED.name().equals(status)) {
             return Optional.of(new TerminatedJob(Job.Status.CANCELLED, tasks));
         }
         return Optional.empty();
@@ -82,18 +82,18 @@
      * @throws InvalidMessageException if the value holds neither an outcome nor a valid specification
      */
     static StoredJob read(JsonNode value) throws InvalidMessageException {
-        Optional<TerminatedJob> end = termination(value);
+        Optional<TerminatedJob> outcome = termination(value);
         JobSpec spec = null;
         try {
             spec = value.get(SPEC) == null ? null : JobSpec.read(value.get(SPEC));
         } catch (InvalidMessageException e) {
-            if (end.isEmpty()) {
+            if (outcome.isEmpty()) {
                 throw e;
             }
         }
-        if (end.isEmpty() && spec == null) {
+        if (outcome.isEmpty() && spec == null) {
             throw new InvalidMessageException("neither a description nor an end");
         }
-        return new StoredJob(spec, Json.integer(value, SUBMITTED_AT, 0), end.orElse(null));
+        return new StoredJob(spec, Json.integer(value, SUBMITTED_AT, 0), outcome.orElse(null));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -11,18 +11,18 @@
  * evicted: a later read of its key would show it as accepted.
  */
 public final class TerminatedJobs {
-    private final int limit;
+    private final int maxRetained;
     /** In the order in which this process learned of their ends. */
     private final Set<Job> retained = new LinkedHashSet<>();
     /** Cancelled jobs whose own key is not known to record it yet; in most cases an awaited job was cancelled. */
     private final Set<Job> unpersisted = new LinkedHashSet<>();
 
-    private int evictions;
-    private boolean partial;
+    private int evictionCount;
+    private boolean mayBeIncomplete;
 
-    /** @param limit maximum number of retained jobs, apart from unpersisted ones */
-    TerminatedJobs(int limit) {
-        this.limit = limit;
+    /** @param maxRetained maximum number of retained jobs, apart from unpersisted ones */
+    TerminatedJobs(int maxRetained) {
+        this.maxRetained = maxRetained;
     }
 
     /** Returns the retained jobs, in the order in which this process learned of their ends. */
@@ -35,9 +35,9 @@
         return unpersisted;
     }
 
-    /** @param persisted whether the job's own key records its end */
-    void add(Job job, boolean persisted) {
-        if (!persisted) {
+    /** @param isPersisted whether the job's own key records its end */
+    void add(Job job, boolean isPersisted) {
+        if (!isPersisted) {
             unpersisted.add(job);
         }
         retained.add(job);
@@ -56,15 +56,15 @@
 
     /** If more jobs than the limit are retained, evicts and returns the persisted one whose end has been known longest. */
     Optional<Job> evict() {
-        if (retained.size() - unpersisted.size() <= limit) {
+        if (retained.size() - unpersisted.size() <= maxRetained) {
             return Optional.empty();
         }
-        for (Iterator<Job> eldest = retained.iterator(); eldest.hasNext(); ) {
-            Job job = eldest.next();
+        for (Iterator<Job> oldestFirst = retained.iterator(); oldestFirst.hasNext(); ) {
+            Job job = oldestFirst.next();
             if (!unpersisted.contains(job)) {
-                eldest.remove();
-                partial = true;
-                evictions++;
+                oldestFirst.remove();
+                mayBeIncomplete = true;
+                evictionCount++;
                 return Optional.of(job);
             }
         }
@@ -73,16 +73,16 @@
 
     /** Returns the number of jobs evicted so far. */
     public int evictions() {
-        return evictions;
+        return evictionCount;
     }
 
     /** Returns true while there may be terminated jobs that have their own key but are not retained. */
     public boolean partial() {
-        return partial;
+        return mayBeIncomplete;
     }
 
     /** Records that a scan of all job keys since the last eviction found every terminated job with a key retained. */
     public void complete() {
-        partial = false;
+        mayBeIncomplete = false;
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -15,6 +15,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -28,17 +29,17 @@
  */
 class PipelineModelTest {
     private static final int STEPS = 400;
-    private static final int KEPT = 12;
+    private static final int RETAINED_JOBS = 12;
 
     /** The stored state as the state service holds it, and the cancellations derived from it. */
     private static final class Model {
-        private final Map<String, JobSpec> specs = new LinkedHashMap<>();
+        private final Map<String, JobSpec> specsById = new LinkedHashMap<>();
         private final Set<String> done = new HashSet<>();
-        private final Set<String> cancelled = new HashSet<>();
+        private final Set<String> cancelledByUser = new HashSet<>();
         private final Set<String> allCancelled = new HashSet<>();
-        private final TreeMap<String, JsonNode> keys = new TreeMap<>();
-        private final Map<String, Long> versions = new HashMap<>();
-        private final Map<String, Job.Status> history = new HashMap<>();
+        private final TreeMap<String, JsonNode> storedValues = new TreeMap<>();
+        private final Map<String, Long> revisionsById = new HashMap<>();
+        private final Map<String, Job.Status> historyById = new HashMap<>();
         private long revision;
 
         boolean isCancelled(String id) {
@@ -46,31 +47,32 @@
         }
 
         /** Jobs await only earlier accepted jobs, so one pass in the order of acceptance finds all derived cancellations. */
-        void derive() {
+        void deriveCancellations() {
             allCancelled.clear();
-            for (JobSpec spec : specs.values()) {
-                if (cancelled.contains(spec.id()) || spec.awaits().stream().anyMatch(allCancelled::contains)) {
+            for (JobSpec spec : specsById.values()) {
+                if (cancelledByUser.contains(spec.id())
+                        || spec.awaits().stream().anyMatch(allCancelled::contains)) {
                     allCancelled.add(spec.id());
                 }
             }
         }
 
         boolean isReady(String id) {
-            return done.containsAll(specs.get(id).awaits());
+            return done.containsAll(specsById.get(id).awaits());
         }
 
-        boolean isOver(String id) {
+        boolean hasEnded(String id) {
             return done.contains(id) || isCancelled(id);
         }
 
         void store(String id, JsonNode value) {
             revision++;
             if (value == null) {
-                keys.remove(id);
+                storedValues.remove(id);
             } else {
-                keys.put(id, value);
+                storedValues.put(id, value);
             }
-            versions.put(id, revision);
+            revisionsById.put(id, revision);
         }
     }
 
@@ -107,148 +109,151 @@
                 .awaiting(awaits);
     }
 
-    private static JobTable table() {
-        return new JobTable(() -> 1, id -> {}, KEPT);
+    private static JobTable newTable() {
+        return new JobTable(() -> 1, id -> {}, RETAINED_JOBS);
     }
 
     /** Returns the table of a newly started controller, which reads all keys in key order. */
-    private JobTable loaded() {
-        JobTable table = table();
-        model.keys.forEach((id, value) -> table.changed(id, value, model.versions.get(id)));
+    private JobTable newLoadedTable() {
+        JobTable table = newTable();
+        model.storedValues.forEach((id, value) -> table.changed(id, value, model.revisionsById.get(id)));
         return table;
     }
 
-    private void tell(String id) {
-        tables.forEach(t -> t.changed(id, model.keys.get(id), model.versions.get(id)));
+    private void notifyTables(String id) {
+        tables.forEach(table -> table.changed(id, model.storedValues.get(id), model.revisionsById.get(id)));
     }
 
     /** Looks up awaited jobs that the table does not hold, as a controller does. */
-    private void resolve(JobTable table) {
+    private void resolveAwaited(JobTable table) {
         for (String id : table.unresolved()) {
-            TerminatedJob ended = model.keys.containsKey(id)
-                    ? StoredJobCodec.termination(model.keys.get(id)).orElse(null)
+            TerminatedJob outcome = model.storedValues.containsKey(id)
+                    ? StoredJobCodec.termination(model.storedValues.get(id)).orElse(null)
                     : null;
-            table.resolved(id, ended != null ? ended.how() : model.history.get(id), model.revision);
+            table.resolved(id, outcome != null ? outcome.how() : model.historyById.get(id), model.revision);
         }
     }
 
-    private void check() {
+    private void checkTables() {
         for (JobTable table : tables) {
-            resolve(table);
-            for (String id : model.specs.keySet()) {
+            resolveAwaited(table);
+            for (String id : model.specsById.keySet()) {
                 Job job = table.get(id);
-                if (!model.isOver(id)) {
+                if (!model.hasEnded(id)) {
                     assertTrue(job != null && job.active(), id + " is live");
                     assertEquals(model.isReady(id), job.ready(), id + " may start");
-                    Set<String> left = new HashSet<>(model.specs.get(id).awaits());
-                    left.removeAll(model.done);
-                    assertEquals(left, job.awaited(), id);
+                    Set<String> remaining =
+                            new HashSet<>(model.specsById.get(id).awaits());
+                    remaining.removeAll(model.done);
+                    assertEquals(remaining, job.awaited(), id);
                 } else if (job != null) {
                     assertEquals(model.done.contains(id) ? Job.Status.DONE : Job.Status.CANCELLED, job.status(), id);
                 } else {
-                    boolean stored = model.history.containsKey(id)
-                            || StoredJobCodec.termination(model.keys.get(id)).isPresent();
-                    assertTrue(stored, id + " is kept until its key states its end");
+                    boolean endIsStored = model.historyById.containsKey(id)
+                            || StoredJobCodec.termination(model.storedValues.get(id))
+                                    .isPresent();
+                    assertTrue(endIsStored, id + " is kept until its key states its end");
                 }
             }
         }
     }
 
-    private String pick(List<String> ids) {
+    private String pickRandom(List<String> ids) {
         return ids.isEmpty() ? null : ids.get(random.nextInt(ids.size()));
     }
 
-    private List<String> those(java.util.function.Predicate<String> which) {
-        return model.specs.keySet().stream().filter(which).toList();
+    private List<String> jobIdsWhere(Predicate<String> condition) {
+        return model.specsById.keySet().stream().filter(condition).toList();
     }
 
-    private void accept(int number) {
+    private void acceptJob(int number) {
         String id = String.format("job-%06d", random.nextInt(1_000) * 1_000 + number);
         // Mostly awaits the newest jobs, so that chains grow long; occasionally one that has already ended.
-        List<String> known = new ArrayList<>(model.specs.keySet());
+        List<String> known = new ArrayList<>(model.specsById.keySet());
         Collections.reverse(known);
         List<String> awaits = new ArrayList<>();
-        for (String other : known) {
-            boolean wanted = !model.isOver(other) || random.nextInt(60) == 0;
-            if (awaits.size() < 2 && wanted && random.nextInt(5) == 0) {
-                awaits.add(other);
+        for (String candidate : known) {
+            boolean eligible = !model.hasEnded(candidate) || random.nextInt(60) == 0;
+            if (awaits.size() < 2 && eligible && random.nextInt(5) == 0) {
+                awaits.add(candidate);
             }
         }
-        model.specs.put(id, spec(id, awaits));
-        model.derive();
+        model.specsById.put(id, spec(id, awaits));
+        model.deriveCancellations();
         List<String> unfinished =
-                awaits.stream().filter(a -> !model.done.contains(a)).toList();
+                awaits.stream().filter(awaited -> !model.done.contains(awaited)).toList();
         boolean cancelled = unfinished.stream().anyMatch(model::isCancelled) && random.nextBoolean();
         // A controller whose view lags behind stores the job as accepted although a job that it awaits is already
         // cancelled.
         model.store(
                 id,
                 cancelled
-                        ? StoredJobCodec.cancelled(model.specs.get(id))
-                        : StoredJobCodec.accepted(model.specs.get(id).awaiting(unfinished), 0));
-        tell(id);
+                        ? StoredJobCodec.cancelled(model.specsById.get(id))
+                        : StoredJobCodec.accepted(model.specsById.get(id).awaiting(unfinished), 0));
+        notifyTables(id);
     }
 
     private void step(int number) {
         switch (random.nextInt(8)) {
-            case 0, 1, 2 -> accept(number);
+            case 0, 1, 2 -> acceptJob(number);
             case 3, 4 -> {
-                String id = pick(those(i -> !model.isOver(i) && model.isReady(i)));
+                String id = pickRandom(jobIdsWhere(jobId -> !model.hasEnded(jobId) && model.isReady(jobId)));
                 if (id != null) {
                     model.done.add(id);
                     model.store(id, StoredJobCodec.terminated(tables.get(0).get(id), Job.Status.DONE));
-                    tell(id);
+                    notifyTables(id);
                 }
             }
             case 5 -> {
-                String id = pick(those(i -> !model.isOver(i)));
+                String id = pickRandom(jobIdsWhere(jobId -> !model.hasEnded(jobId)));
                 if (id != null && random.nextInt(5) == 0) {
-                    model.cancelled.add(id);
+                    model.cancelledByUser.add(id);
                     model.store(id, StoredJobCodec.terminated(tables.get(0).get(id), Job.Status.CANCELLED));
-                    tell(id);
+                    notifyTables(id);
                 }
             }
             case 6 -> {
                 // The leader writes the derived cancellations, and moves a terminated job to the history.
                 for (Job job : List.copyOf(tables.get(0).terminated().unpersisted())) {
                     model.store(job.id(), StoredJobCodec.terminated(job, Job.Status.CANCELLED));
-                    tell(job.id());
+                    notifyTables(job.id());
                 }
-                String id = pick(those(i -> model.isOver(i)
-                        && model.keys.containsKey(i)
-                        && StoredJobCodec.termination(model.keys.get(i)).isPresent()));
+                String id = pickRandom(jobIdsWhere(jobId -> model.hasEnded(jobId)
+                        && model.storedValues.containsKey(jobId)
+                        && StoredJobCodec.termination(model.storedValues.get(jobId))
+                                .isPresent()));
                 if (id != null) {
-                    model.history.put(
+                    model.historyById.put(
                             id,
-                            StoredJobCodec.termination(model.keys.get(id))
+                            StoredJobCodec.termination(model.storedValues.get(id))
                                     .orElseThrow()
                                     .how());
                     model.store(id, null);
-                    tell(id);
+                    notifyTables(id);
                 }
             }
-            default -> tables.set(random.nextInt(tables.size()), loaded());
+            default -> tables.set(random.nextInt(tables.size()), newLoadedTable());
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void everyTableAgreesWithTheModel(long seed) {
+    void everyTableAgreesWithModelAfterEachStep(long seed) {
         random.setSeed(seed);
-        tables.add(table());
-        tables.add(table());
+        tables.add(newTable());
+        tables.add(newTable());
         for (int i = 0; i < STEPS; i++) {
             step(i);
-            model.derive();
-            check();
+            model.deriveCancellations();
+            checkTables();
         }
-        assertTrue(model.done.size() > 20 && those(model::isCancelled).size() > 10, "both happen");
+        assertTrue(model.done.size() > 20 && jobIdsWhere(model::isCancelled).size() > 10, "both happen");
     }
 
     /** A cancellation reported by another controller during an outage cancels the whole chain of dependents, however long. */
     @Test
-    void aLongChainEndsWithItsFirstJob() {
-        JobTable table = table();
+    void longChainIsCancelledWithItsFirstJob() {
+        JobTable table = newTable();
         int length = 20_000;
         for (int i = 0; i < length; i++) {
             String id = "job-" + i;
@@ -263,8 +268,8 @@
 
     /** A job that awaits one whose end is unknown to the table is neither ready nor ended until the end has been looked up. */
     @Test
-    void anUnknownEndIsWaitedFor() {
-        JobTable table = table();
+    void jobIsNotReadyUntilUnknownEndOfAwaitedJobIsResolved() {
+        JobTable table = newTable();
         table.changed("job-2", StoredJobCodec.accepted(spec("job-2", List.of("job-1")), 0), 2);
         Job job = table.get("job-2");
         assertFalse(job.ready());
