--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
@@ -13,100 +13,101 @@
 /**
  * An operator's request to change the configuration, validated field by field.
  *
- * @param key      idempotency key: a request that is sent again with the same key makes the change only once
- * @param expected configuration number that the change is based on; -1 to accept any
- * @param rollback configuration number to restore; -1 for none
+ * @param key            idempotency key: a request that is sent again with the same key makes the change only once
+ * @param expectedNumber configuration number that the change is based on; -1 to accept any
+ * @param rollbackTo     configuration number to restore; -1 for none
  */
 record ChangeRequest(
         String key,
-        long expected,
-        String by,
-        String why,
+        long expectedNumber,
+        String author,
+        String reason,
         boolean dryRun,
-        long rollback,
+        long rollbackTo,
         Map<String, JsonNode> set,
         Map<String, JsonNode> add,
         List<String> remove) {
-    private static final int MAX_TEXT = 120;
-    private static final int MAX_NAME = 60;
+    private static final int MAX_TEXT_CHARS = 120;
+    private static final int MAX_NAME_CHARS = 60;
     private static final double MAX_AMOUNT = 1e9;
     private static final Set<String> FIELDS =
             Set.of("key", "expected", "by", "why", "dryRun", "rollback", "set", "add", "remove");
     private static final Set<String> TEAM_FIELDS = Set.of("cpus", "cpusMax", "gpus", "gpusMax");
 
-    static ChangeRequest parse(JsonNode n) throws InvalidMessageException {
-        if (n == null || !n.isObject()) {
+    static ChangeRequest parse(JsonNode body) throws InvalidMessageException {
+        if (body == null || !body.isObject()) {
             throw new InvalidMessageException("the body is not a JSON object");
         }
-        for (Map.Entry<String, JsonNode> field : n.properties()) {
+        for (Map.Entry<String, JsonNode> field : body.properties()) {
             if (!FIELDS.contains(field.getKey())) {
                 throw new InvalidMessageException("field " + field.getKey() + ": expected one of "
                         + FIELDS.stream().sorted().toList());
             }
         }
         ChangeRequest request = new ChangeRequest(
-                text(n, "key", MAX_NAME),
-                Json.integer(n, "expected", -1),
-                text(n, "by", MAX_TEXT),
-                text(n, "why", MAX_TEXT),
-                Json.flag(n, "dryRun"),
-                Json.integer(n, "rollback", -1),
-                teams(n, "set"),
-                teams(n, "add"),
-                names(n));
-        boolean changes = !request.set.isEmpty() || !request.add.isEmpty() || !request.remove.isEmpty();
-        if (changes == request.rollback >= 0) {
+                requiredText(body, "key", MAX_NAME_CHARS),
+                Json.integer(body, "expected", -1),
+                requiredText(body, "by", MAX_TEXT_CHARS),
+                requiredText(body, "why", MAX_TEXT_CHARS),
+                Json.flag(body, "dryRun"),
+                Json.integer(body, "rollback", -1),
+                parseTeams(body, "set"),
+                parseTeams(body, "add"),
+                parseRemovedTeams(body));
+        boolean hasChanges = !request.set.isEmpty() || !request.add.isEmpty() || !request.remove.isEmpty();
+        if (hasChanges == request.rollbackTo >= 0) {
             throw new InvalidMessageException("expected either some of set, add and remove, or rollback");
         }
         return request;
     }
 
-    private static String text(JsonNode n, String field, int most) throws InvalidMessageException {
-        String text = Json.text(n, field);
-        if (text == null || text.isBlank() || text.length() > most) {
-            throw new InvalidMessageException("field " + field + ": expected a text of 1 to " + most + " characters");
+    private static String requiredText(JsonNode body, String field, int maxChars) throws InvalidMessageException {
+        String text = Json.text(body, field);
+        if (text == null || text.isBlank() || text.length() > maxChars) {
+            throw new InvalidMessageException(
+                    "field " + field + ": expected a text of 1 to " + maxChars + " characters");
         }
         return text;
     }
 
-    private static Map<String, JsonNode> teams(JsonNode n, String field) throws InvalidMessageException {
+    private static Map<String, JsonNode> parseTeams(JsonNode body, String field) throws InvalidMessageException {
         Map<String, JsonNode> teams = new LinkedHashMap<>();
-        JsonNode value = n.get(field);
+        JsonNode value = body.get(field);
         if (value == null) {
             return teams;
         }
         if (!value.isObject()) {
             throw new InvalidMessageException("field " + field + ": expected an object with a field for each team");
         }
-        for (Map.Entry<String, JsonNode> e : value.properties()) {
-            String at = field + "." + e.getKey();
-            if (e.getKey().isBlank()
-                    || e.getKey().length() > MAX_NAME
-                    || !e.getValue().isObject()) {
-                throw new InvalidMessageException("field " + at + ": expected a team's name and an object");
+        for (Map.Entry<String, JsonNode> entry : value.properties()) {
+            String path = field + "." + entry.getKey();
+            if (entry.getKey().isBlank()
+                    || entry.getKey().length() > MAX_NAME_CHARS
+                    || !entry.getValue().isObject()) {
+                throw new InvalidMessageException("field " + path + ": expected a team's name and an object");
             }
-            check(at, e.getValue());
-            teams.put(e.getKey(), e.getValue());
+            checkTeam(path, entry.getValue());
+            teams.put(entry.getKey(), entry.getValue());
         }
         return teams;
     }
 
-    private static void check(String at, JsonNode team) throws InvalidMessageException {
-        for (Map.Entry<String, JsonNode> e : team.properties()) {
-            if (!TEAM_FIELDS.contains(e.getKey())) {
-                throw new InvalidMessageException("field " + at + "." + e.getKey() + ": expected one of "
+    private static void checkTeam(String path, JsonNode team) throws InvalidMessageException {
+        for (Map.Entry<String, JsonNode> entry : team.properties()) {
+            if (!TEAM_FIELDS.contains(entry.getKey())) {
+                throw new InvalidMessageException("field " + path + "." + entry.getKey() + ": expected one of "
                         + TEAM_FIELDS.stream().sorted().toList());
             }
-            double amount = e.getValue().isNumber() ? e.getValue().doubleValue() : -1;
+            double amount = entry.getValue().isNumber() ? entry.getValue().doubleValue() : -1;
             if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
                 throw new InvalidMessageException(
-                        "field " + at + "." + e.getKey() + ": expected a number from 0 to 1e9");
+                        "field " + path + "." + entry.getKey() + ": expected a number from 0 to 1e9");
             }
         }
     }
 
-    private static List<String> names(JsonNode n) throws InvalidMessageException {
-        JsonNode value = n.get("remove");
+    private static List<String> parseRemovedTeams(JsonNode body) throws InvalidMessageException {
+        JsonNode value = body.get("remove");
         if (value == null) {
             return List.of();
         }
@@ -127,25 +128,27 @@
      * Returns the new values of the changed teams, based on the current configuration; a null value means that the settings
      * file applies to the team again.
      */
-    Map<String, ConfiguredTeam> apply(Configuration holds, ConfigurationView view) throws InvalidMessageException {
-        Map<String, ConfiguredTeam> after = rollback >= 0 ? rolledBack(holds, view) : new LinkedHashMap<>();
-        for (Map.Entry<String, JsonNode> e : set.entrySet()) {
-            ConfiguredTeam before = holds.teams().get(e.getKey());
+    Map<String, ConfiguredTeam> apply(Configuration current, ConfigurationView view) throws InvalidMessageException {
+        Map<String, ConfiguredTeam> after = rollbackTo >= 0 ? rollBackTeams(current, view) : new LinkedHashMap<>();
+        for (Map.Entry<String, JsonNode> entry : set.entrySet()) {
+            ConfiguredTeam before = current.teams().get(entry.getKey());
             if (before == null) {
-                throw new InvalidMessageException("field set." + e.getKey() + ": there is no such team");
+                throw new InvalidMessageException("field set." + entry.getKey() + ": there is no such team");
             }
-            after.put(e.getKey(), merged("set." + e.getKey(), e.getKey(), before.limits(), e.getValue()));
+            after.put(
+                    entry.getKey(),
+                    mergeTeam("set." + entry.getKey(), entry.getKey(), before.limits(), entry.getValue()));
         }
-        for (Map.Entry<String, JsonNode> e : add.entrySet()) {
-            ConfiguredTeam before = holds.teams().get(e.getKey());
+        for (Map.Entry<String, JsonNode> entry : add.entrySet()) {
+            ConfiguredTeam before = current.teams().get(entry.getKey());
             if (before != null && !before.removed()) {
-                throw new InvalidMessageException("field add." + e.getKey() + ": there is such a team already");
+                throw new InvalidMessageException("field add." + entry.getKey() + ": there is such a team already");
             }
-            Settings.Team none = new Settings.Team(e.getKey(), 0, 0, 0, 0);
-            after.put(e.getKey(), merged("add." + e.getKey(), e.getKey(), none, e.getValue()));
+            Settings.Team zeroLimits = new Settings.Team(entry.getKey(), 0, 0, 0, 0);
+            after.put(entry.getKey(), mergeTeam("add." + entry.getKey(), entry.getKey(), zeroLimits, entry.getValue()));
         }
         for (String name : remove) {
-            ConfiguredTeam before = holds.teams().get(name);
+            ConfiguredTeam before = current.teams().get(name);
             if (before == null) {
                 throw new InvalidMessageException("field remove: there is no team " + name);
             }
@@ -154,7 +157,7 @@
         return after;
     }
 
-    private static ConfiguredTeam merged(String at, String name, Settings.Team before, JsonNode fields)
+    private static ConfiguredTeam mergeTeam(String path, String name, Settings.Team before, JsonNode fields)
             throws InvalidMessageException {
         Settings.Team limits = new Settings.Team(
                 name,
@@ -163,36 +166,37 @@
                 Json.number(fields, "gpus", before.gpus()),
                 Json.number(fields, "gpusMax", before.gpusMax()));
         if (limits.cpusMax() > 0 && limits.cpus() > limits.cpusMax()) {
-            throw new InvalidMessageException("field " + at + ".cpus: expected at most cpusMax, " + limits.cpusMax());
+            throw new InvalidMessageException("field " + path + ".cpus: expected at most cpusMax, " + limits.cpusMax());
         }
         if (limits.gpusMax() > 0 && limits.gpus() > limits.gpusMax()) {
-            throw new InvalidMessageException("field " + at + ".gpus: expected at most gpusMax, " + limits.gpusMax());
+            throw new InvalidMessageException("field " + path + ".gpus: expected at most gpusMax, " + limits.gpusMax());
         }
         return new ConfiguredTeam(limits, false);
     }
 
     /** Undoes all changes after the number to restore, newest first; a team added by one of them is marked as removed. */
-    private Map<String, ConfiguredTeam> rolledBack(Configuration holds, ConfigurationView view)
+    private Map<String, ConfiguredTeam> rollBackTeams(Configuration current, ConfigurationView view)
             throws InvalidMessageException {
-        if (rollback >= holds.number()) {
+        if (rollbackTo >= current.number()) {
             throw new InvalidMessageException(
-                    "field rollback: expected less than the present number, " + holds.number());
+                    "field rollback: expected less than the present number, " + current.number());
         }
         Map<String, ConfiguredTeam> after = new LinkedHashMap<>();
-        long reached = holds.number();
-        for (ConfigurationRecord r : view.log()) {
-            if (r.number() != reached || reached == rollback) {
+        long reachedNumber = current.number();
+        for (ConfigurationRecord change : view.changes()) {
+            if (change.number() != reachedNumber || reachedNumber == rollbackTo) {
                 break;
             }
-            r.before().forEach((name, team) -> after.put(name, team));
-            reached--;
+            change.before().forEach((name, team) -> after.put(name, team));
+            reachedNumber--;
         }
-        if (reached != rollback) {
-            throw new InvalidMessageException("field rollback: the log reaches back to number " + reached + " only");
+        if (reachedNumber != rollbackTo) {
+            throw new InvalidMessageException(
+                    "field rollback: the log reaches back to number " + reachedNumber + " only");
         }
-        after.replaceAll((name, team) -> team != null || view.inFile(name)
+        after.replaceAll((name, team) -> team != null || view.isInSettingsFile(name)
                 ? team
-                : new ConfiguredTeam(holds.teams().get(name).limits(), true));
+                : new ConfiguredTeam(current.teams().get(name).limits(), true));
         return after;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
@@ -10,38 +10,42 @@
 /**
  * An entry of the bounded log of changes.
  *
- * @param number  number of the change, counted from 1
- * @param key     idempotency key, by which a retry after an unknown outcome finds its change
- * @param at      time of day of the change, in milliseconds
- * @param by      who made the change
- * @param why     reason given by the operator
- * @param before  previous stored value of each changed team; null if none was stored
- * @param after   new stored value of each changed team; null if only the settings file applies to the team from now on
+ * @param number      number of the change, counted from 1
+ * @param key         idempotency key, by which a retry after an unknown outcome finds its change
+ * @param changedAtMs time of day of the change, in milliseconds
+ * @param author      who made the change
+ * @param reason      reason given by the operator
+ * @param before      previous stored value of each changed team; null if none was stored
+ * @param after       new stored value of each changed team; null if only the settings file applies to the team
  */
 record ConfigurationRecord(
         long number,
         String key,
-        long at,
-        String by,
-        String why,
+        long changedAtMs,
+        String author,
+        String reason,
         Map<String, ConfiguredTeam> before,
         Map<String, ConfiguredTeam> after) {
 
     ObjectNode json() {
-        ObjectNode n = Json.object();
-        n.put("number", number).put("key", key).put("at", at).put("by", by).put("why", why);
-        n.set("before", rows(before));
-        n.set("after", rows(after));
-        return n;
+        ObjectNode node = Json.object();
+        node.put("number", number)
+                .put("key", key)
+                .put("at", changedAtMs)
+                .put("by", author)
+                .put("why", reason);
+        node.set("before", encodeTeams(before));
+        node.set("after", encodeTeams(after));
+        return node;
     }
 
-    static JsonNode rows(Map<String, ConfiguredTeam> teams) {
+    static JsonNode encodeTeams(Map<String, ConfiguredTeam> teams) {
         ObjectNode rows = Json.object();
         teams.forEach((name, team) -> rows.set(name, team == null ? null : team.json()));
         return rows;
     }
 
-    static Map<String, ConfiguredTeam> teams(JsonNode rows) throws InvalidMessageException {
+    static Map<String, ConfiguredTeam> decodeTeams(JsonNode rows) throws InvalidMessageException {
         if (rows == null || !rows.isObject()) {
             throw new InvalidMessageException("expected rows of teams");
         }
@@ -52,14 +56,14 @@
         return teams;
     }
 
-    static ConfigurationRecord read(JsonNode n) throws InvalidMessageException {
+    static ConfigurationRecord read(JsonNode node) throws InvalidMessageException {
         return new ConfigurationRecord(
-                Json.integer(n, "number", 0),
-                Json.text(n, "key"),
-                Json.integer(n, "at", 0),
-                Json.text(n, "by"),
-                Json.text(n, "why"),
-                teams(n.get("before")),
-                teams(n.get("after")));
+                Json.integer(node, "number", 0),
+                Json.text(node, "key"),
+                Json.integer(node, "at", 0),
+                Json.text(node, "by"),
+                Json.text(node, "why"),
+                decodeTeams(node.get("before")),
+                decodeTeams(node.get("after")));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -30,7 +30,7 @@
  */
 public final class ConfigurationService {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationService.class);
-    private static final int TRIES = 4;
+    private static final int MAX_ATTEMPTS = 4;
     /** Size of a page without its rows, in bytes. */
     private static final int PAGE_OVERHEAD_BYTES = 60;
     /** Number of writes of a change besides its pages: the head and the log entry. */
@@ -41,7 +41,7 @@
     private final EventLoop loop;
     private final ConfigurationView view;
     private final String host;
-    private final Settings.State limits;
+    private final Settings.State stateLimits;
 
     public ConfigurationService(
             StateClient client,
@@ -49,41 +49,41 @@
             EventLoop loop,
             ConfigurationView view,
             String host,
-            Settings.State limits) {
+            Settings.State stateLimits) {
         this.client = client;
         this.watchCache = watchCache;
         this.loop = loop;
         this.view = view;
         this.host = host;
-        this.limits = limits;
+        this.stateLimits = stateLimits;
     }
 
     /** Answers with the configuration that this controller currently uses, without reading the state service. */
     public void show(Exchange exchange) {
-        Configuration holds = view.current();
-        ObjectNode n = Json.object().put("host", host).put("number", holds.number());
-        n.put("following", watchCache.following());
-        ObjectNode teams = n.putObject("teams");
-        holds.teams().forEach((name, team) -> {
-            Settings.Team t = team.limits();
+        Configuration current = view.current();
+        ObjectNode body = Json.object().put("host", host).put("number", current.number());
+        body.put("following", watchCache.following());
+        ObjectNode teams = body.putObject("teams");
+        current.teams().forEach((name, team) -> {
+            Settings.Team teamLimits = team.limits();
             ObjectNode row = teams.putObject(name)
-                    .put("cpus", t.cpus())
-                    .put("cpusMax", t.cpusMax())
-                    .put("gpus", t.gpus())
-                    .put("gpusMax", t.gpusMax());
+                    .put("cpus", teamLimits.cpus())
+                    .put("cpusMax", teamLimits.cpusMax())
+                    .put("gpus", teamLimits.gpus())
+                    .put("gpusMax", teamLimits.gpusMax());
             if (team.removed()) {
                 row.put("removed", true);
             }
         });
-        exchange.answer(200, Json.bytes(n));
+        exchange.answer(200, Json.bytes(body));
     }
 
     /** Answers with the last changes, newest first. */
     public void history(Exchange exchange) {
-        ObjectNode n = Json.object().put("number", view.current().number());
-        ArrayNode changes = n.putArray("changes");
-        view.log().forEach(r -> changes.add(r.json()));
-        exchange.answer(200, Json.bytes(n));
+        ObjectNode body = Json.object().put("number", view.current().number());
+        ArrayNode changes = body.putArray("changes");
+        view.changes().forEach(change -> changes.add(change.json()));
+        exchange.answer(200, Json.bytes(body));
     }
 
     /** Makes a change, or answers with the reason why it is refused. */
@@ -92,97 +92,100 @@
         try {
             request = ChangeRequest.parse(Json.parse(exchange.body()));
         } catch (InvalidMessageException e) {
-            refuse(exchange, 400, e.getMessage());
+            answerError(exchange, 400, e.getMessage());
             return;
         }
-        attempt(exchange, request, 0);
+        tryChange(exchange, request, 0);
     }
 
-    private void attempt(Exchange exchange, ChangeRequest request, int tries) {
-        if (tries >= TRIES) {
-            refuse(exchange, 503, "whether the change was made is unknown: ask again with the same key");
+    private void tryChange(Exchange exchange, ChangeRequest request, int attempt) {
+        if (attempt >= MAX_ATTEMPTS) {
+            answerError(exchange, 503, "whether the change was made is unknown: ask again with the same key");
             return;
         }
         watchCache.barrier(
-                () -> decide(exchange, request, tries),
-                () -> refuse(exchange, 503, "the state service does not answer: ask again with the same key"));
+                () -> evaluate(exchange, request, attempt),
+                () -> answerError(exchange, 503, "the state service does not answer: ask again with the same key"));
     }
 
     /** Evaluates a request behind a read barrier, so the view includes every change that was answered before the request. */
-    private void decide(Exchange exchange, ChangeRequest request, int tries) {
-        Configuration holds = view.current();
-        for (ConfigurationRecord r : view.log()) {
-            if (r.key().equals(request.key())) {
-                made(exchange, r.number(), List.of());
+    private void evaluate(Exchange exchange, ChangeRequest request, int attempt) {
+        Configuration current = view.current();
+        for (ConfigurationRecord change : view.changes()) {
+            if (change.key().equals(request.key())) {
+                answerNumber(exchange, change.number(), List.of());
                 return;
             }
         }
-        if (request.expected() >= 0 && request.expected() != holds.number()) {
+        if (request.expectedNumber() >= 0 && request.expectedNumber() != current.number()) {
             exchange.answer(
                     409,
                     Json.bytes(Json.object()
                             .put("error", "the configuration has changed meanwhile")
-                            .put("number", holds.number())));
+                            .put("number", current.number())));
             return;
         }
         try {
-            Map<String, ConfiguredTeam> after = request.apply(holds, view);
-            Transaction transaction = transaction(request, holds, after);
-            List<String> notes = notes(holds, after);
+            Map<String, ConfiguredTeam> after = request.apply(current, view);
+            Transaction transaction = buildTransaction(request, current, after);
+            List<String> notes = collectNotes(current, after);
             if (request.dryRun()) {
-                made(exchange, holds.number(), notes);
+                answerNumber(exchange, current.number(), notes);
             } else {
-                commit(exchange, request, transaction, notes, tries);
+                commit(exchange, request, transaction, notes, attempt);
             }
         } catch (InvalidMessageException e) {
-            refuse(exchange, 400, e.getMessage());
+            answerError(exchange, 400, e.getMessage());
         }
     }
 
     /** A change in the form in which it is committed. */
     private record Transaction(long number, List<Guard> guards, List<Write> writes) {}
 
-    private Transaction transaction(ChangeRequest request, Configuration holds, Map<String, ConfiguredTeam> after)
+    private Transaction buildTransaction(
+            ChangeRequest request, Configuration current, Map<String, ConfiguredTeam> after)
             throws InvalidMessageException {
-        long number = holds.number() + 1;
-        List<Long> numbers = view.pageNumbers();
+        long number = current.number() + 1;
+        List<Long> pageNumbers = view.pageNumbers();
         List<Map<String, ConfiguredTeam>> pages = new ArrayList<>();
-        for (int i = 0; i < numbers.size(); i++) {
+        for (int i = 0; i < pageNumbers.size(); i++) {
             pages.add(view.page(i));
         }
         Map<String, ConfiguredTeam> before = new LinkedHashMap<>();
-        Set<Integer> touched = new TreeSet<>();
-        for (Map.Entry<String, ConfiguredTeam> e : after.entrySet()) {
-            int page = pageOf(pages, e.getKey());
-            before.put(e.getKey(), page < 0 ? null : pages.get(page).get(e.getKey()));
-            if (page < 0 && e.getValue() == null) {
+        Set<Integer> changedPages = new TreeSet<>();
+        for (Map.Entry<String, ConfiguredTeam> entry : after.entrySet()) {
+            int page = pageOf(pages, entry.getKey());
+            before.put(entry.getKey(), page < 0 ? null : pages.get(page).get(entry.getKey()));
+            if (page < 0 && entry.getValue() == null) {
                 continue;
             }
             if (page < 0) {
-                page = withRoom(pages, e.getKey(), e.getValue());
+                page = pageWithRoom(pages, entry.getKey(), entry.getValue());
             }
-            if (e.getValue() == null) {
-                pages.get(page).remove(e.getKey());
+            if (entry.getValue() == null) {
+                pages.get(page).remove(entry.getKey());
             } else {
-                pages.get(page).put(e.getKey(), e.getValue());
+                pages.get(page).put(entry.getKey(), entry.getValue());
             }
-            touched.add(page);
+            changedPages.add(page);
         }
-        ConfigurationRecord entry = new ConfigurationRecord(
-                number, request.key(), loop.timeOfDay(), request.by(), request.why(), before, after);
+        ConfigurationRecord logEntry = new ConfigurationRecord(
+                number, request.key(), loop.timeOfDay(), request.author(), request.reason(), before, after);
         List<Write> writes = new ArrayList<>();
-        for (int page : touched) {
-            while (numbers.size() <= page) {
-                numbers.add(number);
+        for (int page : changedPages) {
+            while (pageNumbers.size() <= page) {
+                pageNumbers.add(number);
             }
-            numbers.set(page, number);
-            writes.add(new Write(ConfigurationView.PAGE + page, page(number, pages.get(page)), 0));
+            pageNumbers.set(page, number);
+            writes.add(new Write(ConfigurationView.PAGE_ROOT + page, renderPage(number, pages.get(page)), 0));
         }
-        writes.add(new Write(ConfigurationView.LOG_ROOT + number % ConfigurationView.KEPT_CHANGES, entry.json(), 0));
-        writes.add(new Write(ConfigurationView.HEAD, ConfigurationView.head(number, request.key(), numbers), 0));
-        check(writes);
+        writes.add(
+                new Write(ConfigurationView.LOG_ROOT + number % ConfigurationView.MAX_LOG_ENTRIES, logEntry.json(), 0));
+        writes.add(
+                new Write(ConfigurationView.HEAD, ConfigurationView.encodeHead(number, request.key(), pageNumbers), 0));
+        checkLimits(writes);
         List<Guard> guards = new ArrayList<>();
-        writes.forEach(w -> guards.add(new Guard(w.key(), watchCache.version(w.key()))));
+        writes.forEach(write -> guards.add(new Guard(write.key(), watchCache.version(write.key()))));
         return new Transaction(number, guards, writes);
     }
 
@@ -195,11 +198,11 @@
         return -1;
     }
 
-    private int withRoom(List<Map<String, ConfiguredTeam>> pages, String name, ConfiguredTeam team) {
-        int size = Json.bytes(team.json()).length + name.length() + 4;
+    private int pageWithRoom(List<Map<String, ConfiguredTeam>> pages, String name, ConfiguredTeam team) {
+        int rowBytes = Json.bytes(team.json()).length + name.length() + 4;
         for (int i = 0; i < pages.size(); i++) {
-            if (Json.bytes(ConfigurationRecord.rows(pages.get(i))).length + size + PAGE_OVERHEAD_BYTES
-                    <= limits.valueBytes()) {
+            if (Json.bytes(ConfigurationRecord.encodeTeams(pages.get(i))).length + rowBytes + PAGE_OVERHEAD_BYTES
+                    <= stateLimits.valueBytes()) {
                 return i;
             }
         }
@@ -207,40 +210,41 @@
         return pages.size() - 1;
     }
 
-    private static JsonNode page(long number, Map<String, ConfiguredTeam> teams) {
-        return Json.object().put("number", number).set("teams", ConfigurationRecord.rows(teams));
+    private static JsonNode renderPage(long number, Map<String, ConfiguredTeam> teams) {
+        return Json.object().put("number", number).set("teams", ConfigurationRecord.encodeTeams(teams));
     }
 
-    private void check(List<Write> writes) throws InvalidMessageException {
-        if (writes.size() > limits.txnOps()) {
+    private void checkLimits(List<Write> writes) throws InvalidMessageException {
+        if (writes.size() > stateLimits.txnOps()) {
             throw new InvalidMessageException(
                     "the change concerns " + (writes.size() - FIXED_WRITES) + " pages of teams, of which one change may"
-                            + " take " + (limits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
+                            + " take " + (stateLimits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
         }
-        for (Write w : writes) {
-            if (Json.bytes(w.value()).length > limits.valueBytes()) {
-                throw new InvalidMessageException(w.key() + " would take more than " + limits.valueBytes()
+        for (Write write : writes) {
+            if (Json.bytes(write.value()).length > stateLimits.valueBytes()) {
+                throw new InvalidMessageException(write.key() + " would take more than " + stateLimits.valueBytes()
                         + " bytes: change fewer teams at once");
             }
         }
     }
 
     /** Returns notes on effects that the operator may not have intended. They don't prevent the change. */
-    private static List<String> notes(Configuration holds, Map<String, ConfiguredTeam> after) {
-        double before = 0;
-        double sum = 0;
-        for (Map.Entry<String, ConfiguredTeam> e : holds.teams().entrySet()) {
-            ConfiguredTeam next = after.getOrDefault(e.getKey(), e.getValue());
-            before += e.getValue().limits().cpus();
-            sum += next == null ? 0 : next.limits().cpus();
+    private static List<String> collectNotes(Configuration current, Map<String, ConfiguredTeam> after) {
+        double cpusBefore = 0;
+        double cpusAfter = 0;
+        for (Map.Entry<String, ConfiguredTeam> entry : current.teams().entrySet()) {
+            ConfiguredTeam changed = after.getOrDefault(entry.getKey(), entry.getValue());
+            cpusBefore += entry.getValue().limits().cpus();
+            cpusAfter += changed == null ? 0 : changed.limits().cpus();
         }
         List<String> notes = new ArrayList<>();
-        if (sum > before) {
-            notes.add("guarantees now add up to " + Math.round(sum) + " processors, before " + Math.round(before));
+        if (cpusAfter > cpusBefore) {
+            notes.add("guarantees now add up to " + Math.round(cpusAfter) + " processors, before "
+                    + Math.round(cpusBefore));
         }
         after.forEach((name, team) -> {
-            ConfiguredTeam was = holds.teams().get(name);
-            if (team != null && was != null && Objects.equals(team, was)) {
+            ConfiguredTeam previous = current.teams().get(name);
+            if (team != null && previous != null && Objects.equals(team, previous)) {
                 notes.add("team " + name + " stays as it is");
             }
         });
@@ -248,28 +252,28 @@
     }
 
     private void commit(
-            Exchange exchange, ChangeRequest request, Transaction transaction, List<String> notes, int tries) {
+            Exchange exchange, ChangeRequest request, Transaction transaction, List<String> notes, int attempt) {
         client.commit(transaction.guards, transaction.writes, answer -> {
             if (answer.ok()) {
-                LOG.info("configuration {} by {}: {}", transaction.number, request.by(), request.why());
-                made(exchange, transaction.number, notes);
+                LOG.info("configuration {} by {}: {}", transaction.number, request.author(), request.reason());
+                answerNumber(exchange, transaction.number, notes);
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
                 // A concurrent change won, or the outcome is unknown: read the current state before answering or
                 // retrying.
-                attempt(exchange, request, tries + 1);
+                tryChange(exchange, request, attempt + 1);
             } else {
-                refuse(exchange, 503, "the state service refuses the change now");
+                answerError(exchange, 503, "the state service refuses the change now");
             }
         });
     }
 
-    private static void made(Exchange exchange, long number, List<String> notes) {
-        ObjectNode n = Json.object().put("number", number);
-        notes.forEach(n.putArray("notes")::add);
-        exchange.answer(200, Json.bytes(n));
+    private static void answerNumber(Exchange exchange, long number, List<String> notes) {
+        ObjectNode body = Json.object().put("number", number);
+        notes.forEach(body.putArray("notes")::add);
+        exchange.answer(200, Json.bytes(body));
     }
 
-    private static void refuse(Exchange exchange, int status, String why) {
-        exchange.answer(status, Json.bytes(Json.object().put("error", why)), status == 503 ? 1 : 0);
+    private static void answerError(Exchange exchange, int status, String error) {
+        exchange.answer(status, Json.bytes(Json.object().put("error", error)), status == 503 ? 1 : 0);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -25,21 +25,21 @@
     public static final String ROOT = Keys.ROOT + "config/";
 
     static final String HEAD = ROOT + "head";
-    static final String PAGE = ROOT + "teams/";
+    static final String PAGE_ROOT = ROOT + "teams/";
     static final String LOG_ROOT = ROOT + "log/";
     /** Number of changes that the log keeps. */
-    static final int KEPT_CHANGES = 64;
+    static final int MAX_LOG_ENTRIES = 64;
 
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationView.class);
     private final Map<String, JsonNode> documents = new TreeMap<>();
-    private final Map<String, ConfiguredTeam> fromFile = new LinkedHashMap<>();
+    private final Map<String, ConfiguredTeam> fileTeams = new LinkedHashMap<>();
     private Configuration current;
-    private boolean stale;
+    private boolean isStale;
 
     /** @param teams teams of the settings file, by name */
     public ConfigurationView(Map<String, Settings.Team> teams) {
-        teams.forEach((name, team) -> fromFile.put(name, new ConfiguredTeam(team, false)));
-        current = new Configuration(0, Collections.unmodifiableMap(new LinkedHashMap<>(fromFile)));
+        teams.forEach((name, team) -> fileTeams.put(name, new ConfiguredTeam(team, false)));
+        current = new Configuration(0, Collections.unmodifiableMap(new LinkedHashMap<>(fileTeams)));
     }
 
     /** Applies a change of one document; null if it was deleted. */
@@ -49,13 +49,13 @@
         } else {
             documents.put(key, value);
         }
-        stale = true;
+        isStale = true;
     }
 
     /** Returns the configuration in force at this controller. */
     public Configuration current() {
-        if (stale) {
-            stale = false;
+        if (isStale) {
+            isStale = false;
             try {
                 Configuration next = read();
                 current = next == null ? current : next;
@@ -80,58 +80,58 @@
         if (number <= 0 || pages == null || !pages.isArray()) {
             throw new InvalidMessageException("its head");
         }
-        Map<String, ConfiguredTeam> teams = new LinkedHashMap<>(fromFile);
+        Map<String, ConfiguredTeam> teams = new LinkedHashMap<>(fileTeams);
         for (int i = 0; i < pages.size(); i++) {
-            JsonNode page = documents.get(PAGE + i);
+            JsonNode page = documents.get(PAGE_ROOT + i);
             if (page == null || Json.integer(page, "number", 0) != pages.get(i).longValue()) {
                 return null;
             }
-            teams.putAll(ConfigurationRecord.teams(page.get("teams")));
+            teams.putAll(ConfigurationRecord.decodeTeams(page.get("teams")));
         }
         return new Configuration(number, Collections.unmodifiableMap(teams));
     }
 
-    boolean inFile(String team) {
-        return fromFile.containsKey(team);
+    boolean isInSettingsFile(String team) {
+        return fileTeams.containsKey(team);
     }
 
     /** Returns for each page the number of the change that last wrote it. */
     List<Long> pageNumbers() {
-        List<Long> numbers = new ArrayList<>();
+        List<Long> pageNumbers = new ArrayList<>();
         JsonNode head = documents.get(HEAD);
         if (head != null) {
-            head.path("pages").forEach(n -> numbers.add(n.longValue()));
+            head.path("pages").forEach(pageNumber -> pageNumbers.add(pageNumber.longValue()));
         }
-        return numbers;
+        return pageNumbers;
     }
 
     /** Returns the teams of one page by name; empty if the page does not exist. */
     Map<String, ConfiguredTeam> page(int index) throws InvalidMessageException {
-        JsonNode page = documents.get(PAGE + index);
-        return page == null ? new LinkedHashMap<>() : ConfigurationRecord.teams(page.get("teams"));
+        JsonNode page = documents.get(PAGE_ROOT + index);
+        return page == null ? new LinkedHashMap<>() : ConfigurationRecord.decodeTeams(page.get("teams"));
     }
 
     /** Returns the last changes, newest first, without entries that cannot be parsed. */
-    List<ConfigurationRecord> log() {
-        List<ConfigurationRecord> log = new ArrayList<>();
+    List<ConfigurationRecord> changes() {
+        List<ConfigurationRecord> changes = new ArrayList<>();
         documents.forEach((key, value) -> {
             if (key.startsWith(LOG_ROOT)) {
                 try {
-                    log.add(ConfigurationRecord.read(value));
+                    changes.add(ConfigurationRecord.read(value));
                 } catch (InvalidMessageException e) {
                     LOG.warn("{} cannot be read: {}", key, e.getMessage());
                 }
             }
         });
-        log.removeIf(r -> r.number() > current().number());
-        log.sort((a, b) -> Long.compare(b.number(), a.number()));
-        return log;
+        changes.removeIf(change -> change.number() > current().number());
+        changes.sort((first, second) -> Long.compare(second.number(), first.number()));
+        return changes;
     }
 
     /** Returns the stored form of a head. */
-    static JsonNode head(long number, String key, List<Long> pages) {
-        ArrayNode numbers = Json.array();
-        pages.forEach(numbers::add);
-        return Json.object().put("number", number).put("key", key).set("pages", numbers);
+    static JsonNode encodeHead(long number, String key, List<Long> pageNumbers) {
+        ArrayNode pages = Json.array();
+        pageNumbers.forEach(pages::add);
+        return Json.object().put("number", number).put("key", key).set("pages", pages);
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/liveconfig/ConfigurationViewTest.java
+++ b/controller/src/test/java/org/landingridge/controller/liveconfig/ConfigurationViewTest.java
@@ -22,42 +22,42 @@
         return Json.parse(("{\"number\":" + number + ",\"teams\":" + rows + "}").getBytes(StandardCharsets.UTF_8));
     }
 
-    private double limit() {
+    private double cpusMaxOfBlue() {
         return view.current().teams().get("blue").limits().cpusMax();
     }
 
     @Test
-    void whatIsStoredGoesBeforeTheFile() {
+    void storedTeamOverridesSettingsFile() {
         assertEquals(0, view.current().number());
-        assertEquals(2, limit());
-        view.changed(ConfigurationView.PAGE + 0, page(1, "{\"blue\":[1,7,0,0,0]}"));
-        view.changed(ConfigurationView.HEAD, ConfigurationView.head(1, "k", List.of(1L)));
+        assertEquals(2, cpusMaxOfBlue());
+        view.changed(ConfigurationView.PAGE_ROOT + 0, page(1, "{\"blue\":[1,7,0,0,0]}"));
+        view.changed(ConfigurationView.HEAD, ConfigurationView.encodeHead(1, "k", List.of(1L)));
         assertEquals(1, view.current().number());
-        assertEquals(7, limit());
+        assertEquals(7, cpusMaxOfBlue());
     }
 
     /** The cache can hold documents of two changes while it reads the state page by page; these must not be mixed. */
     @Test
-    void nothingIsInForceBeforeAllOfItIsHere() {
-        view.changed(ConfigurationView.HEAD, ConfigurationView.head(2, "k", List.of(2L, 1L)));
-        view.changed(ConfigurationView.PAGE + 0, page(1, "{\"blue\":[1,7,0,0,0]}"));
-        view.changed(ConfigurationView.PAGE + 1, page(1, "{\"red\":[1,9,0,0,0]}"));
+    void configurationIsNotInForceUntilAllPagesArrive() {
+        view.changed(ConfigurationView.HEAD, ConfigurationView.encodeHead(2, "k", List.of(2L, 1L)));
+        view.changed(ConfigurationView.PAGE_ROOT + 0, page(1, "{\"blue\":[1,7,0,0,0]}"));
+        view.changed(ConfigurationView.PAGE_ROOT + 1, page(1, "{\"red\":[1,9,0,0,0]}"));
         assertEquals(0, view.current().number());
-        view.changed(ConfigurationView.PAGE + 0, page(2, "{\"blue\":[1,8,0,0,0]}"));
+        view.changed(ConfigurationView.PAGE_ROOT + 0, page(2, "{\"blue\":[1,8,0,0,0]}"));
         assertEquals(2, view.current().number());
-        assertEquals(8, limit());
+        assertEquals(8, cpusMaxOfBlue());
     }
 
     @Test
-    void whatCannotBeReadLeavesTheLastGoodOneInForce() {
-        view.changed(ConfigurationView.PAGE + 0, page(1, "{\"blue\":[1,7,0,0,0]}"));
-        view.changed(ConfigurationView.HEAD, ConfigurationView.head(1, "k", List.of(1L)));
-        Configuration good = view.current();
+    void unreadableDocumentLeavesLastValidConfigurationInForce() {
+        view.changed(ConfigurationView.PAGE_ROOT + 0, page(1, "{\"blue\":[1,7,0,0,0]}"));
+        view.changed(ConfigurationView.HEAD, ConfigurationView.encodeHead(1, "k", List.of(1L)));
+        Configuration lastValid = view.current();
         for (String rows : List.of("{\"blue\":[1,\"x\",0,0,0]}", "{\"blue\":[1]}", "[]", "{\"blue\":[-1,2,0,0,0]}")) {
-            view.changed(ConfigurationView.PAGE + 0, page(1, rows));
-            assertSame(good, view.current(), rows);
+            view.changed(ConfigurationView.PAGE_ROOT + 0, page(1, rows));
+            assertSame(lastValid, view.current(), rows);
         }
         view.changed(ConfigurationView.HEAD, Json.object().put("number", "x"));
-        assertSame(good, view.current());
+        assertSame(lastValid, view.current());
     }
 }
