--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -152,7 +152,7 @@
             stored = StoredJobCodec.read(value);
         } catch (InvalidMessageException e) {
             // Treated as neither accepted nor absent: requests for this job get the answer "unavailable, retry".
-            LOG.error("stored job unreadable: job={} error={}", id, e.getMessage());
+            LOG.error("stored job unreadable, job={} error={}", id, e.getMessage());
             unreadableIds.add(id);
             return;
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
@@ -92,7 +92,8 @@
             }
         }
         if (outcome.isEmpty() && spec == null) {
-            throw new InvalidMessageException("neither a description nor an end");
+            throw new InvalidMessageException(
+                    "stored job: expected a field spec or a valid field ended, found neither");
         }
         return new StoredJob(spec, Json.integer(value, SUBMITTED_AT, 0), outcome.orElse(null));
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
@@ -10,7 +10,8 @@
     /** @throws IllegalArgumentException if the status is neither done nor cancelled, or the number of tasks is negative */
     public TerminatedJob {
         if ((how != Job.Status.DONE && how != Job.Status.CANCELLED) || tasks < 0) {
-            throw new IllegalArgumentException(how + " with " + tasks + " tasks is no end");
+            throw new IllegalArgumentException(
+                    "terminated job: expected DONE or CANCELLED and at least 0 tasks, found " + how + " and " + tasks);
         }
         tasks = how == Job.Status.DONE ? tasks : 0;
     }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
@@ -36,7 +36,7 @@
 
     static ChangeRequest parse(JsonNode body) throws InvalidMessageException {
         if (body == null || !body.isObject()) {
-            throw new InvalidMessageException("the body is not a JSON object");
+            throw new InvalidMessageException("expected a JSON object as body");
         }
         for (Map.Entry<String, JsonNode> field : body.properties()) {
             if (!FIELDS.contains(field.getKey())) {
@@ -56,7 +56,7 @@
                 parseRemovedTeams(body));
         boolean hasChanges = !request.set.isEmpty() || !request.add.isEmpty() || !request.remove.isEmpty();
         if (hasChanges == request.rollbackTo >= 0) {
-            throw new InvalidMessageException("expected either some of set, add and remove, or rollback");
+            throw new InvalidMessageException("expected either rollback or at least one of set, add and remove");
         }
         return request;
     }
@@ -65,7 +65,7 @@
         String text = Json.text(body, field);
         if (text == null || text.isBlank() || text.length() > maxChars) {
             throw new InvalidMessageException(
-                    "field " + field + ": expected a text of 1 to " + maxChars + " characters");
+                    "field " + field + ": expected a non-blank text of 1 to " + maxChars + " characters");
         }
         return text;
     }
@@ -84,7 +84,8 @@
             if (entry.getKey().isBlank()
                     || entry.getKey().length() > MAX_NAME_CHARS
                     || !entry.getValue().isObject()) {
-                throw new InvalidMessageException("field " + path + ": expected a team's name and an object");
+                throw new InvalidMessageException("field " + path + ": expected a non-blank team name of up to "
+                        + MAX_NAME_CHARS + " characters and an object");
             }
             checkTeam(path, entry.getValue());
             teams.put(entry.getKey(), entry.getValue());
@@ -114,12 +115,12 @@
         List<String> names = new ArrayList<>();
         for (JsonNode name : value) {
             if (!name.isTextual()) {
-                throw new InvalidMessageException("field remove: expected a list of teams");
+                throw new InvalidMessageException("field remove: expected a non-empty list of team names");
             }
             names.add(name.textValue());
         }
         if (!value.isArray() || names.isEmpty()) {
-            throw new InvalidMessageException("field remove: expected a list of teams");
+            throw new InvalidMessageException("field remove: expected a non-empty list of team names");
         }
         return names;
     }
@@ -133,7 +134,7 @@
         for (Map.Entry<String, JsonNode> entry : set.entrySet()) {
             ConfiguredTeam before = current.teams().get(entry.getKey());
             if (before == null) {
-                throw new InvalidMessageException("field set." + entry.getKey() + ": there is no such team");
+                throw new InvalidMessageException("field set." + entry.getKey() + ": team does not exist");
             }
             after.put(
                     entry.getKey(),
@@ -142,7 +143,7 @@
         for (Map.Entry<String, JsonNode> entry : add.entrySet()) {
             ConfiguredTeam before = current.teams().get(entry.getKey());
             if (before != null && !before.removed()) {
-                throw new InvalidMessageException("field add." + entry.getKey() + ": there is such a team already");
+                throw new InvalidMessageException("field add." + entry.getKey() + ": team already exists");
             }
             Settings.Team zeroLimits = new Settings.Team(entry.getKey(), 0, 0, 0, 0);
             after.put(entry.getKey(), mergeTeam("add." + entry.getKey(), entry.getKey(), zeroLimits, entry.getValue()));
@@ -150,7 +151,7 @@
         for (String name : remove) {
             ConfiguredTeam before = current.teams().get(name);
             if (before == null) {
-                throw new InvalidMessageException("field remove: there is no team " + name);
+                throw new InvalidMessageException("field remove: team " + name + " does not exist");
             }
             after.put(name, new ConfiguredTeam(before.limits(), true));
         }
@@ -178,8 +179,8 @@
     private Map<String, ConfiguredTeam> rollBackTeams(Configuration current, ConfigurationView view)
             throws InvalidMessageException {
         if (rollbackTo >= current.number()) {
-            throw new InvalidMessageException(
-                    "field rollback: expected less than the present number, " + current.number());
+            throw new InvalidMessageException("field rollback: expected a number below the current one, "
+                    + current.number() + ", found " + rollbackTo);
         }
         Map<String, ConfiguredTeam> after = new LinkedHashMap<>();
         long reachedNumber = current.number();
@@ -191,8 +192,8 @@
             reachedNumber--;
         }
         if (reachedNumber != rollbackTo) {
-            throw new InvalidMessageException(
-                    "field rollback: the log reaches back to number " + reachedNumber + " only");
+            throw new InvalidMessageException("field rollback: expected at least " + reachedNumber
+                    + ", the oldest number that the log can restore, found " + rollbackTo);
         }
         after.replaceAll((name, team) -> team != null || view.isInSettingsFile(name)
                 ? team
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationRecord.java
@@ -47,7 +47,7 @@
 
     static Map<String, ConfiguredTeam> decodeTeams(JsonNode rows) throws InvalidMessageException {
         if (rows == null || !rows.isObject()) {
-            throw new InvalidMessageException("expected rows of teams");
+            throw new InvalidMessageException("expected an object with a row for each team");
         }
         Map<String, ConfiguredTeam> teams = new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> row : rows.properties()) {
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -100,12 +100,12 @@
 
     private void tryChange(Exchange exchange, ChangeRequest request, int attempt) {
         if (attempt >= MAX_ATTEMPTS) {
-            answerError(exchange, 503, "whether the change was made is unknown: ask again with the same key");
+            answerError(exchange, 503, "the outcome of the change is unknown: retry with the same key");
             return;
         }
         watchCache.barrier(
                 () -> evaluate(exchange, request, attempt),
-                () -> answerError(exchange, 503, "the state service does not answer: ask again with the same key"));
+                () -> answerError(exchange, 503, "the state service does not answer: retry with the same key"));
     }
 
     /** Evaluates a request behind a read barrier, so the view includes every change that was answered before the request. */
@@ -121,7 +121,10 @@
             exchange.answer(
                     409,
                     Json.bytes(Json.object()
-                            .put("error", "the configuration has changed meanwhile")
+                            .put(
+                                    "error",
+                                    "the configuration has changed: expected number " + request.expectedNumber()
+                                            + ", found " + current.number())
                             .put("number", current.number())));
             return;
         }
@@ -217,13 +220,13 @@
     private void checkLimits(List<Write> writes) throws InvalidMessageException {
         if (writes.size() > stateLimits.txnOps()) {
             throw new InvalidMessageException(
-                    "the change concerns " + (writes.size() - FIXED_WRITES) + " pages of teams, of which one change may"
-                            + " take " + (stateLimits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
+                    "the change writes " + (writes.size() - FIXED_WRITES) + " pages of teams, expected at most "
+                            + (stateLimits.txnOps() - FIXED_WRITES) + ": change fewer teams at once");
         }
         for (Write write : writes) {
             if (Json.bytes(write.value()).length > stateLimits.valueBytes()) {
-                throw new InvalidMessageException(write.key() + " would take more than " + stateLimits.valueBytes()
-                        + " bytes: change fewer teams at once");
+                throw new InvalidMessageException("document " + write.key() + ": expected at most "
+                        + stateLimits.valueBytes() + " bytes: change fewer teams at once");
             }
         }
     }
@@ -239,13 +242,13 @@
         }
         List<String> notes = new ArrayList<>();
         if (cpusAfter > cpusBefore) {
-            notes.add("guarantees now add up to " + Math.round(cpusAfter) + " processors, before "
+            notes.add("the change raises the sum of guarantees to " + Math.round(cpusAfter) + " processors, from "
                     + Math.round(cpusBefore));
         }
         after.forEach((name, team) -> {
             ConfiguredTeam previous = current.teams().get(name);
             if (team != null && previous != null && Objects.equals(team, previous)) {
-                notes.add("team " + name + " stays as it is");
+                notes.add("team " + name + " is unchanged");
             }
         });
         return notes;
@@ -255,14 +258,18 @@
             Exchange exchange, ChangeRequest request, Transaction transaction, List<String> notes, int attempt) {
         client.commit(transaction.guards, transaction.writes, answer -> {
             if (answer.ok()) {
-                LOG.info("configuration {} by {}: {}", transaction.number, request.author(), request.reason());
+                LOG.info(
+                        "configuration changed, number={} by={} why={}",
+                        transaction.number,
+                        request.author(),
+                        request.reason());
                 answerNumber(exchange, transaction.number, notes);
             } else if (answer.status() == Status.CONFLICT || answer.status() == Status.UNKNOWN) {
                 // A concurrent change won, or the outcome is unknown: read the current state before answering or
                 // retrying.
                 tryChange(exchange, request, attempt + 1);
             } else {
-                answerError(exchange, 503, "the state service refuses the change now");
+                answerError(exchange, 503, "the state service rejected the change: retry later");
             }
         });
     }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -61,9 +61,7 @@
                 current = next == null ? current : next;
             } catch (InvalidMessageException e) {
                 LOG.error(
-                        "the stored configuration cannot be read ({}): number {} stays in force",
-                        e.getMessage(),
-                        current.number());
+                        "stored configuration unreadable, error={} numberInForce={}", e.getMessage(), current.number());
             }
         }
         return current;
@@ -78,7 +76,7 @@
         long number = Json.integer(head, "number", 0);
         JsonNode pages = head.get("pages");
         if (number <= 0 || pages == null || !pages.isArray()) {
-            throw new InvalidMessageException("its head");
+            throw new InvalidMessageException("head: expected a number of at least 1 and a list of pages");
         }
         Map<String, ConfiguredTeam> teams = new LinkedHashMap<>(fileTeams);
         for (int i = 0; i < pages.size(); i++) {
@@ -119,7 +117,7 @@
                 try {
                     changes.add(ConfigurationRecord.read(value));
                 } catch (InvalidMessageException e) {
-                    LOG.warn("{} cannot be read: {}", key, e.getMessage());
+                    LOG.warn("configuration change unreadable, key={} error={}", key, e.getMessage());
                 }
             }
         });
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
@@ -32,7 +32,7 @@
         }
         for (JsonNode field : row) {
             if (!field.isNumber() || !(field.doubleValue() >= 0)) {
-                throw new InvalidMessageException("team " + name + ": expected numbers, 0 or more");
+                throw new InvalidMessageException("team " + name + ": expected numbers of at least 0");
             }
         }
         Settings.Team limits = new Settings.Team(
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -140,19 +140,22 @@
             for (String id : model.specsById.keySet()) {
                 Job job = table.get(id);
                 if (!model.hasEnded(id)) {
-                    assertTrue(job != null && job.active(), id + " is live");
-                    assertEquals(model.isReady(id), job.ready(), id + " may start");
+                    assertTrue(job != null && job.active(), id + " is active");
+                    assertEquals(model.isReady(id), job.ready(), id + " is ready");
                     Set<String> remaining =
                             new HashSet<>(model.specsById.get(id).awaits());
                     remaining.removeAll(model.done);
-                    assertEquals(remaining, job.awaited(), id);
+                    assertEquals(remaining, job.awaited(), id + " awaits");
                 } else if (job != null) {
-                    assertEquals(model.done.contains(id) ? Job.Status.DONE : Job.Status.CANCELLED, job.status(), id);
+                    assertEquals(
+                            model.done.contains(id) ? Job.Status.DONE : Job.Status.CANCELLED,
+                            job.status(),
+                            id + " has ended");
                 } else {
                     boolean endIsStored = model.historyById.containsKey(id)
                             || StoredJobCodec.termination(model.storedValues.get(id))
                                     .isPresent();
-                    assertTrue(endIsStored, id + " is kept until its key states its end");
+                    assertTrue(endIsStored, id + " is retained until its key records its end");
                 }
             }
         }
@@ -247,7 +250,9 @@
             model.deriveCancellations();
             checkTables();
         }
-        assertTrue(model.done.size() > 20 && jobIdsWhere(model::isCancelled).size() > 10, "both happen");
+        assertTrue(
+                model.done.size() > 20 && jobIdsWhere(model::isCancelled).size() > 10,
+                "the run has enough done and cancelled jobs");
     }
 
     /** A cancellation reported by another controller during an outage cancels the whole chain of dependents, however long. */
@@ -263,7 +268,7 @@
         table.cancelled("job-0", length + 1);
         assertEquals(0, table.active().size());
         assertEquals(length, table.terminated().unpersisted().size());
-        assertTrue(table.endings().count() == length, "every one can be vouched for");
+        assertTrue(table.endings().count() == length, "every cancellation is logged");
     }
 
     /** A job that awaits one whose end is unknown to the table is neither ready nor ended until the end has been looked up. */
