--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
@@ -30,7 +30,7 @@
     private static final int MAX_TEXT_CHARS = 120;
     private static final int MAX_NAME_CHARS = 60;
     private static final double MAX_AMOUNT = 1e9;
-    private static final Set<String> FIELDS =
+    private static final Set<String> REQUEST_FIELDS =
             Set.of("key", "expected", "by", "why", "dryRun", "rollback", "set", "add", "remove");
     private static final Set<String> TEAM_FIELDS = Set.of("cpus", "cpusMax", "gpus", "gpusMax");
 
@@ -39,9 +39,9 @@
             throw new InvalidMessageException("expected a JSON object as body");
         }
         for (Map.Entry<String, JsonNode> field : body.properties()) {
-            if (!FIELDS.contains(field.getKey())) {
+            if (!REQUEST_FIELDS.contains(field.getKey())) {
                 throw new InvalidMessageException("field " + field.getKey() + ": expected one of "
-                        + FIELDS.stream().sorted().toList());
+                        + REQUEST_FIELDS.stream().sorted().toList());
             }
         }
         ChangeRequest request = new ChangeRequest(
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
@@ -13,7 +13,7 @@
  * @param removed whether new jobs of the team are refused; jobs accepted earlier still run within the limits
  */
 public record ConfiguredTeam(Settings.Team limits, boolean removed) {
-    private static final int FIELDS = 5;
+    private static final int FIELD_COUNT = 5;
 
     /** Returns the stored form: guarantee and limit of CPUs, guarantee and limit of GPUs, and 1 for a removed team, else 0. */
     JsonNode json() {
@@ -27,8 +27,8 @@
     }
 
     static ConfiguredTeam read(String name, JsonNode row) throws InvalidMessageException {
-        if (row == null || !row.isArray() || row.size() != FIELDS) {
-            throw new InvalidMessageException("team " + name + ": expected a row of " + FIELDS + " numbers");
+        if (row == null || !row.isArray() || row.size() != FIELD_COUNT) {
+            throw new InvalidMessageException("team " + name + ": expected a row of " + FIELD_COUNT + " numbers");
         }
         for (JsonNode field : row) {
             if (!field.isNumber() || !(field.doubleValue() >= 0)) {
