--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -37,7 +37,7 @@
         private final Set<String> done = new HashSet<>();
         private final Set<String> cancelledByUser = new HashSet<>();
         private final Set<String> allCancelled = new HashSet<>();
-        private final TreeMap<String, JsonNode> storedValues = new TreeMap<>();
+        private final TreeMap<String, JsonNode> valuesById = new TreeMap<>();
         private final Map<String, Long> revisionsById = new HashMap<>();
         private final Map<String, Job.Status> historyById = new HashMap<>();
         private long revision;
@@ -68,9 +68,9 @@
         void store(String id, JsonNode value) {
             revision++;
             if (value == null) {
-                storedValues.remove(id);
+                valuesById.remove(id);
             } else {
-                storedValues.put(id, value);
+                valuesById.put(id, value);
             }
             revisionsById.put(id, revision);
         }
@@ -116,19 +116,19 @@
     /** Returns the table of a newly started controller, which reads all keys in key order. */
     private JobTable newLoadedTable() {
         JobTable table = newTable();
-        model.storedValues.forEach((id, value) -> table.changed(id, value, model.revisionsById.get(id)));
+        model.valuesById.forEach((id, value) -> table.changed(id, value, model.revisionsById.get(id)));
         return table;
     }
 
     private void notifyTables(String id) {
-        tables.forEach(table -> table.changed(id, model.storedValues.get(id), model.revisionsById.get(id)));
+        tables.forEach(table -> table.changed(id, model.valuesById.get(id), model.revisionsById.get(id)));
     }
 
     /** Looks up awaited jobs that the table does not hold, as a controller does. */
     private void resolveAwaited(JobTable table) {
         for (String id : table.unresolved()) {
-            TerminatedJob outcome = model.storedValues.containsKey(id)
-                    ? StoredJobCodec.termination(model.storedValues.get(id)).orElse(null)
+            TerminatedJob outcome = model.valuesById.containsKey(id)
+                    ? StoredJobCodec.termination(model.valuesById.get(id)).orElse(null)
                     : null;
             table.resolved(id, outcome != null ? outcome.how() : model.historyById.get(id), model.revision);
         }
@@ -153,7 +153,7 @@
                             id + " has ended");
                 } else {
                     boolean endIsStored = model.historyById.containsKey(id)
-                            || StoredJobCodec.termination(model.storedValues.get(id))
+                            || StoredJobCodec.termination(model.valuesById.get(id))
                                     .isPresent();
                     assertTrue(endIsStored, id + " is retained until its key records its end");
                 }
@@ -200,19 +200,19 @@
         switch (random.nextInt(8)) {
             case 0, 1, 2 -> acceptJob(number);
             case 3, 4 -> {
-                String id = pickRandom(jobIdsWhere(jobId -> !model.hasEnded(jobId) && model.isReady(jobId)));
-                if (id != null) {
-                    model.done.add(id);
-                    model.store(id, StoredJobCodec.terminated(tables.get(0).get(id), Job.Status.DONE));
-                    notifyTables(id);
+                String jobId = pickRandom(jobIdsWhere(id -> !model.hasEnded(id) && model.isReady(id)));
+                if (jobId != null) {
+                    model.done.add(jobId);
+                    model.store(jobId, StoredJobCodec.terminated(tables.get(0).get(jobId), Job.Status.DONE));
+                    notifyTables(jobId);
                 }
             }
             case 5 -> {
-                String id = pickRandom(jobIdsWhere(jobId -> !model.hasEnded(jobId)));
-                if (id != null && random.nextInt(5) == 0) {
-                    model.cancelledByUser.add(id);
-                    model.store(id, StoredJobCodec.terminated(tables.get(0).get(id), Job.Status.CANCELLED));
-                    notifyTables(id);
+                String jobId = pickRandom(jobIdsWhere(id -> !model.hasEnded(id)));
+                if (jobId != null && random.nextInt(5) == 0) {
+                    model.cancelledByUser.add(jobId);
+                    model.store(jobId, StoredJobCodec.terminated(tables.get(0).get(jobId), Job.Status.CANCELLED));
+                    notifyTables(jobId);
                 }
             }
             case 6 -> {
@@ -221,18 +221,17 @@
                     model.store(job.id(), StoredJobCodec.terminated(job, Job.Status.CANCELLED));
                     notifyTables(job.id());
                 }
-                String id = pickRandom(jobIdsWhere(jobId -> model.hasEnded(jobId)
-                        && model.storedValues.containsKey(jobId)
-                        && StoredJobCodec.termination(model.storedValues.get(jobId))
-                                .isPresent()));
-                if (id != null) {
+                String jobId = pickRandom(jobIdsWhere(id -> model.hasEnded(id)
+                        && model.valuesById.containsKey(id)
+                        && StoredJobCodec.termination(model.valuesById.get(id)).isPresent()));
+                if (jobId != null) {
                     model.historyById.put(
-                            id,
-                            StoredJobCodec.termination(model.storedValues.get(id))
+                            jobId,
+                            StoredJobCodec.termination(model.valuesById.get(jobId))
                                     .orElseThrow()
                                     .how());
-                    model.store(id, null);
-                    notifyTables(id);
+                    model.store(jobId, null);
+                    notifyTables(jobId);
                 }
             }
             default -> tables.set(random.nextInt(tables.size()), newLoadedTable());
