--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -16,60 +16,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration as this controller's mirror shows it. A head names the number of the last change and that of each page of
- * teams; a configuration is in force once all of its pages are here at their numbers. What cannot be read leaves the last
- * good one in force.
+ * The configuration in force at this controller, built from the documents in the watch cache. The head holds the number of the
+ * last change, and for each page of teams the number of the change that last wrote it. A configuration takes effect once the
+ * cache holds all pages at these numbers. If a document cannot be parsed, the last valid configuration stays in force.
  */
 public final class ConfigurationView {
-    /** All documents of the configuration are kept under this prefix. */
+    /** Key prefix of all documents of the configuration. */
     public static final String ROOT = Keys.ROOT + "config/";
 
     static final String HEAD = ROOT + "head";
-    static final String PAGE = ROOT + "teams/";
+    static final String PAGE_ROOT = ROOT + "teams/";
     static final String LOG_ROOT = ROOT + "log/";
-    /** So many of the last changes are kept. */
-    static final int KEPT_CHANGES = 64;
+    /** Number of changes that the log keeps. */
+    static final int MAX_LOG_ENTRIES = 64;
 
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationView.class);
     private final Map<String, JsonNode> documents = new TreeMap<>();
-    private final Map<String, ConfiguredTeam> fromFile = new LinkedHashMap<>();
+    private final Map<String, ConfiguredTeam> fileTeams = new LinkedHashMap<>();
     private Configuration current;
-    private boolean stale;
+    private boolean isStale;
 
-    /** @param teams of the platform's file */
+    /** @param teams teams of the settings file, by name */
     public ConfigurationView(Map<String, Settings.Team> teams) {
-        teams.forEach((name, team) -> fromFile.put(name, new ConfiguredTeam(team, false)));
-        current = new Configuration(0, Collections.unmodifiableMap(new LinkedHashMap<>(fromFile)));
+        teams.forEach((name, team) -> fileTeams.put(name, new ConfiguredTeam(team, false)));
+        current = new Configuration(0, Collections.unmodifiableMap(new LinkedHashMap<>(fileTeams)));
     }
 
-    /** The mirror's news of one document; null: it is gone. */
+    /** Applies a change of one document; null if it was deleted. */
     public void changed(String key, JsonNode value) {
         if (value == null) {
             documents.remove(key);
         } else {
             documents.put(key, value);
         }
-        stale = true;
+        isStale = true;
     }
 
-    /** What is in force at this controller. */
+    /** Returns the configuration in force at this controller. */
     public Configuration current() {
-        if (stale) {
-            stale = false;
+        if (isStale) {
+            isStale = false;
             try {
                 Configuration next = read();
                 current = next == null ? current : next;
             } catch (InvalidMessageException e) {
                 LOG.error(
-                        "the stored configuration cannot be read ({}): number {} stays in force",
-                        e.getMessage(),
-                        current.number());
+                        "stored configuration unreadable, error={} numberInForce={}", e.getMessage(), current.number());
             }
         }
         return current;
     }
 
-    /** The stored configuration over the platform's file; null while its pages are not all here. */
+    /** Returns the settings file's teams overridden by the stored ones; null if the head or a page at its number is absent. */
     private Configuration read() throws InvalidMessageException {
         JsonNode head = documents.get(HEAD);
         if (head == null) {
@@ -78,60 +76,60 @@
         long number = Json.integer(head, "number", 0);
         JsonNode pages = head.get("pages");
         if (number <= 0 || pages == null || !pages.isArray()) {
-            throw new InvalidMessageException("its head");
+            throw new InvalidMessageException("head: expected a number of at least 1 and a list of pages");
         }
-        Map<String, ConfiguredTeam> teams = new LinkedHashMap<>(fromFile);
+        Map<String, ConfiguredTeam> teams = new LinkedHashMap<>(fileTeams);
         for (int i = 0; i < pages.size(); i++) {
-            JsonNode page = documents.get(PAGE + i);
+            JsonNode page = documents.get(PAGE_ROOT + i);
             if (page == null || Json.integer(page, "number", 0) != pages.get(i).longValue()) {
                 return null;
             }
-            teams.putAll(ConfigurationRecord.teams(page.get("teams")));
+            teams.putAll(ConfigurationRecord.decodeTeams(page.get("teams")));
         }
         return new Configuration(number, Collections.unmodifiableMap(teams));
     }
 
-    boolean inFile(String team) {
-        return fromFile.containsKey(team);
+    boolean isInSettingsFile(String team) {
+        return fileTeams.containsKey(team);
     }
 
-    /** Numbers of the changes in which each page was written last. */
+    /** Returns for each page the number of the change that last wrote it. */
     List<Long> pageNumbers() {
-        List<Long> numbers = new ArrayList<>();
+        List<Long> pageNumbers = new ArrayList<>();
         JsonNode head = documents.get(HEAD);
         if (head != null) {
-            head.path("pages").forEach(n -> numbers.add(n.longValue()));
+            head.path("pages").forEach(pageNumber -> pageNumbers.add(pageNumber.longValue()));
         }
-        return numbers;
+        return pageNumbers;
     }
 
-    /** The rows of one page; empty where there is no such page. */
+    /** Returns the teams of one page by name; empty if the page does not exist. */
     Map<String, ConfiguredTeam> page(int index) throws InvalidMessageException {
-        JsonNode page = documents.get(PAGE + index);
-        return page == null ? new LinkedHashMap<>() : ConfigurationRecord.teams(page.get("teams"));
+        JsonNode page = documents.get(PAGE_ROOT + index);
+        return page == null ? new LinkedHashMap<>() : ConfigurationRecord.decodeTeams(page.get("teams"));
     }
 
-    /** The last changes that can be read, the newest first. */
-    List<ConfigurationRecord> log() {
-        List<ConfigurationRecord> log = new ArrayList<>();
+    /** Returns the last changes, newest first, without entries that cannot be parsed. */
+    List<ConfigurationRecord> changes() {
+        List<ConfigurationRecord> changes = new ArrayList<>();
         documents.forEach((key, value) -> {
             if (key.startsWith(LOG_ROOT)) {
                 try {
-                    log.add(ConfigurationRecord.read(value));
+                    changes.add(ConfigurationRecord.read(value));
                 } catch (InvalidMessageException e) {
-                    LOG.warn("{} cannot be read: {}", key, e.getMessage());
+                    LOG.warn("configuration change unreadable, key={} error={}", key, e.getMessage());
                 }
             }
         });
-        log.removeIf(r -> r.number() > current().number());
-        log.sort((a, b) -> Long.compare(b.number(), a.number()));
-        return log;
+        changes.removeIf(change -> change.number() > current().number());
+        changes.sort((first, second) -> Long.compare(second.number(), first.number()));
+        return changes;
     }
 
-    /** The stored form of a head. */
-    static JsonNode head(long number, String key, List<Long> pages) {
-        ArrayNode numbers = Json.array();
-        pages.forEach(numbers::add);
-        return Json.object().put("number", number).put("key", key).set("pages", numbers);
+    /** Returns the stored form of a head. */
+    static JsonNode encodeHead(long number, String key, List<Long> pageNumbers) {
+        ArrayNode pages = Json.array();
+        pageNumbers.forEach(pages::add);
+        return Json.object().put("number", number).put("key", key).set("pages", pages);
     }
 }
