--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -176,7 +176,7 @@
     private void openWhenInformed(Runnable open, long latestOpenAt) {
         if (watchCache.following() || forwarder.reachableLeader() != null || loop.now() >= latestOpenAt) {
             open.run();
-            lead.consider();
+            lead.claimIfPossible();
             loop.after(CAPABILITIES_DELAY_MS, capabilities::announce);
         } else {
             loop.after(20, () -> openWhenInformed(open, latestOpenAt));
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -188,7 +188,7 @@
                 stepDown("another controller holds the leader key");
             }
         }
-        consider();
+        claimIfPossible();
     }
 
     /** Applies a change, from the watch, of the key that names the last leader. */
@@ -198,7 +198,7 @@
 
     private void tick() {
         switch (state.current()) {
-            case FOLLOWING -> consider();
+            case FOLLOWING -> claimIfPossible();
             case LEADING, PROMISED, SUSPENDED -> maintainLeadership();
             case CLAIMING -> {}
         }
@@ -240,7 +240,7 @@
      * Claims leadership if the leader key is free, names an earlier process of this host, or names a leader that has stepped
      * down. Called whenever one of these may have become true.
      */
-    public void consider() {
+    public void claimIfPossible() {
         election.claimIfPossible();
     }
 
@@ -335,7 +335,7 @@
     /** Handles the announcement of a leader that it has stepped down and sends no more commands. */
     public void handedOver(PeerMessage.HandOver handOver) {
         election.recordHandOver(handOver.token());
-        consider();
+        claimIfPossible();
     }
 
     private void stepDown(String reason) {
