--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -160,7 +160,7 @@
      * Returns a time, by the loop's clock: every cancellation that any controller confirmed to a user before it is known here,
      * from the state service or from the reports of all other controllers.
      */
-    public long cancellationsKnownAt() {
+    public long cancellationsKnownBefore() {
         return Math.max(watchCache.viewAt(), promises.cancellationsKnownBefore());
     }
 
@@ -170,7 +170,7 @@
      * outage. The tasks of a job that is cancelled now must be gone by this deadline plus one worker lease.
      */
     public long freshnessDeadline() {
-        return cancellationsKnownAt() + settings.freshnessMs();
+        return cancellationsKnownBefore() + settings.freshnessMs();
     }
 
     /**
@@ -225,7 +225,7 @@
         if (viewIsStale) {
             LOG.warn(
                     "workers not answered because the view of cancellations is too old, ageMs={}",
-                    loop.now() - cancellationsKnownAt());
+                    loop.now() - cancellationsKnownBefore());
         }
         state.moveTo(State.SUSPENDED);
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
@@ -68,7 +68,7 @@
         if (!wasEverChanged()) {
             return false;
         }
-        long viewAgeMs = now - context.leadership().cancellationsKnownAt();
+        long viewAgeMs = now - context.leadership().cancellationsKnownBefore();
         if (viewAgeMs > REFRESH_VIEW_AGE_MS && !isBarrierPending) {
             isBarrierPending = true;
             context.watchCache().barrier(() -> isBarrierPending = false, () -> isBarrierPending = false);
