--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -285,7 +285,7 @@
      * Checks with the state service who leads, after a worker has seen a higher token than this leader's. The watch delivers
      * any change of the leader key before the barrier is passed.
      */
-    public void suspect() {
+    public void verifyLeadership() {
         if (!leaderCheckPending) {
             leaderCheckPending = true;
             watchCache.barrier(() -> leaderCheckPending = false, () -> leaderCheckPending = false);
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -52,7 +52,7 @@
                 Token.of(heartbeat.token(), context.leadership().token())));
         if (decision.is(Action.ASK)) {
             // The worker has seen a higher token and would drop this controller's 200: its lease would not be renewed.
-            context.leadership().suspect();
+            context.leadership().verifyLeadership();
         }
         if (decision.is(Action.ASK) || decision.reason() == Decision.Reason.GIVEN_BACK) {
             refuse(exchange, decision.reason().text());
