--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -186,7 +186,7 @@
     /** Handles a message of another controller. */
     public void received(PeerMessage message) {
         if (message instanceof PeerMessage.Ask ask) {
-            lead.asked(ask);
+            lead.answerPromiseRequest(ask);
         } else if (message instanceof PeerMessage.Grant grant) {
             lead.granted(grant);
         } else if (message instanceof PeerMessage.Refuse refusal) {
