--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -188,7 +188,7 @@
         if (message instanceof PeerMessage.Ask ask) {
             lead.answerPromiseRequest(ask);
         } else if (message instanceof PeerMessage.Grant grant) {
-            lead.granted(grant);
+            lead.applyPromise(grant);
         } else if (message instanceof PeerMessage.Refuse refusal) {
             lead.refused(refusal);
         } else if (message instanceof PeerMessage.HandOver handOver) {
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -298,7 +298,7 @@
     }
 
     /** Applies a promise of another controller and the cancellations reported with it. */
-    public void granted(PeerMessage.Grant grant) {
+    public void applyPromise(PeerMessage.Grant grant) {
         promises.applyReport(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
             return;
