--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -190,7 +190,7 @@
         } else if (message instanceof PeerMessage.Grant grant) {
             lead.applyPromise(grant);
         } else if (message instanceof PeerMessage.Refuse refusal) {
-            lead.refused(refusal);
+            lead.handleRefusal(refusal);
         } else if (message instanceof PeerMessage.HandOver handOver) {
             lead.handedOver(handOver);
         } else if (message instanceof PeerMessage.RunningCounts counts) {
