--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -192,7 +192,7 @@
         } else if (message instanceof PeerMessage.Refuse refusal) {
             lead.handleRefusal(refusal);
         } else if (message instanceof PeerMessage.HandOver handOver) {
-            lead.handedOver(handOver);
+            lead.handleHandOver(handOver);
         } else if (message instanceof PeerMessage.RunningCounts counts) {
             receiveRunningCounts(counts);
         } else if (message instanceof PeerMessage.ForwardedHeartbeat heartbeat) {
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -333,7 +333,7 @@
     }
 
     /** Handles the announcement of a leader that it has stepped down and sends no more commands. */
-    public void handedOver(PeerMessage.HandOver handOver) {
+    public void handleHandOver(PeerMessage.HandOver handOver) {
         election.recordHandOver(handOver.token());
         claimIfPossible();
     }
