--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -246,7 +246,7 @@
                 configurationChanged(key, value);
             } else if (key.equals(Keys.LEADER)) {
                 String previousLeader = lead.leaderHost();
-                lead.keyChanged(value, version);
+                lead.leaderKeyChanged(value, version);
                 leaderView.leaderKeyChanged(previousLeader);
             } else if (key.equals(Keys.LEADER_LAST)) {
                 lead.lastLeaderChanged(value);
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -178,7 +178,7 @@
      *
      * @param value the new value; null if the key was deleted
      */
-    public void keyChanged(JsonNode value, long version) {
+    public void leaderKeyChanged(JsonNode value, long version) {
         election.leaderChanged(value, version);
         if (leads() && version > token.value()) {
             if (election.leaderKeyNamesSelf()) {
