--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -318,7 +318,7 @@
     }
 
     @Override
-    public void cancelled(String job, long revision) {
+    public void cancellationReported(String job, long revision) {
         jobTable.cancelled(job, revision);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -44,7 +44,7 @@
          *
          * @param revision revision at which the cancellation was stored
          */
-        void cancelled(String jobId, long revision);
+        void cancellationReported(String jobId, long revision);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -299,7 +299,7 @@
 
     /** Applies a promise of another controller and the cancellations reported with it. */
     public void applyPromise(PeerMessage.Grant grant) {
-        promises.applyReport(grant, cancellation -> listener.cancelled(cancellation.id(), cancellation.revision()));
+        promises.applyReport(grant, cancellation -> listener.cancellationReported(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
             return;
         }
