--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -308,7 +308,7 @@
     }
 
     @Override
-    public void deposed() {
+    public void leadershipEnded() {
         incidents.record("this controller no longer leads");
         jobTable.listener(null);
         if (leaderTerm != null) {
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -37,7 +37,7 @@
         void elected(long token);
 
         /** Called when this controller no longer leads. */
-        void deposed();
+        void leadershipEnded();
 
         /**
          * Called when another controller reports that a job was cancelled.
@@ -344,6 +344,6 @@
         promises.clear();
         election.pauseClaims(settings.leaseMs());
         state.moveTo(State.FOLLOWING);
-        listener.deposed();
+        listener.leadershipEnded();
     }
 }
