--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -111,7 +111,7 @@
         long holdMs = Math.round(policy.leaderHoldS() * 1000);
         StoreAccess storeAccess = new StoreAccess(stateClient, watchCache, loop);
         PeerGroup peerGroup = new PeerGroup(settings.host(), others, transport);
-        long freshnessMs = ElectionSettings.freshnessMs(
+        long freshnessMs = ElectionSettings.freshnessLimitMs(
                 settings.workers().cancelS(), settings.workers().leaseS(), holdMs);
         ElectionSettings electionSettings = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
         lead = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.endings(), this);
--- a/controller/src/main/java/org/landingridge/controller/election/ElectionSettings.java
+++ b/controller/src/main/java/org/landingridge/controller/election/ElectionSettings.java
@@ -5,10 +5,10 @@
  *
  * @param leaderKey   the leader key in the state service; the key of the last leader has {@code -last} appended
  * @param leaseMs     duration of the leader lease, in milliseconds
- * @param freshnessMs maximum age of the leader's view of cancellations with which it may still answer workers, in
- *                    milliseconds; see {@link #freshnessMs(double, double, long)}
+ * @param freshnessLimitMs maximum age of the leader's view of cancellations with which it may still answer workers, in
+ *                    milliseconds; see {@link #freshnessLimitMs(double, double, long)}
  */
-public record ElectionSettings(String leaderKey, long leaseMs, long freshnessMs) {
+public record ElectionSettings(String leaderKey, long leaseMs, long freshnessLimitMs) {
     /** Allowance for stopping tasks after a worker lease expires, and for the time from reading the clock to sending a 200. */
     private static final long EXPIRY_MARGIN_MS = 1_000;
 
@@ -22,7 +22,7 @@
      * @param workerLeaseS  duration of a worker lease, in seconds
      * @param leaderLeaseMs duration of the leader lease, in milliseconds
      */
-    public static long freshnessMs(double cancelS, double workerLeaseS, long leaderLeaseMs) {
+    public static long freshnessLimitMs(double cancelS, double workerLeaseS, long leaderLeaseMs) {
         long remainingMs = (long) (cancelS * 1000 * (1 - ClockDrift.RATE))
                 - (long) (workerLeaseS * 1000 * (1 + 2 * ClockDrift.RATE))
                 - EXPIRY_MARGIN_MS;
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -170,7 +170,7 @@
      * outage. The tasks of a job that is cancelled now must be gone by this deadline plus one worker lease.
      */
     public long freshnessDeadline() {
-        return cancellationsKnownBefore() + settings.freshnessMs();
+        return cancellationsKnownBefore() + settings.freshnessLimitMs();
     }
 
     /**
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -298,7 +298,7 @@
     void freshnessLimitLeavesOneWorkerLeaseBeforeCancelLimit() {
         double[][] deployments = {{30, 10}, {45, 20}, {40, 10}, {46.5, 26.5}, {47, 22}};
         for (double[] limits : deployments) {
-            long freshnessMs = ElectionSettings.freshnessMs(limits[0], limits[1], 3_000);
+            long freshnessMs = ElectionSettings.freshnessLimitMs(limits[0], limits[1], 3_000);
             assertTrue(freshnessMs > 3_000, freshnessMs + " ms with cancel_s=" + limits[0]);
             assertTrue(
                     freshnessMs * 1.0005 + limits[1] * 1_000.5 + 500 < limits[0] * 1_000 * 0.9995,
@@ -306,7 +306,7 @@
         }
         assertEquals(
                 3_000,
-                ElectionSettings.freshnessMs(15, 20, 3_000),
+                ElectionSettings.freshnessLimitMs(15, 20, 3_000),
                 "settings that leave too little time fall back to the leader lease");
     }
 
