--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -67,7 +67,7 @@
     private final ConfigurationService configurationService;
     private final Leadership lead;
     private final CloudClient cloudClient;
-    private final LeaderContext parts;
+    private final LeaderContext leaderContext;
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
     private final LeaderDocuments leaderDocuments;
     private final HeartbeatForwarder forwarder;
@@ -129,7 +129,7 @@
                 settings,
                 machineTypes,
                 () -> capabilities.all(Capabilities.Feature.PIPELINES));
-        parts = new LeaderContext(
+        leaderContext = new LeaderContext(
                 new LeaderContext.Environment(loop, http, random),
                 new LeaderContext.Configured(settings, policy),
                 new LeaderContext.Store(stateClient, watchCache, writer),
@@ -286,7 +286,7 @@
             });
             return;
         }
-        leaderTerm = new LeaderTerm(parts, leaderDocuments.valuesByKey(), leaderDocuments.receivedAtByKey());
+        leaderTerm = new LeaderTerm(leaderContext, leaderDocuments.valuesByKey(), leaderDocuments.receivedAtByKey());
         jobTable.listener(leaderTerm);
         announceNewLeader();
         heartbeatReceiver.releaseParked();
