--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -65,7 +65,7 @@
     private final JobService jobService;
     private final ConfigurationView configurationView;
     private final ConfigurationService configurationService;
-    private final Leadership lead;
+    private final Leadership leadership;
     private final CloudClient cloudClient;
     private final LeaderContext leaderContext;
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
@@ -114,9 +114,9 @@
         long freshnessMs = ElectionSettings.freshnessLimitMs(
                 settings.workers().cancelS(), settings.workers().leaseS(), holdMs);
         ElectionSettings electionSettings = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
-        lead = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.endings(), this);
+        leadership = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.endings(), this);
         BatchWriter writer = new BatchWriter(
-                storeAccess, settings.stateLimits(), DOCUMENT_WRITE_SHARE, Keys.LEADER, lead::writeGuard, metrics.busy);
+                storeAccess, settings.stateLimits(), DOCUMENT_WRITE_SHARE, Keys.LEADER, leadership::writeGuard, metrics.busy);
         cloudClient = new CloudClient(
                 http, loop, settings.cloud(), settings.cloudLimits().rps());
         JobLookup jobLookup = new JobLookup(stateClient, watchCache, jobTable, history);
@@ -133,15 +133,15 @@
                 new LeaderContext.Environment(loop, http, random),
                 new LeaderContext.Configured(settings, policy),
                 new LeaderContext.Store(stateClient, watchCache, writer),
-                lead,
+                leadership,
                 new LeaderContext.Cloud(cloudClient, machineTypes),
                 new LeaderContext.Jobs(jobTable, history, jobLookup),
                 capabilities,
                 configurationView,
                 new LeaderContext.Observability(metrics, incidents, eventLog));
-        leaderView = new LeaderView(loop, lead, watchCache, forwarder, settings.host());
+        leaderView = new LeaderView(loop, leadership, watchCache, forwarder, settings.host());
         heartbeatReceiver = new HeartbeatReceiver(
-                loop, lead, leaderView, forwarder, () -> leaderTerm, metrics, maxWaitingHeartbeats());
+                loop, leadership, leaderView, forwarder, () -> leaderTerm, metrics, maxWaitingHeartbeats());
         runningCounts = new RunningCountsExchange(
                 () -> leaderTerm, jobTable, jobService, writer, transport, settings.host(), others);
         requestRouter = new RequestRouter(
@@ -160,7 +160,7 @@
      */
     public void start(Runnable open) {
         watchCache.start();
-        lead.start();
+        leadership.start();
         refreshMachineTypes();
         probeStateService();
         announceEverySecond();
@@ -176,7 +176,7 @@
     private void openWhenInformed(Runnable open, long latestOpenAt) {
         if (watchCache.following() || forwarder.reachableLeader() != null || loop.now() >= latestOpenAt) {
             open.run();
-            lead.claimIfPossible();
+            leadership.claimIfPossible();
             loop.after(CAPABILITIES_DELAY_MS, capabilities::announce);
         } else {
             loop.after(20, () -> openWhenInformed(open, latestOpenAt));
@@ -186,13 +186,13 @@
     /** Handles a message of another controller. */
     public void received(PeerMessage message) {
         if (message instanceof PeerMessage.Ask ask) {
-            lead.answerPromiseRequest(ask);
+            leadership.answerPromiseRequest(ask);
         } else if (message instanceof PeerMessage.Grant grant) {
-            lead.applyPromise(grant);
+            leadership.applyPromise(grant);
         } else if (message instanceof PeerMessage.Refuse refusal) {
-            lead.handleRefusal(refusal);
+            leadership.handleRefusal(refusal);
         } else if (message instanceof PeerMessage.HandOver handOver) {
-            lead.handleHandOver(handOver);
+            leadership.handleHandOver(handOver);
         } else if (message instanceof PeerMessage.RunningCounts counts) {
             receiveRunningCounts(counts);
         } else if (message instanceof PeerMessage.ForwardedHeartbeat heartbeat) {
@@ -213,7 +213,7 @@
 
     private void receiveForwardedHeartbeat(PeerMessage.ForwardedHeartbeat message) {
         Http.Exchange exchange = forwarder.exchangeFor(message);
-        if (leaderTerm != null && lead.mayAct()) {
+        if (leaderTerm != null && leadership.mayAct()) {
             metrics.busy.during(Part.FORWARDED_HEARTBEATS, () -> heartbeatReceiver.receive(exchange));
         } else {
             exchange.answer(503, new byte[0]);
@@ -221,7 +221,7 @@
     }
 
     private void announceEverySecond() {
-        if (leaderTerm != null && lead.mayAct()) {
+        if (leaderTerm != null && leadership.mayAct()) {
             metrics.busy.during(Part.STATUS, runningCounts::announce);
         }
         loop.after(1_000, this::announceEverySecond);
@@ -245,11 +245,11 @@
             } else if (key.startsWith(ConfigurationView.ROOT)) {
                 configurationChanged(key, value);
             } else if (key.equals(Keys.LEADER)) {
-                String previousLeader = lead.leaderHost();
-                lead.leaderKeyChanged(value, version);
+                String previousLeader = leadership.leaderHost();
+                leadership.leaderKeyChanged(value, version);
                 leaderView.leaderKeyChanged(previousLeader);
             } else if (key.equals(Keys.LEADER_LAST)) {
-                lead.lastLeaderChanged(value);
+                leadership.lastLeaderChanged(value);
             } else {
                 leaderDocumentChanged(key, value);
             }
@@ -280,7 +280,7 @@
         if (machineTypes.isEmpty()) {
             // A leader term needs the machine types to decide on machines; waits for the cloud's answer.
             loop.after(200, () -> {
-                if (lead.leads() && lead.token() == token) {
+                if (leadership.leads() && leadership.token() == token) {
                     elected(token);
                 }
             });
@@ -300,7 +300,7 @@
         long intervalMs = LeaderView.FIRST_MESSAGE_TIMEOUT_MS / INITIAL_ANNOUNCEMENTS;
         for (long delayMs = 0; delayMs < LeaderView.FIRST_MESSAGE_TIMEOUT_MS; delayMs += intervalMs) {
             loop.after(delayMs, () -> {
-                if (leaderTerm != null && lead.mayAct()) {
+                if (leaderTerm != null && leadership.mayAct()) {
                     runningCounts.announce();
                 }
             });
@@ -362,9 +362,9 @@
     private byte[] status() {
         ObjectNode status = Json.object();
         status.put("host", settings.host())
-                .put("leadership", lead.state().name())
-                .put("leader", lead.leaderHost())
-                .put("token", lead.leads() ? lead.token() : 0)
+                .put("leadership", leadership.state().name())
+                .put("leader", leadership.leaderHost())
+                .put("token", leadership.leads() ? leadership.token() : 0)
                 .put("configuration", configurationView.current().number())
                 .put("ready", isReady())
                 .put("revision", watchCache.revision())
