--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -264,7 +264,7 @@
     private void configurationChanged(String key, JsonNode value) {
         configurationView.changed(key, value);
         if (leaderTerm != null) {
-            leaderTerm.changed();
+            leaderTerm.requestSchedulingCycle();
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -190,7 +190,7 @@
     }
 
     /** Requests a scheduling cycle after a change that affects scheduling. */
-    public void changed() {
+    public void requestSchedulingCycle() {
         trigger.requestCycle();
     }
 
