--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -44,7 +44,7 @@
 
     /** Displays the leader's counts on this controller and sends them to every other; called on the leader only. */
     void announce() {
-        Map<String, Integer> counts = currentTerm.get().running();
+        Map<String, Integer> counts = currentTerm.get().runningTasksByJob();
         display(counts);
         boolean writesStarved = writer.starved();
         jobService.leaderHeard(writesStarved);
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -195,7 +195,7 @@
     }
 
     /** Returns the number of running tasks by job id, according to the latest heartbeats. */
-    public Map<String, Integer> running() {
+    public Map<String, Integer> runningTasksByJob() {
         return leaderStatus.runningTasksByJob();
     }
 
