--- a/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
+++ b/controller/src/main/java/org/landingridge/controller/HeartbeatReceiver.java
@@ -82,7 +82,7 @@
 
     private void handle(LeaderTerm term, Http.Exchange exchange) {
         try {
-            term.report(Heartbeat.parse(Json.parse(exchange.body())), exchange);
+            term.handleHeartbeat(Heartbeat.parse(Json.parse(exchange.body())), exchange);
         } catch (InvalidMessageException e) {
             metrics.malformed.increment();
             LOG.warn("malformed heartbeat rejected, error={}", e.getMessage());
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -185,7 +185,7 @@
     }
 
     /** Processes a worker's heartbeat. The exchange may be answered after this method has returned. */
-    public void report(Heartbeat heartbeat, Http.Exchange exchange) {
+    public void handleHeartbeat(Heartbeat heartbeat, Http.Exchange exchange) {
         fleet.report(heartbeat, exchange);
     }
 
