--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -131,7 +131,7 @@
                 () -> capabilities.all(Capabilities.Feature.PIPELINES));
         leaderContext = new LeaderContext(
                 new LeaderContext.Environment(loop, http, random),
-                new LeaderContext.Configured(settings, policy),
+                new LeaderContext.StartupConfiguration(settings, policy),
                 new LeaderContext.Store(stateClient, watchCache, writer),
                 leadership,
                 new LeaderContext.Cloud(cloudClient, machineTypes),
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
@@ -30,7 +30,7 @@
  */
 public record LeaderContext(
         Environment environment,
-        Configured startupConfiguration,
+        StartupConfiguration startupConfiguration,
         Store store,
         Leadership leadership,
         Cloud cloudAccess,
@@ -42,7 +42,7 @@
     public record Environment(EventLoop loop, Http http, RandomGenerator random) {}
 
     /** The configuration that was read when the process started. */
-    public record Configured(Settings settings, Policy policy) {}
+    public record StartupConfiguration(Settings settings, Policy policy) {}
 
     /** Access to the state service. */
     public record Store(StateClient stateClient, WatchCache watchCache, BatchWriter writer) {}
