--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -132,7 +132,7 @@
         leaderContext = new LeaderContext(
                 new LeaderContext.Environment(loop, http, random),
                 new LeaderContext.StartupConfiguration(settings, policy),
-                new LeaderContext.Store(stateClient, watchCache, writer),
+                new LeaderContext.StateServiceAccess(stateClient, watchCache, writer),
                 leadership,
                 new LeaderContext.Cloud(cloudClient, machineTypes),
                 new LeaderContext.Jobs(jobTable, history, jobLookup),
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
@@ -31,7 +31,7 @@
 public record LeaderContext(
         Environment environment,
         StartupConfiguration startupConfiguration,
-        Store store,
+        StateServiceAccess store,
         Leadership leadership,
         Cloud cloudAccess,
         Jobs jobs,
@@ -45,7 +45,7 @@
     public record StartupConfiguration(Settings settings, Policy policy) {}
 
     /** Access to the state service. */
-    public record Store(StateClient stateClient, WatchCache watchCache, BatchWriter writer) {}
+    public record StateServiceAccess(StateClient stateClient, WatchCache watchCache, BatchWriter writer) {}
 
     /**
      * Access to the cloud.
