--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -134,7 +134,7 @@
                 new LeaderContext.StartupConfiguration(settings, policy),
                 new LeaderContext.StateServiceAccess(stateClient, watchCache, writer),
                 leadership,
-                new LeaderContext.Cloud(cloudClient, machineTypes),
+                new LeaderContext.CloudAccess(cloudClient, machineTypes),
                 new LeaderContext.Jobs(jobTable, history, jobLookup),
                 capabilities,
                 configurationView,
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderContext.java
@@ -33,7 +33,7 @@
         StartupConfiguration startupConfiguration,
         StateServiceAccess store,
         Leadership leadership,
-        Cloud cloudAccess,
+        CloudAccess cloudAccess,
         Jobs jobs,
         Capabilities capabilities,
         ConfigurationView liveConfiguration,
@@ -52,7 +52,7 @@
      *
      * @param machineTypes live view of the machine types that the cloud offers, by name
      */
-    public record Cloud(CloudClient cloudClient, Map<String, MachineType> machineTypes) {}
+    public record CloudAccess(CloudClient cloudClient, Map<String, MachineType> machineTypes) {}
 
     /** Access to jobs: the table of known jobs, the history of ended jobs, and the lookup of awaited jobs. */
     public record Jobs(JobTable jobTable, History history, JobLookup jobLookup) {}
