--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -12,7 +12,7 @@
     /** States of an attempt, as far as this leader knows them. */
     public enum State {
         /** Its start is to be sent or was sent; no heartbeat has shown it yet. */
-        SENT,
+        STARTING,
         /** The machine fetches its image. */
         FETCHING,
         /** It runs. */
@@ -40,7 +40,7 @@
     /** The task that this attempt runs; null if the job has ended, the attempt was unsuccessful or another one replaces it. */
     private Task task;
 
-    private State state = State.SENT;
+    private State state = State.STARTING;
     private ExitCause cause = ExitCause.UNSTATED;
     private long runningSince;
     /** Sequence number of the newest heartbeat or call reply that shows the attempt, -1 if none does. */
@@ -201,12 +201,12 @@
 
     /** Returns whether the start is still to be sent in a direct call. */
     boolean startDueInCall() {
-        return state == State.SENT && !stopRequested && startAnswerSeq < 0 && unansweredStartToken == 0;
+        return state == State.STARTING && !stopRequested && startAnswerSeq < 0 && unansweredStartToken == 0;
     }
 
     /** Returns whether the start is to be sent in a heartbeat answer; a recent direct call with it is not duplicated. */
     boolean startDueInAnswer(long now) {
-        return state == State.SENT && !stopRequested && now - directStartSentAt > DIRECT_START_IN_FLIGHT_MS;
+        return state == State.STARTING && !stopRequested && now - directStartSentAt > DIRECT_START_IN_FLIGHT_MS;
     }
 
     /** Records that a direct call under a fencing token carries the start. */
@@ -276,7 +276,7 @@
 
     /** Returns whether a stop is to be sent now, in a direct call or in a heartbeat answer. */
     boolean stopDue(boolean inDirectCall, long now) {
-        return stopRequested && state != State.SENT && (!inDirectCall || now - stopSentAt > DIRECT_STOP_RETRY_MS);
+        return stopRequested && state != State.STARTING && (!inDirectCall || now - stopSentAt > DIRECT_STOP_RETRY_MS);
     }
 
     void stopSent(long now) {
@@ -290,6 +290,6 @@
 
     /** Returns whether the start may still arrive after its deadline, which only the end of the machine's session prevents. */
     boolean requiresLeaseExpiry(long now) {
-        return state == State.SENT && unansweredStartToken != 0 && now >= startDeadline;
+        return state == State.STARTING && unansweredStartToken != 0 && now >= startDeadline;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -151,7 +151,7 @@
         }
         switch (entry.status()) {
             case FETCHING -> {
-                if (attempt.state() == Attempt.State.SENT) {
+                if (attempt.state() == Attempt.State.STARTING) {
                     attempt.transitionTo(Attempt.State.FETCHING, now);
                 }
             }
@@ -241,7 +241,7 @@
      * @param isHeartbeat true for a heartbeat, false for the reply to a call
      */
     void handleMissing(Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
-        if (attempt.state() != Attempt.State.SENT) {
+        if (attempt.state() != Attempt.State.STARTING) {
             // Shown before and absent now in the same session: the worker has forgotten it on command.
             release(attempt, "no longer reported");
             return;
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -69,7 +69,7 @@
             if (attempt.live()
                     && attempt.task() == null
                     && attempt.stopWanted()
-                    && attempt.state() != Attempt.State.SENT) {
+                    && attempt.state() != Attempt.State.STARTING) {
                 commands.stop(attempt.jobId(), attempt.taskIndex(), attempt.number(), 0);
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -150,7 +150,7 @@
      */
     private static void countLostStartIfAny(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
-            if (attempt.state() == Attempt.State.SENT && attempt.startMayArrive()) {
+            if (attempt.state() == Attempt.State.STARTING && attempt.startMayArrive()) {
                 machine.failures().recordLostStart(now);
                 return;
             }
@@ -200,7 +200,7 @@
                 attempt.task().markAccountedFor();
             }
             Attempt.State previousState = attempt.state();
-            if (previousState == Attempt.State.SENT) {
+            if (previousState == Attempt.State.STARTING) {
                 machine.failures().recordArrivedStart();
             }
             attempts.update(attempt, entry, now);
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -98,7 +98,7 @@
     }
 
     private void addAttempt(Attempt attempt, CandidateNode node) {
-        if (attempt.state() == Attempt.State.SENT || attempt.state() == Attempt.State.FETCHING) {
+        if (attempt.state() == Attempt.State.STARTING || attempt.state() == Attempt.State.FETCHING) {
             node.fetching++;
         }
         JobSpec spec = attempt.spec();
