--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -226,7 +226,7 @@
     }
 
     /** Returns the fencing token of an unanswered direct call whose start may still arrive, or 0. */
-    long unansweredUnder() {
+    long unansweredStartToken() {
         return unansweredStartToken;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -76,7 +76,7 @@
             boolean unwanted = attempt.stopWanted() || attempt.state() == Attempt.State.EXITED;
             if (unwanted
                     && attempt.startMayArrive()
-                    && attempt.unansweredUnder() == context.leadership().token()
+                    && attempt.unansweredStartToken() == context.leadership().token()
                     && now - attempt.since() > WITHDRAWN_START_WAIT_MS) {
                 return true;
             }
