--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -251,7 +251,7 @@
     }
 
     /** Returns whether the attempt has ended and a late duplicate of its start under this token could run it again. */
-    boolean keptUnder(long token) {
+    boolean duplicateCouldRunUnder(long token) {
         return state == State.EXITED && duplicateCouldRun() && directStartToken == token;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -88,7 +88,7 @@
     private int keptAttempts(Machine machine) {
         int count = 0;
         for (Attempt attempt : machine.attempts().values()) {
-            count += attempt.keptUnder(context.leadership().token()) ? 1 : 0;
+            count += attempt.duplicateCouldRunUnder(context.leadership().token()) ? 1 : 0;
         }
         return count;
     }
