--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -107,7 +107,7 @@
     }
 
     /** Returns whether the attempt is to stop. */
-    public boolean stopWanted() {
+    public boolean stopRequested() {
         return stopRequested;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -55,7 +55,7 @@
 
     /** Requests a stop of an attempt to free its capacity; the task becomes pending once it certainly is off the machine. */
     void stop(Attempt attempt, double graceS) {
-        if (!attempt.stopWanted()) {
+        if (!attempt.stopRequested()) {
             LOG.debug(
                     "attempt stop requested, attempt={} machine={}",
                     attempt.name(),
@@ -253,7 +253,7 @@
                 && heartbeat.seq() > attempt.startAnswerSeq()
                 && !attempt.startMayArrive()
                 && !attempt.machine().calls().inFlight();
-        if (attempt.stopWanted() && startCannotArrive) {
+        if (attempt.stopRequested() && startCannotArrive) {
             release(attempt, "the start was withdrawn");
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -68,7 +68,7 @@
         for (Attempt attempt : machine.attempts().values()) {
             if (attempt.live()
                     && attempt.task() == null
-                    && attempt.stopWanted()
+                    && attempt.stopRequested()
                     && attempt.state() != Attempt.State.STARTING) {
                 commands.stop(attempt.jobId(), attempt.taskIndex(), attempt.number(), 0);
             }
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -73,7 +73,7 @@
      */
     private boolean withdrawnStartMayArrive(Machine machine, long now) {
         for (Attempt attempt : machine.attempts().values()) {
-            boolean unwanted = attempt.stopWanted() || attempt.state() == Attempt.State.EXITED;
+            boolean unwanted = attempt.stopRequested() || attempt.state() == Attempt.State.EXITED;
             if (unwanted
                     && attempt.startMayArrive()
                     && attempt.unansweredStartToken() == context.leadership().token()
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -106,7 +106,7 @@
         TaskGroup group = groupsByJob.get(attempt.jobId());
         node.add(describeAttempt(attempt, group == null ? spec : group.spec, teamIndex));
         if (spec != null) {
-            addUsage(teams.get(teamIndex), spec, attempt.stopWanted());
+            addUsage(teams.get(teamIndex), spec, attempt.stopRequested());
         }
         if (group != null) {
             group.perZone.merge(node.zone, 1, Integer::sum);
@@ -115,7 +115,7 @@
 
     private CandidateNode.Running describeAttempt(Attempt attempt, JobSpec spec, int teamIndex) {
         CandidateNode.Running running =
-                new CandidateNode.Running(spec, teamIndex, attempt, attempt.since(), attempt.stopWanted());
+                new CandidateNode.Running(spec, teamIndex, attempt, attempt.since(), attempt.stopRequested());
         running.ranS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
         running.leftS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.ranS);
         return running;
