--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -117,7 +117,7 @@
     }
 
     /** Returns when this leader placed the attempt or first saw it. */
-    public long since() {
+    public long knownSince() {
         return knownSince;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -175,7 +175,7 @@
                     attempt.name(),
                     attempt.machine().id(),
                     now - attempt.task().job().addedAt(),
-                    now - attempt.since());
+                    now - attempt.knownSince());
         }
         attempt.transitionTo(Attempt.State.RUNNING, now);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -77,7 +77,7 @@
             if (unwanted
                     && attempt.startMayArrive()
                     && attempt.unansweredStartToken() == context.leadership().token()
-                    && now - attempt.since() > WITHDRAWN_START_WAIT_MS) {
+                    && now - attempt.knownSince() > WITHDRAWN_START_WAIT_MS) {
                 return true;
             }
         }
