--- a/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Attempt.java
@@ -132,7 +132,7 @@
     }
 
     /** Returns whether the attempt uses capacity of its machine. */
-    public boolean live() {
+    public boolean isLive() {
         return state != State.EXITED && state != State.RELEASED;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -266,7 +266,7 @@
     }
 
     private void release(Attempt attempt, String reason) {
-        boolean wasLive = attempt.live();
+        boolean wasLive = attempt.isLive();
         attempt.transitionTo(Attempt.State.RELEASED, context.now());
         attempt.machine().remove(attempt);
         Task task = attempt.task();
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -66,7 +66,7 @@
      */
     private static void stopDetached(Machine machine, Commands commands) {
         for (Attempt attempt : machine.attempts().values()) {
-            if (attempt.live()
+            if (attempt.isLive()
                     && attempt.task() == null
                     && attempt.stopRequested()
                     && attempt.state() != Attempt.State.STARTING) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -253,14 +253,14 @@
     int live() {
         int count = 0;
         for (Attempt attempt : attempts.values()) {
-            count += attempt.live() ? 1 : 0;
+            count += attempt.isLive() ? 1 : 0;
         }
         return count;
     }
 
     boolean hasLive() {
         for (Attempt attempt : attempts.values()) {
-            if (attempt.live()) {
+            if (attempt.isLive()) {
                 return true;
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -83,7 +83,7 @@
         boolean isIdle = true;
         boolean hasUnknownJob = false;
         for (Attempt attempt : machine.attempts().values()) {
-            if (!attempt.live()) {
+            if (!attempt.isLive()) {
                 continue;
             }
             isIdle = false;
