--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -121,7 +121,7 @@
         switch (reply.outcome()) {
             case ANSWERED -> {
                 Heartbeat heartbeat = heartbeats.read(machine, reply);
-                if (heartbeat == null || !heartbeats.mergeAnswer(machine, heartbeat, session, seq)) {
+                if (heartbeat == null || !heartbeats.mergeReply(machine, heartbeat, session, seq)) {
                     machine.calls().pauseCommands(context.now() + PAUSE_AFTER_UNUSABLE_REPLY_MS);
                 }
                 context.loop().after(FOLLOW_UP_CALL_DELAY_MS, () -> call(machine));
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -49,7 +49,7 @@
      * @param seq     the newest sequence number known when the call was sent
      * @return false if the reply is outdated
      */
-    boolean mergeAnswer(Machine machine, Heartbeat heartbeat, long session, long seq) {
+    boolean mergeReply(Machine machine, Heartbeat heartbeat, long session, long seq) {
         // Sequence numbers only grow within an incarnation: a reply with an older one comes from a restarted worker,
         // and its earlier tasks are gone. Without this check, the machine and these tasks would count as alive
         // indefinitely, since all heartbeats of the new process look outdated.
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -68,7 +68,7 @@
             }
             Heartbeat heartbeat = heartbeatHandler.read(machine, reply);
             if (heartbeat != null) {
-                heartbeatHandler.mergeAnswer(machine, heartbeat, session, seq);
+                heartbeatHandler.mergeReply(machine, heartbeat, session, seq);
                 machine.heard(context.now());
                 // A restarted worker must see the next token, which has not been raised yet: a retry would not help.
                 if (!machine.fenced() && !machine.incarnation().restarted()) {
