--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -120,7 +120,7 @@
     private void handleReply(Machine machine, Http.Reply reply, long session, long seq) {
         switch (reply.outcome()) {
             case ANSWERED -> {
-                Heartbeat heartbeat = heartbeats.read(machine, reply);
+                Heartbeat heartbeat = heartbeats.parseReply(machine, reply);
                 if (heartbeat == null || !heartbeats.mergeReply(machine, heartbeat, session, seq)) {
                     machine.calls().pauseCommands(context.now() + PAUSE_AFTER_UNUSABLE_REPLY_MS);
                 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns the worker's state from its reply to a call, or null if the reply has none. */
-    Heartbeat read(Machine machine, Http.Reply reply) {
+    Heartbeat parseReply(Machine machine, Http.Reply reply) {
         if (reply.status() != 200 && reply.status() != 409) {
             LOG.info("call reply with unexpected status, machine={} status={}", machine.id(), reply.status());
             return null;
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -66,7 +66,7 @@
                 machine.calls().probeUnanswered(context.now() + RETRY_PAUSE_MS);
                 return;
             }
-            Heartbeat heartbeat = heartbeatHandler.read(machine, reply);
+            Heartbeat heartbeat = heartbeatHandler.parseReply(machine, reply);
             if (heartbeat != null) {
                 heartbeatHandler.mergeReply(machine, heartbeat, session, seq);
                 machine.heard(context.now());
