--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -49,7 +49,7 @@
     }
 
     /** Notes that a decision about the machine is to be sent with the next {@link #flush}. */
-    void touch(Machine machine) {
+    void enqueue(Machine machine) {
         waitingMachines.add(machine);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -270,13 +270,13 @@
     /** Places a task: the next {@link #flush} sends its start to the machine by a direct call. */
     public void place(Task task, Machine machine) {
         attempts.place(task, machine);
-        dispatcher.touch(machine);
+        dispatcher.enqueue(machine);
     }
 
     /** Stops an attempt, with time for saving its state; the task becomes pending once the attempt has certainly ended. */
     public void stop(Attempt attempt, double graceS) {
         attempts.stop(attempt, graceS);
-        dispatcher.touch(attempt.machine());
+        dispatcher.enqueue(attempt.machine());
     }
 
     /** Sends the pending commands to their machines by direct calls; those that cannot be sent now wait for the next tick. */
