--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -12,7 +12,7 @@
 /** Sends commands to machines in direct calls, which is faster than to wait for their next heartbeat. */
 final class CommandDispatcher {
     /** Timeout of a direct call. */
-    static final long CALL_MS = 1_500;
+    static final long CALL_TIMEOUT_MS = 1_500;
 
     private static final long PAUSE_AFTER_NO_REPLY_MS = 3_000;
     /** Pause after a reply that is malformed, has an unexpected status or is outdated. */
@@ -103,7 +103,7 @@
         long session = machine.incarnation().session();
         long seq = machine.incarnation().seq();
         byte[] body = commands.direct(token, session);
-        context.http().call(machine.address(), "POST", "/commands", body, CALL_MS, reply -> {
+        context.http().call(machine.address(), "POST", "/commands", body, CALL_TIMEOUT_MS, reply -> {
             machine.calls().end();
             callsInFlight--;
             starts.forEach(Attempt::endDirectStart);
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -56,7 +56,7 @@
         long session = machine.incarnation().session();
         long seq = machine.incarnation().seq();
         byte[] body = new Commands().direct(context.leadership().token(), Math.max(1, session));
-        context.http().call(machine.address(), "POST", "/commands", body, CommandDispatcher.CALL_MS, reply -> {
+        context.http().call(machine.address(), "POST", "/commands", body, CommandDispatcher.CALL_TIMEOUT_MS, reply -> {
             machine.calls().end();
             probesInFlight--;
             if (closed) {
