--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -126,7 +126,7 @@
                 }
                 context.loop().after(FOLLOW_UP_CALL_DELAY_MS, () -> call(machine));
             }
-            case NOT_SENT, UNKNOWN -> machine.calls().commandsUnanswered(context.now() + PAUSE_AFTER_NO_REPLY_MS);
+            case NOT_SENT, UNKNOWN -> machine.calls().recordUnansweredCommands(context.now() + PAUSE_AFTER_NO_REPLY_MS);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
@@ -34,7 +34,7 @@
     }
 
     /** Records that a call with commands was not answered; the next is sent at {@code retryAt} at the earliest. */
-    void commandsUnanswered(long retryAt) {
+    void recordUnansweredCommands(long retryAt) {
         unanswered++;
         commandsNotBefore = retryAt;
     }
