--- a/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
@@ -45,7 +45,7 @@
     }
 
     /** Records that a probe was not answered; the next is sent at {@code retryAt} at the earliest. */
-    void probeUnanswered(long retryAt) {
+    void recordUnansweredProbe(long retryAt) {
         unanswered++;
         probeNotBefore = retryAt;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -63,7 +63,7 @@
                 return;
             }
             if (reply.outcome() != Http.Outcome.ANSWERED) {
-                machine.calls().probeUnanswered(context.now() + RETRY_PAUSE_MS);
+                machine.calls().recordUnansweredProbe(context.now() + RETRY_PAUSE_MS);
                 return;
             }
             Heartbeat heartbeat = heartbeatHandler.parseReply(machine, reply);
