--- a/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/DirectCalls.java
@@ -29,7 +29,7 @@
     }
 
     /** Records a message from the machine, in a heartbeat or in a reply. */
-    void heard() {
+    void recordContact() {
         unanswered = 0;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -270,7 +270,7 @@
     /** Records a heartbeat or an answer to a direct call. */
     void heard(long now) {
         contact.heard(now);
-        calls.heard();
+        calls.recordContact();
         listedFailed = false;
     }
 
