--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -99,7 +99,7 @@
     }
 
     /** Returns the tasks that have been placed, reported or looked up by index, without those stored as done. */
-    public List<Task> touched() {
+    public List<Task> trackedTasks() {
         return new ArrayList<>(trackedTasks.values());
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -37,7 +37,7 @@
             return job.count(Task.State.PENDING);
         }
         int sum = 0;
-        for (Task task : job.touched()) {
+        for (Task task : job.trackedTasks()) {
             sum += task.state() == Task.State.PENDING && isPlaceable(job, task.accountedFor(), mayBeHeld) ? 1 : 0;
         }
         return sum;
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -211,7 +211,7 @@
 
         @Override
         public void stored(long revision) {
-            for (Task task : job.touched()) {
+            for (Task task : job.trackedTasks()) {
                 events.stored(task);
             }
             events.done(job.job(), revision);
