--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -119,7 +119,7 @@
     }
 
     /** Returns the time of the event loop, in milliseconds, before which no task of the job is started. */
-    public long notBefore() {
+    public long pausedUntil() {
         return pausedUntil;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -47,7 +47,7 @@
                 job,
                 job.job().created(),
                 teamIndex,
-                job.notBefore() <= now ? startable : 0);
+                job.pausedUntil() <= now ? startable : 0);
         group.probing = isBroken;
         group.blocked = job.count(Task.State.PENDING) - placeable;
         forecast.fillAndLearn(group, job.job(), now, timeOfDay);
