--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -81,13 +81,13 @@
     }
 
     /** Returns the number of tasks. */
-    public int size() {
+    public int taskCount() {
         return job.tasks();
     }
 
     /** Returns the task with this index, or null if the job has no such task. */
     public Task task(int index) {
-        if (index < 0 || index >= size()) {
+        if (index < 0 || index >= taskCount()) {
             return null;
         }
         Task task = trackedTasks.get(index);
@@ -141,7 +141,7 @@
     /** Returns the index of the task to examine next, and moves on; after the last task comes the first. */
     int nextIndex() {
         int index = searchIndex;
-        searchIndex = (index + 1) % size();
+        searchIndex = (index + 1) % taskCount();
         return index;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -51,7 +51,7 @@
         }
         boolean mayBeHeld = unverifiedMachines.mayHold(job.spec());
         boolean untrackedPlaceable = isPlaceable(job, false, mayBeHeld);
-        for (int examined = 0; examined < job.size(); examined++) {
+        for (int examined = 0; examined < job.taskCount(); examined++) {
             int index = job.nextIndex();
             if (job.isUntracked(index)) {
                 if (untrackedPlaceable) {
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -116,7 +116,7 @@
      * later task completion would trigger the write.
      */
     public void takeOver(ActiveJob job) {
-        if (job.count(Task.State.DONE) == job.size()) {
+        if (job.count(Task.State.DONE) == job.taskCount()) {
             writer.mark(new JobCompletion(job));
         }
     }
@@ -125,12 +125,12 @@
     public void finished(Task task) {
         ActiveJob job = task.job();
         int finishedTasks = job.count(Task.State.FINISHED) + job.count(Task.State.DONE);
-        if (finishedTasks == job.size()) {
+        if (finishedTasks == job.taskCount()) {
             writer.mark(new JobCompletion(job));
             return;
         }
         String chunkName = CompletionPageCodec.chunkName(job.id(), task.index() / CompletionPageCodec.CHUNK_TASKS);
-        CompletionPage page = pages.put(chunkName, CompletionPageCodec.maxChunkBytes(job.id(), job.size()));
+        CompletionPage page = pages.put(chunkName, CompletionPageCodec.maxChunkBytes(job.id(), job.taskCount()));
         finishedByChunk
                 .computeIfAbsent(chunkName, key -> new BitSet())
                 .set(task.index() % CompletionPageCodec.CHUNK_TASKS);
@@ -140,7 +140,7 @@
 
     /** Drops the chunks of a job that has ended. They are removed from the store with the page's next write. */
     public void ended(ActiveJob job) {
-        for (int chunk = 0; chunk <= job.size() / CompletionPageCodec.CHUNK_TASKS; chunk++) {
+        for (int chunk = 0; chunk <= job.taskCount() / CompletionPageCodec.CHUNK_TASKS; chunk++) {
             String chunkName = CompletionPageCodec.chunkName(job.id(), chunk);
             pages.remove(chunkName);
             finishedByChunk.remove(chunkName);
