--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
@@ -29,7 +29,7 @@
     }
 
     /** Adds a job that has just been accepted, or that was stored as active when this leader term began. */
-    void accept(Job job) {
+    void add(Job job) {
         jobs.put(job.id(), new ActiveJob(job, job.created() > context.token(), context.now()));
         context.events().changed();
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -239,7 +239,7 @@
 
     /** Adds a job that was accepted now or in an earlier leader term. */
     public void jobAccepted(Job job) {
-        jobs.accept(job);
+        jobs.add(job);
     }
 
     /** Ends a job that is done or cancelled: its attempts are removed from all machines. */
