--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns the identifiers of all jobs, ended ones included, of which an attempt is or may be on a machine. */
-    static Set<String> idsOn(MachineTable machines) {
+    static Set<String> jobIdsOn(MachineTable machines) {
         Set<String> ids = new HashSet<>();
         for (Machine machine : machines.all()) {
             for (Attempt attempt : machine.attempts().values()) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -234,7 +234,7 @@
 
     /** Returns the identifiers of the jobs with an attempt that is or may be on a machine. */
     public Set<String> jobsOnMachines() {
-        return ActiveJobs.idsOn(machines);
+        return ActiveJobs.jobIdsOn(machines);
     }
 
     /** Adds a job that was accepted now or in an earlier leader term. */
