--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -249,7 +249,7 @@
 
     /** Returns the number of pending tasks. */
     public int waiting() {
-        return tasks.waiting();
+        return tasks.pendingCount();
     }
 
     /** Returns the number of the job's pending tasks that are certainly on no machine. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -15,7 +15,7 @@
     }
 
     /** Returns the number of pending tasks of all jobs that are ready to start. */
-    int waiting() {
+    int pendingCount() {
         int sum = 0;
         for (ActiveJob job : jobs.all()) {
             sum += job.job().ready() ? job.count(Task.State.PENDING) : 0;
