--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -254,7 +254,7 @@
 
     /** Returns the number of the job's pending tasks that are certainly on no machine. */
     public int placeable(ActiveJob job) {
-        return tasks.placeable(job);
+        return tasks.placeableCount(job);
     }
 
     /** Returns the job's next pending task that may be placed, or null. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -28,7 +28,7 @@
      * most one machine: a task that this leader has seen on a fenced machine and that was lost since is on no other one,
      * even while there are unverified machines.
      */
-    int placeable(ActiveJob job) {
+    int placeableCount(ActiveJob job) {
         if (!job.job().ready()) {
             return 0;
         }
@@ -74,7 +74,7 @@
         }
         int sum = 0;
         for (ActiveJob job : jobs.all()) {
-            sum += job.job().ready() ? job.count(Task.State.PENDING) - placeable(job) : 0;
+            sum += job.job().ready() ? job.count(Task.State.PENDING) - placeableCount(job) : 0;
         }
         return sum;
     }
