--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -264,7 +264,7 @@
 
     /** Returns the number of pending tasks that an unverified machine may hold. */
     public int blocked() {
-        return tasks.blocked();
+        return tasks.blockedCount();
     }
 
     /** Places a task: the next {@link #flush} sends its start to the machine by a direct call. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns the number of pending tasks that wait until the machines that may hold them are accounted for. */
-    int blocked() {
+    int blockedCount() {
         if (unverifiedMachines.left() == 0) {
             return 0;
         }
