--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -259,7 +259,7 @@
 
     /** Returns the job's next pending task that may be placed, or null. */
     public Task nextPlaceable(ActiveJob job) {
-        return tasks.next(job);
+        return tasks.nextPlaceable(job);
     }
 
     /** Returns the number of pending tasks that an unverified machine may hold. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns the job's next pending task that may be placed, or null. */
-    Task next(ActiveJob job) {
+    Task nextPlaceable(ActiveJob job) {
         // Every start passes here, so no task starts before all jobs that its job depends on are stored as done.
         if (!job.job().ready()) {
             return null;
