--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -287,7 +287,7 @@
     /** Records that the task's result is stored: its machine may drop the attempt. */
     public void stored(Task task) {
         if (task.state() == Task.State.FINISHED) {
-            task.done();
+            task.markDone();
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Task.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Task.java
@@ -72,7 +72,7 @@
     }
 
     /** Records that the result is stored. */
-    void done() {
+    void markDone() {
         transitionTo(State.DONE, null);
     }
 
