--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
@@ -31,7 +31,7 @@
     private long avoidUntil = Long.MIN_VALUE / 2;
 
     /** Returns whether the machine gets no tasks at present. */
-    boolean avoided(long now) {
+    boolean isAvoided(long now) {
         return now < avoidUntil;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
@@ -32,7 +32,7 @@
                 && machine.fenced()
                 && machine.registered()
                 && machine.noticeS() == null
-                && !machine.failures().avoided(now)
+                && !machine.failures().isAvoided(now)
                 && now - machine.contact().lastHeartbeatAt() < context.leaseMs() / 2;
     }
 
