--- a/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FailureRecord.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether the failures since the last success are attributed to the machine. */
-    boolean faulty() {
+    boolean isFaulty() {
         return FailureAttribution.isFaulty(provenFailures, failedJobIds.size());
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -159,7 +159,7 @@
                 heartbeatOverdue(machine, now),
                 machine.calls().unanswered() >= UNANSWERED_CALLS_LIMIT,
                 bootOverdue(machine, now),
-                machine.failures().faulty() && !machine.hasLive() && machine.state() == Machine.State.UP,
+                machine.failures().isFaulty() && !machine.hasLive() && machine.state() == Machine.State.UP,
                 partitionLikely(machine.zone()),
                 returnSaves(machine, now)));
     }
