--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -167,7 +167,7 @@
 
     /** Returns the time after which the machine's lease has expired for certain. */
     public long leaseEnds(Machine machine) {
-        return healthMonitor.leaseEnds(machine);
+        return healthMonitor.leaseExpiresAt(machine);
     }
 
     /** Returns true if the machine with that identifier was returned to the cloud within the last 15 minutes. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -133,7 +133,7 @@
     }
 
     /** Returns the time on the loop's clock after which the machine's lease has expired for certain. */
-    long leaseEnds(Machine machine) {
+    long leaseExpiresAt(Machine machine) {
         return machine.lease().answeredAt() + context.leaseMs();
     }
 
@@ -155,7 +155,7 @@
                 tokenSeen,
                 machine.listedFailed(),
                 machine.state() == Machine.State.LEAVING,
-                now > leaseEnds(machine),
+                now > leaseExpiresAt(machine),
                 heartbeatOverdue(machine, now),
                 machine.calls().unanswered() >= UNANSWERED_CALLS_LIMIT,
                 bootOverdue(machine, now),
@@ -203,7 +203,7 @@
     /** Returns true if a return to the cloud would free tasks noticeably sooner than the expiry of the lease. */
     private boolean returnSaves(Machine machine, long now) {
         // A return that cannot be stored now would be carried out later, when the machine may have recovered.
-        return leaseEnds(machine) - now > MIN_RETURN_GAIN_MS
+        return leaseExpiresAt(machine) - now > MIN_RETURN_GAIN_MS
                 && context.leadership().state() == Leadership.State.LEADING
                 && (machine.hasLive() || (machine.unverified() && earlierTasksBlocked));
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -93,7 +93,7 @@
      */
     private void revertLease(Machine machine, long session) {
         machine.lease().revertToEarlierLeader();
-        if (context.now() > healthMonitor.leaseEnds(machine)) {
+        if (context.now() > healthMonitor.leaseExpiresAt(machine)) {
             leaseExpiry.expire(machine);
             // Disregards the worker until it shows this leader's token.
             machine.incarnation().disregardUntil(context.token(), session);
