--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -166,7 +166,7 @@
     }
 
     /** Returns the time after which the machine's lease has expired for certain. */
-    public long leaseEnds(Machine machine) {
+    public long leaseExpiresAt(Machine machine) {
         return healthMonitor.leaseExpiresAt(machine);
     }
 
