--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -161,7 +161,7 @@
     }
 
     /** Returns the decision on the machine from the present evidence. */
-    public Decision judge(Machine machine, long now) {
+    public Decision decide(Machine machine, long now) {
         return healthMonitor.decide(machine, now);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -63,7 +63,7 @@
     void returnUnusableMachines(long now) {
         List<String> unusableIds = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            Decision decision = fleet.judge(machine, now);
+            Decision decision = fleet.decide(machine, now);
             if (decision.is(Action.GIVE_BACK)) {
                 String reason = decision.reason().text();
                 LOG.info("machine returned, machine={} reason={}", machine.id(), reason);
--- a/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/MachinesByDecision.java
@@ -33,7 +33,7 @@
     static MachinesByDecision of(Fleet fleet, long now) {
         MachinesByDecision machinesByDecision = new MachinesByDecision();
         for (Machine machine : fleet.machines()) {
-            machinesByDecision.add(machine, fleet.judge(machine, now), fleet.leaseExpiresAt(machine) - now);
+            machinesByDecision.add(machine, fleet.decide(machine, now), fleet.leaseExpiresAt(machine) - now);
         }
         return machinesByDecision;
     }
