--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -111,12 +111,12 @@
     }
 
     /** Returns the number of machines that may hold tasks that no heartbeat has shown to this leader. */
-    public int unaccounted() {
+    public int unverified() {
         return unverifiedMachines.left();
     }
 
     /** Returns true if the machine may hold tasks, up to its capacity, that no heartbeat has shown to this leader. */
-    public boolean unaccounted(Machine machine) {
+    public boolean unverified(Machine machine) {
         return machine.unverified();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -33,12 +33,12 @@
         this.observationWindow = observationWindow;
         this.eventLog = eventLog;
         this.startedAt = startedAt;
-        this.initiallyUnaccounted = fleet.unaccounted();
+        this.initiallyUnaccounted = fleet.unverified();
     }
 
     /** Updates the state, and emits events for the progress since the last call. */
     void update(long now) {
-        int unaccounted = fleet.unaccounted();
+        int unaccounted = fleet.unverified();
         announceProgress(unaccounted, now);
         if (state == State.GATHERING && observationWindow.state(now) == ObservationWindow.State.COMPLETE) {
             transition(State.SETTLING, now);
@@ -84,7 +84,7 @@
         node.put("state", state.name())
                 .put("sinceMs", now - startedAt)
                 .put("asked", initiallyUnaccounted)
-                .put("left", fleet.unaccounted())
+                .put("left", fleet.unverified())
                 .put("heldTasks", fleet.blocked());
         MachinesByDecision.of(fleet, now).describe(node);
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
@@ -38,7 +38,7 @@
 
     void describe(ObjectNode status, long now) {
         describeMachines(status.putObject("machines"));
-        status.put("unaccounted", fleet.unaccounted());
+        status.put("unaccounted", fleet.unverified());
         failoverProgress.describe(status.putObject("recovery"), now);
         describeOpenOperations(status.putArray("unsettledOperations"));
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -170,7 +170,7 @@
                         "machines",
                         fleet.size(),
                         "asked",
-                        fleet.unaccounted());
+                        fleet.unverified());
     }
 
     /** Ends the term. Nothing more is written or sent on its behalf. */
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -123,7 +123,7 @@
         // seconds of the first start of the controllers, and rented again.
         boolean isNewTerm =
                 snapshot.now() - termStartedAt < Math.round(context.policy().idleS() * 1000);
-        return isNewTerm || fleet.unaccounted() > 0 ? Double.MAX_VALUE : peakDemandCpus;
+        return isNewTerm || fleet.unverified() > 0 ? Double.MAX_VALUE : peakDemandCpus;
     }
 
     /** Returns the CPUs that the teams use and request: up to the guarantee for a team that has one, all of them otherwise. */
