--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -210,7 +210,7 @@
         Machine machine = machines.remove(id);
         if (machine != null) {
             attempts.releaseAll(machine, "the machine is gone");
-            unverifiedMachines.accounted(machine);
+            unverifiedMachines.markVerified(machine);
             context.events().changed();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -233,7 +233,7 @@
         machine.fence();
         // Starts are sent to the machine from now on, in a session that may have begun at any time up to now.
         machine.lease().extend(now);
-        unverifiedMachines.accounted(machine);
+        unverifiedMachines.markVerified(machine);
         return true;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -25,7 +25,7 @@
         if (machine.heartbeatsExpected()) {
             markLapsed(machine);
         }
-        unverifiedMachines.accounted(machine);
+        unverifiedMachines.markVerified(machine);
         if (machine.registered()) {
             markUnregistered(machine);
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -100,7 +100,7 @@
     }
 
     /** Records that a machine is fenced, expired or gone; verified machines are ignored. */
-    void accounted(Machine machine) {
+    void markVerified(Machine machine) {
         if (machine.unverified()) {
             machine.unverified(false);
             countsByKind.computeIfPresent(
