--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -112,7 +112,7 @@
 
     /** Returns the number of machines that may hold tasks that no heartbeat has shown to this leader. */
     public int unverified() {
-        return unverifiedMachines.left();
+        return unverifiedMachines.remaining();
     }
 
     /** Returns true if the machine may hold tasks, up to its capacity, that no heartbeat has shown to this leader. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -170,7 +170,7 @@
             return now - Math.max(machine.contact().heardAt(), listeningSince)
                     > heartbeatIntervalMs * (1 + HEARTBEAT_SLACK_SHARE) + HEARTBEAT_TRANSFER_MS;
         }
-        boolean fewLeft = unverifiedMachines.left()
+        boolean fewLeft = unverifiedMachines.remaining()
                         <= Math.max(FEW_MACHINES, unverifiedMachines.initialCount() / FEW_MACHINES_DIVISOR)
                 || now - unverifiedMachines.lastChangeAt() > FIRST_HEARTBEATS_LULL_MS;
         return !machine.unverified()
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
@@ -60,7 +60,7 @@
      */
     boolean awaitsFirstHeartbeat(Machine machine, long now) {
         return machine.unverified()
-                && unverifiedMachines.left() * MISSING_HEARTBEATS_DIVISOR > unverifiedMachines.initialCount()
+                && unverifiedMachines.remaining() * MISSING_HEARTBEATS_DIVISOR > unverifiedMachines.initialCount()
                 && healthMonitor.decide(machine, now).reason() == Decision.Reason.REPORT_DUE;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -69,7 +69,7 @@
 
     /** Returns the number of pending tasks that wait until the machines that may hold them are accounted for. */
     int blockedCount() {
-        if (unverifiedMachines.left() == 0) {
+        if (unverifiedMachines.remaining() == 0) {
             return 0;
         }
         int sum = 0;
@@ -81,7 +81,7 @@
 
     /** Returns whether pending tasks of jobs from earlier leader terms wait while machines are not accounted for. */
     boolean anyBlocked() {
-        if (unverifiedMachines.left() == 0) {
+        if (unverifiedMachines.remaining() == 0) {
             return false;
         }
         for (ActiveJob job : jobs.all()) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -13,7 +13,7 @@
 final class UnverifiedMachines {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private final FleetContext context;
-    private int left;
+    private int remaining;
     private int initialCount;
     /** Time of the last verification or addition. */
     private long lastChangeAt;
@@ -41,7 +41,7 @@
     void add(Machine machine) {
         machine.unverified(true);
         lastChangeAt = context.loop().now();
-        left++;
+        remaining++;
         initialCount++;
         countsByKind.merge(new MachineKind(machine), 1, Integer::sum);
     }
@@ -49,7 +49,7 @@
     /** Records an unreadable registry page: its machines may hold any task until their leases expire at {@code until}. */
     void recordUnreadablePages(long until) {
         if (unreadableUntil < 0) {
-            left++;
+            remaining++;
             initialCount++;
         }
         unreadableUntil = Math.max(unreadableUntil, until);
@@ -95,8 +95,8 @@
     }
 
     /** Returns the number of unverified machines; all unreadable pages together count as one. */
-    int left() {
-        return left;
+    int remaining() {
+        return remaining;
     }
 
     /** Records that a machine is fenced, expired or gone; verified machines are ignored. */
@@ -110,9 +110,9 @@
     }
 
     private void decrement() {
-        left--;
+        remaining--;
         lastChangeAt = context.loop().now();
-        if (left == 0) {
+        if (remaining == 0) {
             LOG.info("reconciliation complete, machines={}", initialCount);
         }
         context.events().changed();
