--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -32,7 +32,7 @@
         if (!job.job().ready()) {
             return 0;
         }
-        boolean mayBeHeld = unverifiedMachines.mayHold(job.spec());
+        boolean mayBeHeld = unverifiedMachines.mayHoldTasksOf(job.spec());
         if (isPlaceable(job, false, mayBeHeld)) {
             return job.count(Task.State.PENDING);
         }
@@ -49,7 +49,7 @@
         if (!job.job().ready()) {
             return null;
         }
-        boolean mayBeHeld = unverifiedMachines.mayHold(job.spec());
+        boolean mayBeHeld = unverifiedMachines.mayHoldTasksOf(job.spec());
         boolean untrackedPlaceable = isPlaceable(job, false, mayBeHeld);
         for (int examined = 0; examined < job.taskCount(); examined++) {
             int index = job.nextIndex();
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -82,7 +82,7 @@
      * Returns true if an unverified machine could hold tasks of such a job: leaders start tasks only on machines that the job
      * allows.
      */
-    boolean mayHold(JobSpec spec) {
+    boolean mayHoldTasksOf(JobSpec spec) {
         if (hasUnreadablePages()) {
             return true;
         }
