--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -121,7 +121,7 @@
     }
 
     /** Returns true while machines of unreadable registry pages may hold an unknown number of tasks of any team. */
-    public boolean anyUnreadable() {
+    public boolean hasUnreadablePages() {
         return unverifiedMachines.hasUnreadablePages();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -51,7 +51,7 @@
 
     /** Adds the machines of the fleet that can take tasks now or are expected to be able to soon. */
     void addMachines() {
-        if (fleet.anyUnreadable()) {
+        if (fleet.hasUnreadablePages()) {
             addUnverifiedToAllTeams(Double.MAX_VALUE, Double.MAX_VALUE);
         }
         for (Machine machine : fleet.machines()) {
