--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -30,7 +30,7 @@
         void newcomer();
 
         /** Called when the leases of the machines of unreadable registry pages have expired. */
-        void unreadableOver();
+        void unreadablePagesExpired();
     }
 
     /** Duration of a drain request. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -58,7 +58,7 @@
         checkProcessPause(now);
         lastTickAt = now;
         if (parts.unverifiedMachines.expireUnreadablePages(now)) {
-            context.events().unreadableOver();
+            context.events().unreadablePagesExpired();
         }
         parts.healthMonitor.survey(parts.machines.all(), parts.tasks.anyBlocked(), now);
         tokenRaiser.reset();
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -281,7 +281,7 @@
         }
 
         @Override
-        public void unreadableOver() {
+        public void unreadablePagesExpired() {
             machineRegistry.dropUnreadable();
         }
     }
