--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -27,7 +27,7 @@
         void registry(Machine machine);
 
         /** Called when a heartbeat of an unknown machine arrives. */
-        void newcomer();
+        void unknownMachineReported();
 
         /** Called when the leases of the machines of unreadable registry pages have expired. */
         void unreadablePagesExpired();
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -61,7 +61,7 @@
         Machine machine = machines.addIfAbsent(
                 heartbeat.machine(), heartbeat.addr(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         if (knownMachine == null && machine != null) {
-            context.events().newcomer();
+            context.events().unknownMachineReported();
         }
         if (machine == null) {
             refuse(exchange, "unknown machine type " + heartbeat.type());
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -276,7 +276,7 @@
         }
 
         @Override
-        public void newcomer() {
+        public void unknownMachineReported() {
             observationWindow.newcomer(loop.now());
         }
 
