--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -24,7 +24,7 @@
         void completed(Attempt attempt);
 
         /** Called when the machine's row in the registry must be written again. */
-        void registry(Machine machine);
+        void registryRowChanged(Machine machine);
 
         /** Called when a heartbeat of an unknown machine arrives. */
         void unknownMachineReported();
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -147,7 +147,7 @@
                 && (machine.up() || machine.unverified())
                 && context.leadership().state() == Leadership.State.LEADING) {
             machine.contact().suspend();
-            context.events().registry(machine);
+            context.events().registryRowChanged(machine);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -163,7 +163,7 @@
             machine.contact().heartbeat(now);
         }
         if (machine.contact().reopen()) {
-            context.events().registry(machine);
+            context.events().registryRowChanged(machine);
         }
     }
 
@@ -175,7 +175,7 @@
         machine.busyAt(now);
         machine.lease().extend(now);
         if (!machine.registered()) {
-            context.events().registry(machine);
+            context.events().registryRowChanged(machine);
         }
         if (machine.awaitingBoot()) {
             machine.booted();
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -62,6 +62,6 @@
         if (parked != null) {
             parked.answer(503, Refusal.body("its lease is over"));
         }
-        context.events().registry(machine);
+        context.events().registryRowChanged(machine);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -82,7 +82,7 @@
         }
         Machine machine = new Machine(id, address, machineType, zone, spot, context.now());
         machines.put(id, machine);
-        context.events().registry(machine);
+        context.events().registryRowChanged(machine);
         return machine;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -271,7 +271,7 @@
         }
 
         @Override
-        public void registry(Machine machine) {
+        public void registryRowChanged(Machine machine) {
             machineRegistry.add(machine);
         }
 
