--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -222,7 +222,7 @@
         }
         task.markFinished();
         context.events().completed(attempt);
-        context.events().finished(task);
+        context.events().taskFinished(task);
     }
 
     private static void handleRefusal(Attempt attempt, Task task, long now) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -18,7 +18,7 @@
         void changed();
 
         /** Called when the task has ended with a result, which is to be stored. */
-        void finished(Task task);
+        void taskFinished(Task task);
 
         /** Called when an attempt completes that this leader has observed since its start. */
         void completed(Attempt attempt);
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -259,7 +259,7 @@
         }
 
         @Override
-        public void finished(Task task) {
+        public void taskFinished(Task task) {
             completionStore.finished(task);
         }
 
