--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -221,7 +221,7 @@
             other.detachAndStop();
         }
         task.markFinished();
-        context.events().completed(attempt);
+        context.events().attemptCompleted(attempt);
         context.events().taskFinished(task);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -21,7 +21,7 @@
         void taskFinished(Task task);
 
         /** Called when an attempt completes that this leader has observed since its start. */
-        void completed(Attempt attempt);
+        void attemptCompleted(Attempt attempt);
 
         /** Called when the machine's row in the registry must be written again. */
         void registryRowChanged(Machine machine);
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -264,7 +264,7 @@
         }
 
         @Override
-        public void completed(Attempt attempt) {
+        public void attemptCompleted(Attempt attempt) {
             if (attempt.runningSince() > 0) {
                 forecast.recordCompletedTask(attempt.spec(), (loop.now() - attempt.runningSince()) / 1000.0);
             }
