--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -176,7 +176,7 @@
     }
 
     /** Adds a machine that the cloud lists; returns null if its type is unknown or it has been returned. */
-    public Machine appeared(String id, String address, String type, String zone, boolean spot) {
+    public Machine addListed(String id, String address, String type, String zone, boolean spot) {
         return machines.addIfAbsent(id, address, type, zone, spot);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -109,7 +109,7 @@
             // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
             // this leader term. The scheduler uses it, or returns it as idle.
             LOG.info("unknown machine listed, machine={}", cloudMachine.id());
-            fleet.appeared(
+            fleet.addListed(
                     cloudMachine.id(),
                     cloudMachine.addr(),
                     cloudMachine.type(),
