--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -181,7 +181,7 @@
     }
 
     /** Adds a machine that has just been rented, and measures its boot time. */
-    public void rented(String id, String type, String zone, boolean spot) {
+    public void addRented(String id, String type, String zone, boolean spot) {
         machines.addRented(id, type, zone, spot);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -35,7 +35,7 @@
     @Override
     public void rented(RentRequest request, List<String> machineIds) {
         for (String id : machineIds) {
-            fleet.rented(id, request.type(), request.zone(), request.spot());
+            fleet.addRented(id, request.type(), request.zone(), request.spot());
         }
         if (machineIds.size() < request.count()) {
             noCapacity(request);
