--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -206,7 +206,7 @@
     }
 
     /** Removes a machine that, according to the cloud, is gone with everything on it. */
-    public void gone(String id) {
+    public void removeGone(String id) {
         Machine machine = machines.remove(id);
         if (machine != null) {
             attempts.releaseAll(machine, "the machine is gone");
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -59,7 +59,7 @@
     @Override
     public void returned(List<String> machineIds) {
         for (String id : machineIds) {
-            fleet.gone(id);
+            fleet.removeGone(id);
             machineRegistry.remove(id);
             listedMachines.forget(id);
         }
