--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -186,7 +186,7 @@
     }
 
     /** Records that the cloud lists the machine as failed: it stopped on its own. */
-    public void failed(Machine machine) {
+    public void markListedFailed(Machine machine) {
         machine.markListedFailed();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -116,7 +116,7 @@
                     cloudMachine.zone(),
                     cloudMachine.spot());
         } else if (machine != null && cloudMachine.failed()) {
-            fleet.failed(machine);
+            fleet.markListedFailed(machine);
         }
     }
 
