--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -216,7 +216,7 @@
     }
 
     /** Handles a worker's heartbeat; the caller has checked that this process is the leader. */
-    public void report(Heartbeat heartbeat, Http.Exchange exchange) {
+    public void receiveHeartbeat(Heartbeat heartbeat, Http.Exchange exchange) {
         endpoint.receive(heartbeat, exchange);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -186,7 +186,7 @@
 
     /** Processes a worker's heartbeat. The exchange may be answered after this method has returned. */
     public void handleHeartbeat(Heartbeat heartbeat, Http.Exchange exchange) {
-        fleet.report(heartbeat, exchange);
+        fleet.receiveHeartbeat(heartbeat, exchange);
     }
 
     /** Requests a scheduling cycle after a change that affects scheduling. */
