--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -171,7 +171,7 @@
     }
 
     /** Returns true if the machine with that identifier was returned to the cloud within the last 15 minutes. */
-    public boolean wasReleased(String id) {
+    public boolean wasReturned(String id) {
         return machines.wasReturned(id);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -105,7 +105,7 @@
 
     private void reconcileMachine(CloudMachine cloudMachine) {
         Machine machine = fleet.machine(cloudMachine.id());
-        if (machine == null && !fleet.wasReleased(cloudMachine.id()) && !cloudMachine.failed()) {
+        if (machine == null && !fleet.wasReturned(cloudMachine.id()) && !cloudMachine.failed()) {
             // No known operation rented this machine: a rent may have succeeded late, or the machine existed before
             // this leader term. The scheduler uses it, or returns it as idle.
             LOG.info("unknown machine listed, machine={}", cloudMachine.id());
