--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -191,7 +191,7 @@
     }
 
     /** Records the decision to return the machine to the cloud: no more tasks are started on it. */
-    public void scaleIn(Machine machine, Decision decision) {
+    public void recordReturnDecision(Machine machine, Decision decision) {
         if (decision.reason() == Decision.Reason.SETTLED_BY_RETURN) {
             healthMonitor.recordReturn(machine, context.now());
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -68,7 +68,7 @@
                 String reason = decision.reason().text();
                 LOG.info("machine returned, machine={} reason={}", machine.id(), reason);
                 context.incidents().record(machine.id() + ": " + reason + "; returned to the cloud");
-                fleet.scaleIn(machine, decision);
+                fleet.recordReturnDecision(machine, decision);
                 unusableIds.add(machine.id());
             }
         }
