--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -285,7 +285,7 @@
     }
 
     /** Records that the task's result is stored: its machine may drop the attempt. */
-    public void stored(Task task) {
+    public void resultStored(Task task) {
         if (task.state() == Task.State.FINISHED) {
             task.markDone();
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
@@ -20,7 +20,7 @@
 
     @Override
     public void stored(Task task) {
-        fleet.stored(task);
+        fleet.resultStored(task);
     }
 
     @Override
