--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -126,7 +126,7 @@
     }
 
     /** Returns true if tasks may be started on the machine now. */
-    public boolean usable(Machine machine, long now) {
+    public boolean isUsable(Machine machine, long now) {
         return readiness.isUsable(machine, now);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -60,7 +60,7 @@
     }
 
     private void addMachine(Machine machine) {
-        boolean isUsable = fleet.usable(machine, now);
+        boolean isUsable = fleet.isUsable(machine, now);
         if (fleet.unverified(machine)) {
             // The machine may run unreported tasks of any team, up to its full size, so its size counts against every
             // team's limit.
