--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -131,7 +131,7 @@
     }
 
     /** Returns true if the machine is booting, or is up and only has to be fenced and registered. */
-    public boolean coming(Machine machine, long now) {
+    public boolean isComingUp(Machine machine, long now) {
         return readiness.isComingUp(machine, now);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -73,7 +73,7 @@
         boolean isIdle = addAttempts(machine, node);
         node.idleMs = isIdle ? fleet.idleMs(machine, now) : 0;
         // Machines that can take no tasks, neither now nor soon, are left out.
-        if (isUsable || fleet.coming(machine, now)) {
+        if (isUsable || fleet.isComingUp(machine, now)) {
             nodes.add(node);
         }
     }
