--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -136,7 +136,7 @@
     }
 
     /** Returns true if the machine, and all machines of its kind, take unusually long to boot. */
-    public boolean lateWithAll(Machine machine, long now) {
+    public boolean isLateWithPool(Machine machine, long now) {
         return readiness.isLateWithPool(machine, now);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -150,7 +150,7 @@
         for (Machine machine : fleet.machines()) {
             hasLapsedMachines |= machine.state() == Machine.State.LAPSED;
             // If all machines of a pool boot late, new ones would be late too; other pools are tried first.
-            if (fleet.lateWithAll(machine, now)) {
+            if (fleet.isLateWithPool(machine, now)) {
                 closedUntilByPool.put(Scheduler.pool(machine.kind().name(), machine.zone(), machine.spot()), now + 1);
             }
         }
