--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -141,7 +141,7 @@
     }
 
     /** Returns true if the machine's first heartbeat to this leader is due and many other machines' are too. */
-    public boolean unheard(Machine machine, long now) {
+    public boolean awaitsFirstHeartbeat(Machine machine, long now) {
         return readiness.awaitsFirstHeartbeat(machine, now);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -69,7 +69,7 @@
         CandidateNode node =
                 new CandidateNode(machine.kind(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
         node.draining = fleet.draining(machine, now);
-        node.awaitingHeartbeat = fleet.unheard(machine, now);
+        node.awaitingHeartbeat = fleet.awaitsFirstHeartbeat(machine, now);
         boolean isIdle = addAttempts(machine, node);
         node.idleMs = isIdle ? fleet.idleMs(machine, now) : 0;
         // Machines that can take no tasks, neither now nor soon, are left out.
