--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -248,7 +248,7 @@
     }
 
     /** Returns the number of pending tasks. */
-    public int waiting() {
+    public int pendingTasks() {
         return tasks.pendingCount();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
@@ -31,7 +31,7 @@
         if (deadlineS != null && durationS > deadlineS) {
             context.incidents()
                     .record(job.id() + " (" + job.spec().jobClass() + ") missed its deadline: done after "
-                            + durationS + " s, deadline " + Math.round(deadlineS) + " s; " + fleet.waiting()
+                            + durationS + " s, deadline " + Math.round(deadlineS) + " s; " + fleet.pendingTasks()
                             + " tasks of all jobs are waiting for capacity");
         }
         context.jobTable().end(job, Job.Status.DONE, job.tasks(), revision, true);
