--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -263,7 +263,7 @@
     }
 
     /** Returns the number of pending tasks that an unverified machine may hold. */
-    public int blocked() {
+    public int blockedTasks() {
         return tasks.blockedCount();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/FailoverProgress.java
@@ -76,7 +76,7 @@
                 "machines",
                 fleet.size(),
                 "held",
-                fleet.blocked());
+                fleet.blockedTasks());
     }
 
     /** Adds the state, the counts, and the machines grouped by decision to the node. */
@@ -85,7 +85,7 @@
                 .put("sinceMs", now - startedAt)
                 .put("asked", initiallyUnaccounted)
                 .put("left", fleet.unverified())
-                .put("heldTasks", fleet.blocked());
+                .put("heldTasks", fleet.blockedTasks());
         MachinesByDecision.of(fleet, now).describe(node);
     }
 }
