--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -253,7 +253,7 @@
     }
 
     /** Returns the number of the job's pending tasks that are certainly on no machine. */
-    public int placeable(ActiveJob job) {
+    public int placeableTasks(ActiveJob job) {
         return tasks.placeableCount(job);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -39,7 +39,7 @@
 
     private TaskGroup buildGroup(
             ActiveJob job, int teamIndex, PriorityInheritance inheritance, long now, long timeOfDay) {
-        int placeable = fleet.placeable(job);
+        int placeable = fleet.placeableTasks(job);
         boolean isBroken = job.health() == ActiveJob.Health.BROKEN;
         int startable = isBroken ? Math.min(placeable, allowedProbes(job)) : placeable;
         TaskGroup group = new TaskGroup(
