--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -84,7 +84,7 @@
         switch (parts.healthMonitor.decide(machine, now).action()) {
             case PLACE -> parts.leaseExpiry.expire(machine);
             case ASK -> {
-                parts.probe.ask(machine);
+                parts.probe.probe(machine);
                 if (machine.calls().unanswered() > 0) {
                     parts.endpoint.suspend(machine);
                 }
@@ -96,7 +96,7 @@
         Incarnation incarnation = machine.incarnation();
         if (incarnation.restarted() && (machine.state() != Machine.State.LAPSED || incarnation.outdated() > 0)) {
             tokenRaiser.observeRestarted(machine);
-            parts.probe.ask(machine);
+            parts.probe.probe(machine);
         }
         parts.dispatcher.call(machine);
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -80,7 +80,7 @@
                 || context.now() - machine.contact().heardAt() > RESTART_SUSPECTED_AFTER_MS;
         if (!merged && mayBeRestarted) {
             // The reply distinguishes a late heartbeat from a restarted worker.
-            probe.ask(machine);
+            probe.probe(machine);
         }
         return merged;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -38,11 +38,11 @@
     }
 
     /** Probes the machine, unless a call to it is in flight, a retry is not due yet, or the limit is reached. */
-    void ask(Machine machine) {
-        ask(machine, 0);
+    void probe(Machine machine) {
+        probe(machine, 0);
     }
 
-    private void ask(Machine machine, int retries) {
+    private void probe(Machine machine, int retries) {
         if (closed
                 || machine.address() == null
                 || !machine.calls().probeDue(context.now())
@@ -72,7 +72,7 @@
                 machine.heard(context.now());
                 // A restarted worker must see the next token, which has not been raised yet: a retry would not help.
                 if (!machine.fenced() && !machine.incarnation().restarted()) {
-                    ask(machine, retries + 1);
+                    probe(machine, retries + 1);
                 }
             }
         });
