--- a/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
@@ -56,7 +56,7 @@
 
     /** Returns the longest usual boot time, in milliseconds, from the samples or else from the machine type's boot time. */
     long usualMaxMs(Machine machine, long now) {
-        MachineType type = machine.kind();
+        MachineType type = machine.machineType();
         long declaredMaxMs = Math.round(type.bootS() * 1_500);
         Samples samples = samplesByPool.get(poolOf(machine));
         if (samples == null) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -22,7 +22,7 @@
     }
 
     private final String id;
-    private final MachineType kind;
+    private final MachineType machineType;
     private final String zone;
     private final boolean spot;
     private final long addedAt;
@@ -57,7 +57,7 @@
     Machine(String id, String address, MachineType kind, String zone, boolean spot, long now) {
         this.id = id;
         this.address = address;
-        this.kind = kind;
+        this.machineType = kind;
         this.zone = zone;
         this.spot = spot;
         this.addedAt = now;
@@ -86,8 +86,8 @@
     }
 
     /** Returns the machine type. */
-    public MachineType kind() {
-        return kind;
+    public MachineType machineType() {
+        return machineType;
     }
 
     /** Returns the attempts that are or may be on the machine, by attempt number. */
@@ -114,7 +114,7 @@
     }
 
     String type() {
-        return kind.name();
+        return machineType.name();
     }
 
     /** Returns the address for direct calls, or null if it is unknown. */
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -64,10 +64,10 @@
         if (fleet.unverified(machine)) {
             // The machine may run unreported tasks of any team, up to its full size, so its size counts against every
             // team's limit.
-            addUnverifiedToAllTeams(machine.kind().cpus(), machine.kind().gpus());
+            addUnverifiedToAllTeams(machine.machineType().cpus(), machine.machineType().gpus());
         }
         CandidateNode node =
-                new CandidateNode(machine.kind(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
+                new CandidateNode(machine.machineType(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
         node.draining = fleet.draining(machine, now);
         node.awaitingHeartbeat = fleet.awaitsFirstHeartbeat(machine, now);
         boolean isIdle = addAttempts(machine, node);
@@ -91,7 +91,7 @@
             if (attempt.spec() == null && !hasUnknownJob) {
                 // The job is not known, so neither are its team and its resource needs.
                 hasUnknownJob = true;
-                addUnverifiedToAllTeams(machine.kind().cpus(), machine.kind().gpus());
+                addUnverifiedToAllTeams(machine.machineType().cpus(), machine.machineType().gpus());
             }
         }
         return isIdle;
