--- a/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
@@ -44,7 +44,7 @@
     private final Map<Pool, Samples> samplesByPool = new HashMap<>();
 
     private static Pool poolOf(Machine machine) {
-        return new Pool(machine.type(), machine.zone(), machine.spot());
+        return new Pool(machine.typeName(), machine.zone(), machine.spot());
     }
 
     void booted(Machine machine, long now) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -113,7 +113,7 @@
         attempts.remove(attempt.number());
     }
 
-    String type() {
+    String typeName() {
         return machineType.name();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -158,7 +158,7 @@
         String address = machine.address();
         return ROW_OVERHEAD_BYTES
                 + machine.id().length()
-                + machine.type().length()
+                + machine.typeName().length()
                 + machine.zone().length()
                 + (address == null ? ASSUMED_ADDRESS_BYTES : address.length());
     }
@@ -223,7 +223,7 @@
             }
             return new MachineRow(
                     mayHoldTasks ? machine.address() : null,
-                    machine.type(),
+                    machine.typeName(),
                     machine.zone(),
                     machine.spot(),
                     imageDigits,
--- a/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/UnverifiedMachines.java
@@ -24,7 +24,7 @@
 
     private record MachineKind(String type, String zone, boolean spot) {
         MachineKind(Machine machine) {
-            this(machine.type(), machine.zone(), machine.spot());
+            this(machine.typeName(), machine.zone(), machine.spot());
         }
 
         boolean allowedBy(JobSpec spec) {
