--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -158,7 +158,7 @@
     }
 
     private void mergeContact(Machine machine, boolean isHeartbeat, long now) {
-        machine.heard(now);
+        machine.recordMessage(now);
         if (isHeartbeat) {
             machine.contact().heartbeat(now);
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -268,7 +268,7 @@
     }
 
     /** Records a heartbeat or an answer to a direct call. */
-    void heard(long now) {
+    void recordMessage(long now) {
         contact.heard(now);
         calls.recordContact();
         listedFailed = false;
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineProbe.java
@@ -69,7 +69,7 @@
             Heartbeat heartbeat = heartbeatHandler.parseReply(machine, reply);
             if (heartbeat != null) {
                 heartbeatHandler.mergeReply(machine, heartbeat, session, seq);
-                machine.heard(context.now());
+                machine.recordMessage(context.now());
                 // A restarted worker must see the next token, which has not been raised yet: a retry would not help.
                 if (!machine.fenced() && !machine.incarnation().restarted()) {
                     probe(machine, retries + 1);
