--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -45,7 +45,7 @@
     }
 
     /** Records a heartbeat or an answer to a call. */
-    void heard(long now) {
+    void recordMessage(long now) {
         heardAt = now;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -269,7 +269,7 @@
 
     /** Records a heartbeat or an answer to a direct call. */
     void recordMessage(long now) {
-        contact.heard(now);
+        contact.recordMessage(now);
         calls.recordContact();
         listedFailed = false;
     }
