--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -85,7 +85,7 @@
                 && machine.fenced()
                 && machine.address() != null
                 && machine.up()
-                && now - machine.contact().heardAt() <= context.leaseMs()
+                && now - machine.contact().lastMessageAt() <= context.leaseMs()
                 && context.leadership().mayAct();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -20,7 +20,7 @@
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private long heardAt = NEVER;
+    private long lastMessageAt = NEVER;
     /** Arrival of the last heartbeat that was not outdated; answers to calls do not count, since they renew no lease. */
     private long lastHeartbeatAt = NEVER;
 
@@ -31,13 +31,13 @@
     private Http.Exchange parked;
 
     /** Returns the arrival time of the last heartbeat or answer to a call. */
-    long heardAt() {
-        return heardAt;
+    long lastMessageAt() {
+        return lastMessageAt;
     }
 
     /** Returns true if this leader has received a heartbeat or an answer to a call. */
     boolean everHeard() {
-        return heardAt > NEVER;
+        return lastMessageAt > NEVER;
     }
 
     long lastHeartbeatAt() {
@@ -46,7 +46,7 @@
 
     /** Records a heartbeat or an answer to a call. */
     void recordMessage(long now) {
-        heardAt = now;
+        lastMessageAt = now;
     }
 
     /** Records a heartbeat that was not outdated. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -167,7 +167,7 @@
     private boolean heartbeatOverdue(Machine machine, long now) {
         long heartbeatIntervalMs = context.heartbeatIntervalMs();
         if (machine.contact().everHeard()) {
-            return now - Math.max(machine.contact().heardAt(), listeningSince)
+            return now - Math.max(machine.contact().lastMessageAt(), listeningSince)
                     > heartbeatIntervalMs * (1 + HEARTBEAT_SLACK_SHARE) + HEARTBEAT_TRANSFER_MS;
         }
         boolean fewLeft = unverifiedMachines.remaining()
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -77,7 +77,7 @@
             revertLease(machine, heartbeat.session());
         }
         boolean mayBeRestarted = machine.incarnation().outdated() > 1
-                || context.now() - machine.contact().heardAt() > RESTART_SUSPECTED_AFTER_MS;
+                || context.now() - machine.contact().lastMessageAt() > RESTART_SUSPECTED_AFTER_MS;
         if (!merged && mayBeRestarted) {
             // The reply distinguishes a late heartbeat from a restarted worker.
             probe.probe(machine);
