--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns true if this leader has received a heartbeat or an answer to a call. */
-    boolean everHeard() {
+    boolean hasSentMessage() {
         return lastMessageAt > NEVER;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -147,7 +147,7 @@
                 : machine.registered() || machine.unverified()
                         ? RegistryRow.ADDRESS_STORED
                         : RegistryRow.ADDRESS_UNSTORED;
-        TokenSeen tokenSeen = !machine.contact().everHeard()
+        TokenSeen tokenSeen = !machine.contact().hasSentMessage()
                 ? TokenSeen.NONE
                 : machine.fenced() ? TokenSeen.CURRENT : TokenSeen.OLDER;
         return Reconciliation.machine(new MachineEvidence(
@@ -166,7 +166,7 @@
 
     private boolean heartbeatOverdue(Machine machine, long now) {
         long heartbeatIntervalMs = context.heartbeatIntervalMs();
-        if (machine.contact().everHeard()) {
+        if (machine.contact().hasSentMessage()) {
             return now - Math.max(machine.contact().lastMessageAt(), listeningSince)
                     > heartbeatIntervalMs * (1 + HEARTBEAT_SLACK_SHARE) + HEARTBEAT_TRANSFER_MS;
         }
