--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -50,7 +50,7 @@
     }
 
     /** Records a heartbeat that was not outdated. */
-    void heartbeat(long now) {
+    void recordHeartbeat(long now) {
         lastHeartbeatAt = now;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -160,7 +160,7 @@
     private void mergeContact(Machine machine, boolean isHeartbeat, long now) {
         machine.recordMessage(now);
         if (isHeartbeat) {
-            machine.contact().heartbeat(now);
+            machine.contact().recordHeartbeat(now);
         }
         if (machine.contact().reopen()) {
             context.events().registryRowChanged(machine);
