--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -77,7 +77,7 @@
      *
      * @return true if it was suspended, so its row has to be written
      */
-    boolean reopen() {
+    boolean endSilence() {
         if (state != State.SUSPENDED) {
             return false;
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -162,7 +162,7 @@
         if (isHeartbeat) {
             machine.contact().recordHeartbeat(now);
         }
-        if (machine.contact().reopen()) {
+        if (machine.contact().endSilence()) {
             context.events().registryRowChanged(machine);
         }
     }
