--- a/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Contact.java
@@ -87,7 +87,7 @@
     }
 
     /** Answers the heartbeats again, since no row stores a silence. */
-    void restore() {
+    void markAnswered() {
         to(State.ANSWERED);
         silenceStored = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -153,7 +153,7 @@
 
     /** Answers the machine again, once its registry row is stored without a silence. */
     void resume(Machine machine) {
-        machine.contact().restore();
+        machine.contact().markAnswered();
         Http.Exchange parked = machine.contact().unpark();
         if (parked != null) {
             answer(machine, new Commands(), parked);
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -57,7 +57,7 @@
     private void markUnregistered(Machine machine) {
         // The machine holds nothing now; its row must be written again before it is given tasks.
         machine.markUnregistered();
-        machine.contact().restore();
+        machine.contact().markAnswered();
         Http.Exchange parked = machine.contact().unpark();
         if (parked != null) {
             parked.answer(503, Refusal.body("its lease is over"));
