--- a/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Fleet.java
@@ -201,7 +201,7 @@
     /** Records that the return of the machine to the cloud has been requested: no more tasks are started on it. */
     public void markLeaving(Machine machine) {
         if (machine.state() != Machine.State.LEAVING && machine.state() != Machine.State.GONE) {
-            machine.to(Machine.State.LEAVING);
+            machine.transitionTo(Machine.State.LEAVING);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -171,7 +171,7 @@
         if (machine.state() != Machine.State.BOOTING && machine.state() != Machine.State.LAPSED) {
             return false;
         }
-        machine.to(Machine.State.UP);
+        machine.transitionTo(Machine.State.UP);
         machine.busyAt(now);
         machine.lease().extend(now);
         if (!machine.registered()) {
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -43,7 +43,7 @@
         context.incidents()
                 .record(machine.id() + " is silent and its lease has expired"
                         + (liveAttempts > 0 ? "; " + liveAttempts + " tasks are restarted elsewhere" : ""));
-        machine.to(Machine.State.LAPSED);
+        machine.transitionTo(Machine.State.LAPSED);
         if (!machine.contact().hasSentMessage()) {
             // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
             // incarnation; only a higher token distinguishes the two.
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -147,7 +147,7 @@
     }
 
     /** Changes the state; all state changes go through this method. */
-    void to(State next) {
+    void transitionTo(State next) {
         if ((state == State.GONE || state == State.LEAVING) && next != State.GONE) {
             throw new IllegalStateException(
                     "machine " + id + ": transition " + state + " -> " + next + " is not allowed");
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -100,7 +100,7 @@
         returnedAtById.put(id, context.now());
         Machine machine = machines.remove(id);
         if (machine != null) {
-            machine.to(Machine.State.GONE);
+            machine.transitionTo(Machine.State.GONE);
         }
         return machine;
     }
