--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandComposer.java
@@ -27,7 +27,7 @@
                 addStopIfDue(attempt, false, now, commands);
             }
         }
-        if (machine.up()) {
+        if (machine.isUp()) {
             for (Attempt attempt : machine.attempts().values()) {
                 if (attempt.startDueInAnswer(now)) {
                     addStart(attempt, commands);
@@ -50,7 +50,7 @@
                 addStopIfDue(attempt, true, now, commands);
             }
         }
-        if (machine.up()) {
+        if (machine.isUp()) {
             for (Attempt attempt : machine.attempts().values()) {
                 if (attempt.startDueInCall()) {
                     addStart(attempt, commands);
--- a/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/CommandDispatcher.java
@@ -84,7 +84,7 @@
                 && machine.calls().commandsDue(now)
                 && machine.fenced()
                 && machine.address() != null
-                && machine.up()
+                && machine.isUp()
                 && now - machine.contact().lastMessageAt() <= context.leaseMs()
                 && context.leadership().mayAct();
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -144,7 +144,7 @@
     void suspend(Machine machine) {
         if (machine.contact().state() != Contact.State.SUSPENDED
                 && machine.registered()
-                && (machine.up() || machine.unverified())
+                && (machine.isUp() || machine.unverified())
                 && context.leadership().state() == Leadership.State.LEADING) {
             machine.contact().suspend();
             context.events().registryRowChanged(machine);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -155,13 +155,13 @@
         state = next;
     }
 
-    boolean up() {
+    boolean isUp() {
         return state == State.UP;
     }
 
     /** Returns true if heartbeats are expected: the machine is up, or it sent heartbeats to an earlier leader. */
     boolean heartbeatsExpected() {
-        return up() || (unverified && state == State.BOOTING);
+        return isUp() || (unverified && state == State.BOOTING);
     }
 
     boolean registered() {
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
@@ -28,7 +28,7 @@
      * calls loses its tasks when its lease expires, because an answered call does not renew the lease.
      */
     boolean isUsable(Machine machine, long now) {
-        return machine.up()
+        return machine.isUp()
                 && machine.fenced()
                 && machine.registered()
                 && machine.noticeS() == null
--- a/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/TokenRaiser.java
@@ -43,7 +43,7 @@
 
     /** Looks for starts and kept attempts on the machine that need a higher token. */
     void observe(Machine machine, long now) {
-        withdrawnStartsInFlight |= machine.up() && withdrawnStartMayArrive(machine, now);
+        withdrawnStartsInFlight |= machine.isUp() && withdrawnStartMayArrive(machine, now);
         mostKeptAttempts = Math.max(mostKeptAttempts, keptAttempts(machine));
     }
 
