--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -129,7 +129,7 @@
                         "silentMs",
                         silentMs,
                         "held",
-                        machine.live());
+                        machine.liveAttempts());
     }
 
     /** Returns the time on the loop's clock after which the machine's lease has expired for certain. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -65,7 +65,7 @@
             context.incidents()
                     .record("the worker of " + machine.id() + " was restarted; the tasks that it ran before are lost");
             context.eventLog()
-                    .emit("begun_anew", "machine", machine.id(), "zone", machine.zone(), "held", machine.live());
+                    .emit("begun_anew", "machine", machine.id(), "zone", machine.zone(), "held", machine.liveAttempts());
             machine.incarnation().restart(context.leadership().token());
             machine.unfence();
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -36,7 +36,7 @@
     }
 
     private void markLapsed(Machine machine) {
-        int liveAttempts = machine.live();
+        int liveAttempts = machine.liveAttempts();
         LOG.info("lease expired, machine={}", machine.id());
         context.metrics().lapses.increment();
         context.eventLog().emit("lapsed", "machine", machine.id(), "zone", machine.zone(), "held", liveAttempts);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -250,7 +250,7 @@
     }
 
     /** Returns the number of attempts that occupy resources on the machine. */
-    int live() {
+    int liveAttempts() {
         int count = 0;
         for (Attempt attempt : attempts.values()) {
             count += attempt.isLive() ? 1 : 0;
