--- a/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HealthMonitor.java
@@ -159,7 +159,7 @@
                 heartbeatOverdue(machine, now),
                 machine.calls().unanswered() >= UNANSWERED_CALLS_LIMIT,
                 bootOverdue(machine, now),
-                machine.failures().isFaulty() && !machine.hasLive() && machine.state() == Machine.State.UP,
+                machine.failures().isFaulty() && !machine.hasLiveAttempts() && machine.state() == Machine.State.UP,
                 partitionLikely(machine.zone()),
                 returnSaves(machine, now)));
     }
@@ -205,6 +205,6 @@
         // A return that cannot be stored now would be carried out later, when the machine may have recovered.
         return leaseExpiresAt(machine) - now > MIN_RETURN_GAIN_MS
                 && context.leadership().state() == Leadership.State.LEADING
-                && (machine.hasLive() || (machine.unverified() && earlierTasksBlocked));
+                && (machine.hasLiveAttempts() || (machine.unverified() && earlierTasksBlocked));
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -106,7 +106,7 @@
         changed |= mergeEntries(machine, heartbeat, now);
         changed |= mergeAbsent(machine, heartbeat, isHeartbeat);
         changed |= fence(machine, heartbeat, now);
-        if (machine.hasLive()) {
+        if (machine.hasLiveAttempts()) {
             machine.busyAt(now);
         }
         // Hundreds of heartbeats arrive each second and most change nothing: they must not cost a pass over the fleet.
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -258,7 +258,7 @@
         return count;
     }
 
-    boolean hasLive() {
+    boolean hasLiveAttempts() {
         for (Attempt attempt : attempts.values()) {
             if (attempt.isLive()) {
                 return true;
