--- a/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/AttemptTracker.java
@@ -48,7 +48,7 @@
         long number = (context.token() << SEQUENCE_BITS) + ++placedCount;
         Attempt attempt = new Attempt(machine, task, number, context.now());
         machine.add(attempt);
-        machine.used(attempt.spec().image());
+        machine.markImageUsed(attempt.spec().image());
         task.markOnMachine(attempt);
         LOG.debug("task placed, attempt={} machine={}", attempt.name(), machine.id());
     }
@@ -94,7 +94,7 @@
             default -> attempt.setTask(reported == ReportedAttempt.ENDED ? task : null);
         }
         if (entry.status() != Heartbeat.TaskStatus.FETCHING && spec != null) {
-            machine.used(spec.image());
+            machine.markImageUsed(spec.image());
         }
         return attempt;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -281,7 +281,7 @@
     }
 
     /** Makes an image the most recently used one; null is ignored. */
-    void used(String image) {
+    void markImageUsed(String image) {
         if (image != null) {
             images.remove(image);
             images.add(image);
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -107,7 +107,7 @@
                 id, row.address(), row.type(), row.zone(), row.spot(), row.silentSince(seenAt, previousToken));
         pages.put(id, rowBytes(machine), otherPage == null ? page : otherPage);
         for (char digit : row.images().toCharArray()) {
-            machine.used(Json.text(imageNames, Character.digit(digit, MAX_IMAGES)));
+            machine.markImageUsed(Json.text(imageNames, Character.digit(digit, MAX_IMAGES)));
         }
     }
 
