--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -101,7 +101,7 @@
         changed |= mergeSession(machine, heartbeat, now);
         incarnation.accept(heartbeat);
         mergeContact(machine, isHeartbeat, now);
-        machine.describe(heartbeat);
+        machine.updateFrom(heartbeat);
         changed |= markUp(machine, now);
         changed |= mergeEntries(machine, heartbeat, now);
         changed |= mergeAbsent(machine, heartbeat, isHeartbeat);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -275,7 +275,7 @@
     }
 
     /** Takes over the address and the reclaim notice from a heartbeat. */
-    void describe(Heartbeat heartbeat) {
+    void updateFrom(Heartbeat heartbeat) {
         address = heartbeat.addr();
         noticeS = heartbeat.noticeS();
     }
