--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -107,7 +107,7 @@
         changed |= mergeAbsent(machine, heartbeat, isHeartbeat);
         changed |= fence(machine, heartbeat, now);
         if (machine.hasLiveAttempts()) {
-            machine.busyAt(now);
+            machine.resetIdleTime(now);
         }
         // Hundreds of heartbeats arrive each second and most change nothing: they must not cost a pass over the fleet.
         if (changed) {
@@ -172,7 +172,7 @@
             return false;
         }
         machine.transitionTo(Machine.State.UP);
-        machine.busyAt(now);
+        machine.resetIdleTime(now);
         machine.lease().extend(now);
         if (!machine.registered()) {
             context.events().registryRowChanged(machine);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -232,7 +232,7 @@
     }
 
     /** Restarts the idle time: a task occupies resources on the machine, or the machine has just come up. */
-    void busyAt(long now) {
+    void resetIdleTime(long now) {
         idleSince = now;
     }
 
