--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -178,7 +178,7 @@
             context.events().registryRowChanged(machine);
         }
         if (machine.awaitingBoot()) {
-            machine.booted();
+            machine.endBootMeasurement();
             boots.booted(machine, now);
         }
         return true;
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -207,7 +207,7 @@
         awaitingBoot = true;
     }
 
-    void booted() {
+    void endBootMeasurement() {
         awaitingBoot = false;
     }
 
