--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -203,7 +203,7 @@
     }
 
     /** Starts the measurement of the boot time, which ends with the first heartbeat. */
-    void awaitBoot() {
+    void startBootMeasurement() {
         awaitingBoot = true;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -91,7 +91,7 @@
         boolean alreadyKnown = machines.containsKey(id);
         Machine machine = addIfAbsent(id, null, type, zone, spot);
         if (machine != null && !alreadyKnown) {
-            machine.awaitBoot();
+            machine.startBootMeasurement();
         }
     }
 
