--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -177,7 +177,7 @@
         if (!machine.registered()) {
             context.events().registryRowChanged(machine);
         }
-        if (machine.awaitingBoot()) {
+        if (machine.measuringBoot()) {
             machine.endBootMeasurement();
             boots.booted(machine, now);
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Machine.java
@@ -45,7 +45,7 @@
     /** In the stored registry when this leader was elected, and neither fenced nor expired nor gone since. */
     private boolean unverified;
     /** Rented by this leader and no heartbeat received yet; its boot time is being measured. */
-    private boolean awaitingBoot;
+    private boolean measuringBoot;
     /** The cloud lists it as failed: it stopped on its own. */
     private boolean listedFailed;
     /** Announced time until the cloud reclaims the machine, in seconds; null without a notice. */
@@ -198,17 +198,17 @@
         unverified = mayHoldTasks;
     }
 
-    boolean awaitingBoot() {
-        return awaitingBoot;
+    boolean measuringBoot() {
+        return measuringBoot;
     }
 
     /** Starts the measurement of the boot time, which ends with the first heartbeat. */
     void startBootMeasurement() {
-        awaitingBoot = true;
+        measuringBoot = true;
     }
 
     void endBootMeasurement() {
-        awaitingBoot = false;
+        measuringBoot = false;
     }
 
     boolean listedFailed() {
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineReadiness.java
@@ -51,7 +51,7 @@
 
     /** Returns true if the machine, and all machines of its kind, take unusually long to boot. */
     boolean isLateWithPool(Machine machine, long now) {
-        return machine.state() == Machine.State.BOOTING && machine.awaitingBoot() && bootTimes.allLate(machine, now);
+        return machine.state() == Machine.State.BOOTING && machine.measuringBoot() && bootTimes.allLate(machine, now);
     }
 
     /**
