--- a/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/BootTimes.java
@@ -47,7 +47,7 @@
         return new Pool(machine.typeName(), machine.zone(), machine.spot());
     }
 
-    void booted(Machine machine, long now) {
+    void recordBoot(Machine machine, long now) {
         Samples samples = samplesByPool.computeIfAbsent(poolOf(machine), p -> new Samples());
         samples.rotate(now);
         samples.current.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, now - machine.addedAt())));
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -179,7 +179,7 @@
         }
         if (machine.measuringBoot()) {
             machine.endBootMeasurement();
-            boots.booted(machine, now);
+            boots.recordBoot(machine, now);
         }
         return true;
     }
