--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -91,7 +91,7 @@
         // The highest token that a worker has seen only grows within an incarnation. A heartbeat with a lower token was
         // sent earlier, or by an earlier incarnation with higher sequence numbers. If a network partition delayed it,
         // merging it would release the attempts that run now.
-        if (!incarnation.precedes(heartbeat) || heartbeat.token() < incarnation.token()) {
+        if (!incarnation.isOlderThan(heartbeat) || heartbeat.token() < incarnation.token()) {
             incarnation.noteOutdated();
             return false;
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns true if the heartbeat is newer than the newest known one. */
-    boolean precedes(Heartbeat heartbeat) {
+    boolean isOlderThan(Heartbeat heartbeat) {
         return newer(heartbeat, session, seq);
     }
 
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -26,12 +26,12 @@
     @Test
     @DisplayName("a heartbeat is newer by its session, and within a session by its sequence number")
     void heartbeatIsNewerBySessionThenBySequenceNumber() {
-        assertTrue(incarnation.precedes(heartbeat(0, 0, 0)), "no heartbeat is known yet");
+        assertTrue(incarnation.isOlderThan(heartbeat(0, 0, 0)), "no heartbeat is known yet");
         accept(heartbeat(2, 10, 5));
-        assertTrue(incarnation.precedes(heartbeat(2, 11, 5)));
-        assertTrue(incarnation.precedes(heartbeat(3, 1, 5)));
-        assertFalse(incarnation.precedes(heartbeat(2, 10, 5)));
-        assertFalse(incarnation.precedes(heartbeat(1, 99, 5)));
+        assertTrue(incarnation.isOlderThan(heartbeat(2, 11, 5)));
+        assertTrue(incarnation.isOlderThan(heartbeat(3, 1, 5)));
+        assertFalse(incarnation.isOlderThan(heartbeat(2, 10, 5)));
+        assertFalse(incarnation.isOlderThan(heartbeat(1, 99, 5)));
     }
 
     @Test
@@ -39,8 +39,8 @@
     void heartbeatsOfEndedSessionAreIgnored() {
         accept(heartbeat(2, 10, 5));
         incarnation.endSession();
-        assertFalse(incarnation.precedes(heartbeat(2, 99, 5)));
-        assertTrue(incarnation.precedes(heartbeat(3, 0, 5)));
+        assertFalse(incarnation.isOlderThan(heartbeat(2, 99, 5)));
+        assertTrue(incarnation.isOlderThan(heartbeat(3, 0, 5)));
     }
 
     @Test
@@ -56,7 +56,7 @@
         assertFalse(incarnation.restarted());
         assertEquals(-1, incarnation.session());
         assertEquals(0, incarnation.token());
-        assertTrue(incarnation.precedes(heartbeat(1, 1, 6)));
+        assertTrue(incarnation.isOlderThan(heartbeat(1, 1, 6)));
         assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
     }
 
