--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -81,7 +81,7 @@
     boolean merge(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
         Incarnation incarnation = machine.incarnation();
         // A late heartbeat of an earlier incarnation lacks the tasks of the present one, which would count as gone.
-        if (incarnation.follows(heartbeat)) {
+        if (incarnation.isLaterThan(heartbeat)) {
             incarnation.noteOutdated();
             return false;
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -67,7 +67,7 @@
     }
 
     /** Returns true if an earlier incarnation sent the heartbeat. */
-    boolean follows(Heartbeat heartbeat) {
+    boolean isLaterThan(Heartbeat heartbeat) {
         return tokenFloor > 0 && heartbeat.token() <= tokenFloor;
     }
 
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -48,16 +48,16 @@
     void afterRestartOnlyHigherTokenIdentifiesNewIncarnation() {
         accept(heartbeat(2, 10, 5));
         incarnation.restart(5);
-        assertTrue(incarnation.follows(heartbeat(9, 99, 5)));
+        assertTrue(incarnation.isLaterThan(heartbeat(9, 99, 5)));
         assertFalse(incarnation.isDistinguishedBy(5));
         assertTrue(incarnation.isDistinguishedBy(6));
-        assertFalse(incarnation.follows(heartbeat(1, 1, 6)));
+        assertFalse(incarnation.isLaterThan(heartbeat(1, 1, 6)));
         incarnation.begin();
         assertFalse(incarnation.restarted());
         assertEquals(-1, incarnation.session());
         assertEquals(0, incarnation.token());
         assertTrue(incarnation.isOlderThan(heartbeat(1, 1, 6)));
-        assertTrue(incarnation.follows(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
+        assertTrue(incarnation.isLaterThan(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
     }
 
     @Test
