--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -53,7 +53,7 @@
         // Sequence numbers only grow within an incarnation: a reply with an older one comes from a restarted worker,
         // and its earlier tasks are gone. Without this check, the machine and these tasks would count as alive
         // indefinitely, since all heartbeats of the new process look outdated.
-        if (!Incarnation.newer(heartbeat, session, seq)
+        if (!Incarnation.isNewer(heartbeat, session, seq)
                 && !machine.incarnation().restarted()) {
             LOG.info(
                     "worker restarted, machine={} session={} seq={} knownSession={} knownSeq={}",
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -58,11 +58,11 @@
 
     /** Returns true if the heartbeat is newer than the newest known one. */
     boolean isOlderThan(Heartbeat heartbeat) {
-        return newer(heartbeat, session, seq);
+        return isNewer(heartbeat, session, seq);
     }
 
     /** Returns true if the heartbeat is newer than the given session and sequence number. */
-    static boolean newer(Heartbeat heartbeat, long session, long seq) {
+    static boolean isNewer(Heartbeat heartbeat, long session, long seq) {
         return heartbeat.session() > session || (heartbeat.session() == session && heartbeat.seq() > seq);
     }
 
