--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -118,7 +118,7 @@
 
     /** Begins the incarnation of a restarted worker: commands sent to the earlier one can no longer reach it. */
     private void beginIncarnation(Machine machine) {
-        machine.incarnation().begin();
+        machine.incarnation().completeRestart();
         attempts.releaseAll(machine, "the worker was restarted");
         machine.images().clear();
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -88,7 +88,7 @@
     }
 
     /** Starts the new incarnation: the restarted worker has shown a token above the floor. */
-    void begin() {
+    void completeRestart() {
         to(State.KNOWN);
         session = -1;
         seq = -1;
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -52,7 +52,7 @@
         assertFalse(incarnation.isDistinguishedBy(5));
         assertTrue(incarnation.isDistinguishedBy(6));
         assertFalse(incarnation.isLaterThan(heartbeat(1, 1, 6)));
-        incarnation.begin();
+        incarnation.completeRestart();
         assertFalse(incarnation.restarted());
         assertEquals(-1, incarnation.session());
         assertEquals(0, incarnation.token());
@@ -63,7 +63,7 @@
     @Test
     @DisplayName("a restart begins once and ends once")
     void restartBeginsAndEndsOnce() {
-        assertThrows(IllegalStateException.class, incarnation::begin);
+        assertThrows(IllegalStateException.class, incarnation::completeRestart);
         incarnation.restart(1);
         assertThrows(IllegalStateException.class, () -> incarnation.restart(2));
     }
