--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -66,7 +66,7 @@
                     .record("the worker of " + machine.id() + " was restarted; the tasks that it ran before are lost");
             context.eventLog()
                     .emit("begun_anew", "machine", machine.id(), "zone", machine.zone(), "held", machine.liveAttempts());
-            machine.incarnation().restart(context.leadership().token());
+            machine.incarnation().markRestarted(context.leadership().token());
             machine.unfence();
         }
         return merge(machine, heartbeat, false);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -82,7 +82,7 @@
     }
 
     /** Records a restart of the worker; from now on, only heartbeats with a token above {@code leaderToken} count. */
-    void restart(long leaderToken) {
+    void markRestarted(long leaderToken) {
         to(State.RESTARTED);
         tokenFloor = leaderToken;
     }
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -47,7 +47,7 @@
         if (!machine.contact().hasSentMessage()) {
             // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
             // incarnation; only a higher token distinguishes the two.
-            machine.incarnation().restart(context.leadership().token());
+            machine.incarnation().markRestarted(context.leadership().token());
             machine.incarnation().clearOutdated();
         }
         // Heartbeats of the old session that still arrive were sent before the lease expired.
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -47,7 +47,7 @@
     @DisplayName("after a restart, only a higher token distinguishes the worker from its earlier incarnation")
     void afterRestartOnlyHigherTokenIdentifiesNewIncarnation() {
         accept(heartbeat(2, 10, 5));
-        incarnation.restart(5);
+        incarnation.markRestarted(5);
         assertTrue(incarnation.isLaterThan(heartbeat(9, 99, 5)));
         assertFalse(incarnation.isDistinguishedBy(5));
         assertTrue(incarnation.isDistinguishedBy(6));
@@ -64,7 +64,7 @@
     @DisplayName("a restart begins once and ends once")
     void restartBeginsAndEndsOnce() {
         assertThrows(IllegalStateException.class, incarnation::completeRestart);
-        incarnation.restart(1);
-        assertThrows(IllegalStateException.class, () -> incarnation.restart(2));
+        incarnation.markRestarted(1);
+        assertThrows(IllegalStateException.class, () -> incarnation.markRestarted(2));
     }
 }
