--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -76,7 +76,7 @@
         if (merged && machine.unverified() && !machine.fenced()) {
             revertLease(machine, heartbeat.session());
         }
-        boolean mayBeRestarted = machine.incarnation().outdated() > 1
+        boolean mayBeRestarted = machine.incarnation().consecutiveOutdated() > 1
                 || context.now() - machine.contact().lastMessageAt() > RESTART_SUSPECTED_AFTER_MS;
         if (!merged && mayBeRestarted) {
             // The reply distinguishes a late heartbeat from a restarted worker.
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -22,7 +22,7 @@
     /** Heartbeats with this token or a lower one come from an earlier incarnation; 0 if there is no earlier one. */
     private long tokenFloor;
     /** Number of consecutive heartbeats that were older than the newest known one. */
-    private int outdated;
+    private int consecutiveOutdated;
 
     private long session = -1;
     private long seq = -1;
@@ -47,8 +47,8 @@
         return token;
     }
 
-    int outdated() {
-        return outdated;
+    int consecutiveOutdated() {
+        return consecutiveOutdated;
     }
 
     /** Returns true if a heartbeat with this token can be distinguished from those of earlier incarnations. */
@@ -73,12 +73,12 @@
 
     /** Counts a heartbeat that was older than the newest known one. */
     void noteOutdated() {
-        outdated++;
+        consecutiveOutdated++;
     }
 
     /** Resets the count of consecutive outdated heartbeats. */
     void clearOutdated() {
-        outdated = 0;
+        consecutiveOutdated = 0;
     }
 
     /** Records a restart of the worker; from now on, only heartbeats with a token above {@code leaderToken} count. */
