--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -82,7 +82,7 @@
         Incarnation incarnation = machine.incarnation();
         // A late heartbeat of an earlier incarnation lacks the tasks of the present one, which would count as gone.
         if (incarnation.isLaterThan(heartbeat)) {
-            incarnation.noteOutdated();
+            incarnation.countOutdated();
             return false;
         }
         if (incarnation.restarted()) {
@@ -92,7 +92,7 @@
         // sent earlier, or by an earlier incarnation with higher sequence numbers. If a network partition delayed it,
         // merging it would release the attempts that run now.
         if (!incarnation.isOlderThan(heartbeat) || heartbeat.token() < incarnation.token()) {
-            incarnation.noteOutdated();
+            incarnation.countOutdated();
             return false;
         }
         incarnation.clearOutdated();
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -72,7 +72,7 @@
     }
 
     /** Counts a heartbeat that was older than the newest known one. */
-    void noteOutdated() {
+    void countOutdated() {
         consecutiveOutdated++;
     }
 
