--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -95,7 +95,7 @@
             incarnation.countOutdated();
             return false;
         }
-        incarnation.clearOutdated();
+        incarnation.resetOutdated();
         long now = context.now();
         boolean changed = !Objects.equals(machine.noticeS(), heartbeat.noticeS());
         changed |= mergeSession(machine, heartbeat, now);
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -77,7 +77,7 @@
     }
 
     /** Resets the count of consecutive outdated heartbeats. */
-    void clearOutdated() {
+    void resetOutdated() {
         consecutiveOutdated = 0;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/LeaseExpiry.java
@@ -48,7 +48,7 @@
             // The expired session is unknown. Its heartbeats may still arrive after the first heartbeat of a new
             // incarnation; only a higher token distinguishes the two.
             machine.incarnation().markRestarted(context.leadership().token());
-            machine.incarnation().clearOutdated();
+            machine.incarnation().resetOutdated();
         }
         // Heartbeats of the old session that still arrive were sent before the lease expired.
         machine.incarnation().endSession();
