--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -96,7 +96,7 @@
         if (context.now() > healthMonitor.leaseExpiresAt(machine)) {
             leaseExpiry.expire(machine);
             // Disregards the worker until it shows this leader's token.
-            machine.incarnation().disregardUntil(context.token(), session);
+            machine.incarnation().ignoreBelowToken(context.token(), session);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/Incarnation.java
@@ -96,7 +96,7 @@
     }
 
     /** Ignores heartbeats of {@code session} with a token below {@code leaderToken}, past and future ones. */
-    void disregardUntil(long leaderToken, long session) {
+    void ignoreBelowToken(long leaderToken, long session) {
         tokenFloor = Math.max(tokenFloor, leaderToken - 1);
         this.session = session;
     }
