--- a/controller/src/main/java/org/landingridge/controller/fleet/WorkerLease.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/WorkerLease.java
@@ -19,7 +19,7 @@
     }
 
     /** Records that an earlier leader may have answered heartbeats until {@code latest}. */
-    void inherit(long latest) {
+    void setEarlierLeaderAnswer(long latest) {
         answeredAt = latest;
         earlierLeaderAnsweredAt = latest;
     }
