--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -116,8 +116,8 @@
     private CandidateNode.Running describeAttempt(Attempt attempt, JobSpec spec, int teamIndex) {
         CandidateNode.Running running =
                 new CandidateNode.Running(spec, teamIndex, attempt, attempt.knownSince(), attempt.stopRequested());
-        running.ranS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
-        running.leftS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.ranS);
+        running.elapsedS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
+        running.leftS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.elapsedS);
         return running;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -29,7 +29,7 @@
         /** True if the task is stopped without saving because other work cannot wait; it redoes work since its last checkpoint. */
         public boolean withoutSave;
         /** How long the task has run, in seconds; 0 until it runs. */
-        public double ranS;
+        public double elapsedS;
         /** Expected remaining run time, in seconds. */
         public double leftS;
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -248,7 +248,7 @@
                 task.stopping = true;
                 task.withoutSave = group.startWithinS > 0
                         && task.spec.saveS() > group.startWithinS * MAX_SAVE_SHARE
-                        && Math.min(task.ranS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
+                        && Math.min(task.elapsedS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
                 input.teams().get(task.team).stopping(task.spec);
                 candidate.node().addRoomAfterStops(task.spec);
                 plan.stops.add(task);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -193,6 +193,6 @@
                 && task.spec.zone() == null
                 && !task.spec.oneZone()
                 && !task.spec.spread()
-                && task.ranS >= MIN_RUN_BEFORE_MOVE_S;
+                && task.elapsedS >= MIN_RUN_BEFORE_MOVE_S;
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -355,7 +355,7 @@
                 canSave ? 3 : 0,
                 null);
         CandidateNode.Running task = new CandidateNode.Running(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
-        task.ranS = ranS;
+        task.elapsedS = ranS;
         task.leftS = leftS;
         return task;
     }
