--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -117,7 +117,7 @@
         CandidateNode.Running running =
                 new CandidateNode.Running(spec, teamIndex, attempt, attempt.knownSince(), attempt.stopRequested());
         running.elapsedS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
-        running.leftS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.elapsedS);
+        running.remainingS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.elapsedS);
         return running;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -31,7 +31,7 @@
         /** How long the task has run, in seconds; 0 until it runs. */
         public double elapsedS;
         /** Expected remaining run time, in seconds. */
-        public double leftS;
+        public double remainingS;
 
         /** Creates a task that occupies room; see the fields. */
         public Running(JobSpec spec, int team, Object attempt, long startedAtMs, boolean stopping) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -163,7 +163,7 @@
         for (CandidateNode.Running task : node.running) {
             if (!isMovable(task)) {
                 occupiedS =
-                        Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.leftS);
+                        Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.remainingS);
             }
         }
         List<CandidateNode.Running> tasksToMove = new ArrayList<>();
@@ -173,9 +173,9 @@
                 continue;
             }
             double costS = moveCostS(task, node);
-            if (task.leftS > Math.max(occupiedS, costS)) {
+            if (task.remainingS > Math.max(occupiedS, costS)) {
                 tasksToMove.add(task);
-                gainS = Math.max(gainS, task.leftS - costS);
+                gainS = Math.max(gainS, task.remainingS - costS);
             }
         }
         return gainS > occupiedS + MIN_GAIN_S ? tasksToMove : List.of();
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -356,7 +356,7 @@
                 null);
         CandidateNode.Running task = new CandidateNode.Running(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
         task.elapsedS = ranS;
-        task.leftS = leftS;
+        task.remainingS = leftS;
         return task;
     }
 
