--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -53,7 +53,7 @@
 
     private void stop(CandidateNode.Running running) {
         Attempt attempt = (Attempt) running.attempt;
-        boolean canSave = attempt.spec().checkpointS() > 0 && !running.withoutSave;
+        boolean canSave = attempt.spec().checkpointS() > 0 && !running.skipSave;
         fleet.stop(attempt, canSave ? attempt.spec().saveS() : 0);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -27,7 +27,7 @@
         /** True if the task has already been commanded to stop, so its room becomes free without preemption. */
         public boolean stopping;
         /** True if the task is stopped without saving because other work cannot wait; it redoes work since its last checkpoint. */
-        public boolean withoutSave;
+        public boolean skipSave;
         /** How long the task has run, in seconds; 0 until it runs. */
         public double elapsedS;
         /** Expected remaining run time, in seconds. */
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -246,7 +246,7 @@
         private void preempt(Candidate candidate) {
             for (CandidateNode.Running task : candidate.preemptions()) {
                 task.stopping = true;
-                task.withoutSave = group.startWithinS > 0
+                task.skipSave = group.startWithinS > 0
                         && task.spec.saveS() > group.startWithinS * MAX_SAVE_SHARE
                         && Math.min(task.elapsedS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
                 input.teams().get(task.team).stopping(task.spec);
