--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -19,7 +19,7 @@
         /** Specification of the task's job; null if unknown. */
         public final JobSpec spec;
         /** Index of the job's team in the cycle's list of teams. */
-        public final int team;
+        public final int teamIndex;
         /** The attempt, opaque to the scheduler. */
         public final Object attempt;
         /** When the task was sent to the machine, in milliseconds of the event loop's clock. */
@@ -36,7 +36,7 @@
         /** Creates a task that occupies room; see the fields. */
         public Running(JobSpec spec, int team, Object attempt, long startedAtMs, boolean stopping) {
             this.spec = spec;
-            this.team = team;
+            this.teamIndex = team;
             this.attempt = attempt;
             this.startedAtMs = startedAtMs;
             this.stopping = stopping;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -60,7 +60,7 @@
         List<CandidateNode.Running> tasks = new ArrayList<>();
         for (CandidateNode node : nodes) {
             for (CandidateNode.Running task : node.running) {
-                if (task.team == teamIndex && task.spec != null && !task.stopping) {
+                if (task.teamIndex == teamIndex && task.spec != null && !task.stopping) {
                     tasks.add(task);
                 }
             }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -115,14 +115,14 @@
      */
     private boolean mayStop(TaskGroup group, boolean withinGuarantee, CandidateNode.Running task) {
         int priorityOrder = task.spec.priority().compareTo(group.spec.priority());
-        if (priorityOrder < 0 && task.team == group.team) {
+        if (priorityOrder < 0 && task.teamIndex == group.team) {
             return true;
         }
-        boolean teamCanSpare = input.teams().get(task.team).canSpare(task.spec);
+        boolean teamCanSpare = input.teams().get(task.teamIndex).canSpare(task.spec);
         if (priorityOrder < 0) {
             return withinGuarantee || teamCanSpare;
         }
-        return priorityOrder == 0 && withinGuarantee && teamCanSpare && task.team != group.team && !task.spec.service();
+        return priorityOrder == 0 && withinGuarantee && teamCanSpare && task.teamIndex != group.team && !task.spec.service();
     }
 
     /**
@@ -213,13 +213,13 @@
                     continue;
                 }
                 tasksToStop.add(task);
-                input.teams().get(task.team).stopping(task.spec);
+                input.teams().get(task.teamIndex).stopping(task.spec);
                 freeCpus += task.spec.cpus();
                 freeGpus += task.spec.gpus();
                 freeMemoryGb += task.spec.memoryGb();
                 cost += task.spec.cpus() * (input.now() - task.startedAtMs + STOP_COST_MS);
             }
-            tasksToStop.forEach(task -> input.teams().get(task.team).unmarkStopping(task.spec));
+            tasksToStop.forEach(task -> input.teams().get(task.teamIndex).unmarkStopping(task.spec));
             return CandidateNode.fits(group.spec, freeCpus, freeGpus, freeMemoryGb) && !tasksToStop.isEmpty()
                     ? new Candidate(
                             cost + (BinPacking.startsInTime(group, node) ? 0 : LATE_START_COST),
@@ -249,7 +249,7 @@
                 task.skipSave = group.startWithinS > 0
                         && task.spec.saveS() > group.startWithinS * MAX_SAVE_SHARE
                         && Math.min(task.elapsedS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
-                input.teams().get(task.team).stopping(task.spec);
+                input.teams().get(task.teamIndex).stopping(task.spec);
                 candidate.node().addRoomAfterStops(task.spec);
                 plan.stops.add(task);
             }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -180,7 +180,7 @@
             boolean allowed = false;
             for (TaskGroup group : consumed.groups()) {
                 allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
-                        || task.team != group.team && task.spec.priority().compareTo(group.spec.priority()) == 0;
+                        || task.teamIndex != group.team && task.spec.priority().compareTo(group.spec.priority()) == 0;
             }
             assertTrue(allowed, "tasks are stopped only for higher priority or another team's guarantee");
         }
