--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -56,7 +56,7 @@
     /** Images on the machine; the set is not copied. */
     public final Set<String> images;
     /** Tasks that occupy room on the node; call {@link #add} to change it. */
-    public final List<Running> running = new ArrayList<>();
+    public final List<Running> runningTasks = new ArrayList<>();
     /** How long the machine has been idle, in milliseconds. */
     public long idleMs;
     /** Number of tasks whose image is being fetched to the machine; fetches share the machine's bandwidth. */
@@ -94,7 +94,7 @@
 
     /** Adds a task that occupies room on the machine; a task without a known specification takes all of it. */
     public void add(Running task) {
-        running.add(task);
+        runningTasks.add(task);
         if (task.spec == null) {
             takeAllRoom();
             return;
@@ -171,7 +171,7 @@
     int taskCapacity(JobSpec spec) {
         double availableCpus = freeCpusAfterStops;
         double availableMemoryGb = freeMemoryGbAfterStops;
-        for (Running task : running) {
+        for (Running task : runningTasks) {
             if (task.spec != null && !task.stopping && task.spec.priority().compareTo(spec.priority()) < 0) {
                 availableCpus += task.spec.cpus();
                 availableMemoryGb += task.spec.memoryGb();
@@ -193,7 +193,7 @@
 
     /** Returns true if the machine has no tasks and no room on it is taken. */
     boolean isUnused() {
-        return running.isEmpty() && freeCpus >= type.cpus() - 1e-9;
+        return runningTasks.isEmpty() && freeCpus >= type.cpus() - 1e-9;
     }
 
     /** Returns the number of service replicas on the node. */
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -59,7 +59,7 @@
     private static List<CandidateNode.Running> runningTasks(List<CandidateNode> nodes, int teamIndex) {
         List<CandidateNode.Running> tasks = new ArrayList<>();
         for (CandidateNode node : nodes) {
-            for (CandidateNode.Running task : node.running) {
+            for (CandidateNode.Running task : node.runningTasks) {
                 if (task.teamIndex == teamIndex && task.spec != null && !task.stopping) {
                     tasks.add(task);
                 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -48,7 +48,7 @@
 
     private void indexNode(CandidateNode node) {
         boolean hasStoppableTask = false;
-        for (CandidateNode.Running task : node.running) {
+        for (CandidateNode.Running task : node.runningTasks) {
             if (task.spec != null
                     && (lowestPriority == null || task.spec.priority().compareTo(lowestPriority) < 0)) {
                 lowestPriority = task.spec.priority();
@@ -232,7 +232,7 @@
         private List<CandidateNode.Running> stoppableTasks(CandidateNode node) {
             // Most nodes have no stoppable task, so the list is created only when needed.
             List<CandidateNode.Running> tasks = List.of();
-            for (CandidateNode.Running task : node.running) {
+            for (CandidateNode.Running task : node.runningTasks) {
                 if (!task.stopping && task.spec != null && mayStop(group, withinGuarantee, task)) {
                     if (tasks.isEmpty()) {
                         tasks = new ArrayList<>();
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -160,7 +160,7 @@
     /** Returns the tasks whose move frees the machine sooner; empty if other tasks occupy it for about as long. */
     private static List<CandidateNode.Running> tasksWorthMoving(CandidateNode node) {
         double occupiedS = 0;
-        for (CandidateNode.Running task : node.running) {
+        for (CandidateNode.Running task : node.runningTasks) {
             if (!isMovable(task)) {
                 occupiedS =
                         Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.remainingS);
@@ -168,7 +168,7 @@
         }
         List<CandidateNode.Running> tasksToMove = new ArrayList<>();
         double gainS = 0;
-        for (CandidateNode.Running task : node.running) {
+        for (CandidateNode.Running task : node.runningTasks) {
             if (!isMovable(task)) {
                 continue;
             }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -108,7 +108,7 @@
 
     private static double freeCpus(CandidateNode node) {
         double used = 0;
-        for (CandidateNode.Running task : node.running) {
+        for (CandidateNode.Running task : node.runningTasks) {
             used += task.spec.cpus();
         }
         return node.type.cpus() - used;
