--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -99,7 +99,7 @@
 
     private void addAttempt(Attempt attempt, CandidateNode node) {
         if (attempt.state() == Attempt.State.STARTING || attempt.state() == Attempt.State.FETCHING) {
-            node.fetching++;
+            node.fetchingTasks++;
         }
         JobSpec spec = attempt.spec();
         int teamIndex = spec == null ? 0 : configuredTeams.indexOf(spec.team(), 0);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
@@ -105,7 +105,7 @@
                 + (node.spot || !group.spec.spot() ? 0 : ON_DEMAND_PENALTY)
                 + (node.draining ? DRAINING_PENALTY : 0);
         if (group.spec.image() != null && !node.images.contains(group.spec.image())) {
-            score += group.spec.service() ? SERVICE_FETCH_PENALTY + node.fetching : FETCH_PENALTY;
+            score += group.spec.service() ? SERVICE_FETCH_PENALTY + node.fetchingTasks : FETCH_PENALTY;
         }
         if (group.spec.service()) {
             score += REPLICA_PENALTY * node.serviceReplicas();
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -60,7 +60,7 @@
     /** How long the machine has been idle, in milliseconds. */
     public long idleMs;
     /** Number of tasks whose image is being fetched to the machine; fetches share the machine's bandwidth. */
-    public int fetching;
+    public int fetchingTasks;
     /** True if a new leader is still waiting for the machine's first heartbeat: blocked tasks are most likely running there. */
     public boolean awaitingHeartbeat;
     /** True if the machine was recently drained so that it can be returned. */
