--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -113,9 +113,9 @@
         }
     }
 
-    private CandidateNode.Running describeAttempt(Attempt attempt, JobSpec spec, int teamIndex) {
-        CandidateNode.Running running =
-                new CandidateNode.Running(spec, teamIndex, attempt, attempt.knownSince(), attempt.stopRequested());
+    private CandidateNode.RunningTask describeAttempt(Attempt attempt, JobSpec spec, int teamIndex) {
+        CandidateNode.RunningTask running =
+                new CandidateNode.RunningTask(spec, teamIndex, attempt, attempt.knownSince(), attempt.stopRequested());
         running.elapsedS = attempt.runningSince() > 0 ? (now - attempt.runningSince()) / 1000.0 : 0;
         running.remainingS = attempt.spec() == null ? 0 : forecast.remainingRunS(attempt.spec(), running.elapsedS);
         return running;
--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -37,7 +37,7 @@
     }
 
     /** Stops attempts that exceed a lowered quota. */
-    void stopExcess(List<CandidateNode.Running> excess) {
+    void stopExcess(List<CandidateNode.RunningTask> excess) {
         excess.forEach(this::stop);
         fleet.flush();
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    private void stop(CandidateNode.Running running) {
+    private void stop(CandidateNode.RunningTask running) {
         Attempt attempt = (Attempt) running.attempt;
         boolean canSave = attempt.spec().checkpointS() > 0 && !running.skipSave;
         fleet.stop(attempt, canSave ? attempt.spec().saveS() : 0);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Candidate.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Candidate.java
@@ -9,7 +9,7 @@
  * @param index       position of the node in the searched list
  * @param preemptions tasks to stop on the node to make room; empty if the task already fits
  */
-record Candidate(double score, int index, CandidateNode node, List<CandidateNode.Running> preemptions)
+record Candidate(double score, int index, CandidateNode node, List<CandidateNode.RunningTask> preemptions)
         implements Comparable<Candidate> {
     Candidate(double score, int index, CandidateNode node) {
         this(score, index, node, List.of());
--- a/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/CandidateNode.java
@@ -15,7 +15,7 @@
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /** A task that occupies room on the node. */
-    public static final class Running {
+    public static final class RunningTask {
         /** Specification of the task's job; null if unknown. */
         public final JobSpec spec;
         /** Index of the job's team in the cycle's list of teams. */
@@ -34,7 +34,7 @@
         public double remainingS;
 
         /** Creates a task that occupies room; see the fields. */
-        public Running(JobSpec spec, int team, Object attempt, long startedAtMs, boolean stopping) {
+        public RunningTask(JobSpec spec, int team, Object attempt, long startedAtMs, boolean stopping) {
             this.spec = spec;
             this.teamIndex = team;
             this.attempt = attempt;
@@ -56,7 +56,7 @@
     /** Images on the machine; the set is not copied. */
     public final Set<String> images;
     /** Tasks that occupy room on the node; call {@link #add} to change it. */
-    public final List<Running> runningTasks = new ArrayList<>();
+    public final List<RunningTask> runningTasks = new ArrayList<>();
     /** How long the machine has been idle, in milliseconds. */
     public long idleMs;
     /** Number of tasks whose image is being fetched to the machine; fetches share the machine's bandwidth. */
@@ -93,7 +93,7 @@
     }
 
     /** Adds a task that occupies room on the machine; a task without a known specification takes all of it. */
-    public void add(Running task) {
+    public void add(RunningTask task) {
         runningTasks.add(task);
         if (task.spec == null) {
             takeAllRoom();
@@ -171,7 +171,7 @@
     int taskCapacity(JobSpec spec) {
         double availableCpus = freeCpusAfterStops;
         double availableMemoryGb = freeMemoryGbAfterStops;
-        for (Running task : runningTasks) {
+        for (RunningTask task : runningTasks) {
             if (task.spec != null && !task.stopping && task.spec.priority().compareTo(spec.priority()) < 0) {
                 availableCpus += task.spec.cpus();
                 availableMemoryGb += task.spec.memoryGb();
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -21,19 +21,19 @@
 
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    private static final Comparator<CandidateNode.Running> STOP_ORDER = Comparator.comparing(
-                    (CandidateNode.Running task) -> task.spec.priority())
-            .thenComparing(Comparator.comparingLong((CandidateNode.Running task) -> task.startedAtMs)
+    private static final Comparator<CandidateNode.RunningTask> STOP_ORDER = Comparator.comparing(
+                    (CandidateNode.RunningTask task) -> task.spec.priority())
+            .thenComparing(Comparator.comparingLong((CandidateNode.RunningTask task) -> task.startedAtMs)
                     .reversed());
 
     private ExcessWork() {}
 
     /** Returns the tasks to stop in one step; empty if every team is within its limit. */
-    public static List<CandidateNode.Running> step(List<CandidateNode> nodes, List<Team> teams) {
-        List<CandidateNode.Running> tasksToStop = new ArrayList<>();
+    public static List<CandidateNode.RunningTask> step(List<CandidateNode> nodes, List<Team> teams) {
+        List<CandidateNode.RunningTask> tasksToStop = new ArrayList<>();
         for (int teamIndex = 0; teamIndex < teams.size(); teamIndex++) {
             Team team = teams.get(teamIndex);
-            List<CandidateNode.Running> teamTasks = runningTasks(nodes, teamIndex);
+            List<CandidateNode.RunningTask> teamTasks = runningTasks(nodes, teamIndex);
             double excessCpus = team.cpuLimit > 0
                     ? teamTasks.stream().mapToDouble(task -> task.spec.cpus()).sum() - team.cpuLimit
                     : 0;
@@ -56,10 +56,10 @@
         return Math.max(excess * STEP_SHARE, Math.min(excess, minimum));
     }
 
-    private static List<CandidateNode.Running> runningTasks(List<CandidateNode> nodes, int teamIndex) {
-        List<CandidateNode.Running> tasks = new ArrayList<>();
+    private static List<CandidateNode.RunningTask> runningTasks(List<CandidateNode> nodes, int teamIndex) {
+        List<CandidateNode.RunningTask> tasks = new ArrayList<>();
         for (CandidateNode node : nodes) {
-            for (CandidateNode.Running task : node.runningTasks) {
+            for (CandidateNode.RunningTask task : node.runningTasks) {
                 if (task.teamIndex == teamIndex && task.spec != null && !task.stopping) {
                     tasks.add(task);
                 }
@@ -69,13 +69,13 @@
     }
 
     private static void selectTasks(
-            List<CandidateNode.Running> candidates,
+            List<CandidateNode.RunningTask> candidates,
             double cpusToFree,
             double gpusToFree,
-            List<CandidateNode.Running> tasksToStop) {
+            List<CandidateNode.RunningTask> tasksToStop) {
         double freedCpus = 0;
         double freedGpus = 0;
-        for (CandidateNode.Running task : candidates) {
+        for (CandidateNode.RunningTask task : candidates) {
             boolean needsCpus = freedCpus < cpusToFree - ROUNDING_TOLERANCE;
             boolean needsGpus = freedGpus < gpusToFree - ROUNDING_TOLERANCE;
             if (!needsCpus && !needsGpus) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -63,7 +63,7 @@
         double cpus = 0;
         for (CandidateNode node : nodes) {
             cpus += node.type.cpus();
-            for (CandidateNode.Running task : node.runningTasks) {
+            for (CandidateNode.RunningTask task : node.runningTasks) {
                 if (task.spec != null && task.spec.service()) {
                     cpus -= task.spec.cpus();
                 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -23,8 +23,8 @@
     private static final long STOP_COST_MS = 1_000;
 
     /** Lowest priority first, then the most recently started task, which loses the least work. */
-    private static final Comparator<CandidateNode.Running> STOP_ORDER = Comparator.comparing(
-                    (CandidateNode.Running task) -> task.spec.priority())
+    private static final Comparator<CandidateNode.RunningTask> STOP_ORDER = Comparator.comparing(
+                    (CandidateNode.RunningTask task) -> task.spec.priority())
             .thenComparing(task -> -task.startedAtMs);
 
     private final Scheduler.Input input;
@@ -48,7 +48,7 @@
 
     private void indexNode(CandidateNode node) {
         boolean hasStoppableTask = false;
-        for (CandidateNode.Running task : node.runningTasks) {
+        for (CandidateNode.RunningTask task : node.runningTasks) {
             if (task.spec != null
                     && (lowestPriority == null || task.spec.priority().compareTo(lowestPriority) < 0)) {
                 lowestPriority = task.spec.priority();
@@ -113,7 +113,7 @@
      * Returns true if the task may be stopped for the group. No team is brought below its guarantee for another team's:
      * it would preempt in return at once, and both teams would lose work repeatedly.
      */
-    private boolean mayStop(TaskGroup group, boolean withinGuarantee, CandidateNode.Running task) {
+    private boolean mayStop(TaskGroup group, boolean withinGuarantee, CandidateNode.RunningTask task) {
         int priorityOrder = task.spec.priority().compareTo(group.spec.priority());
         if (priorityOrder < 0 && task.teamIndex == group.team) {
             return true;
@@ -194,17 +194,17 @@
             if (!node.allows(group)) {
                 return null;
             }
-            List<CandidateNode.Running> stoppableTasks = stoppableTasks(node);
+            List<CandidateNode.RunningTask> stoppableTasks = stoppableTasks(node);
             if (stoppableTasks.isEmpty()) {
                 return null;
             }
             stoppableTasks.sort(STOP_ORDER);
-            List<CandidateNode.Running> tasksToStop = new ArrayList<>();
+            List<CandidateNode.RunningTask> tasksToStop = new ArrayList<>();
             double freeCpus = node.freeCpusAfterStops();
             double freeGpus = node.freeGpusAfterStops();
             double freeMemoryGb = node.freeMemoryGbAfterStops();
             double cost = 0;
-            for (CandidateNode.Running task : stoppableTasks) {
+            for (CandidateNode.RunningTask task : stoppableTasks) {
                 if (CandidateNode.fits(group.spec, freeCpus, freeGpus, freeMemoryGb)) {
                     break;
                 }
@@ -229,10 +229,10 @@
                     : null;
         }
 
-        private List<CandidateNode.Running> stoppableTasks(CandidateNode node) {
+        private List<CandidateNode.RunningTask> stoppableTasks(CandidateNode node) {
             // Most nodes have no stoppable task, so the list is created only when needed.
-            List<CandidateNode.Running> tasks = List.of();
-            for (CandidateNode.Running task : node.runningTasks) {
+            List<CandidateNode.RunningTask> tasks = List.of();
+            for (CandidateNode.RunningTask task : node.runningTasks) {
                 if (!task.stopping && task.spec != null && mayStop(group, withinGuarantee, task)) {
                     if (tasks.isEmpty()) {
                         tasks = new ArrayList<>();
@@ -244,7 +244,7 @@
         }
 
         private void preempt(Candidate candidate) {
-            for (CandidateNode.Running task : candidate.preemptions()) {
+            for (CandidateNode.RunningTask task : candidate.preemptions()) {
                 task.stopping = true;
                 task.skipSave = group.startWithinS > 0
                         && task.spec.saveS() > group.startWithinS * MAX_SAVE_SHARE
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -113,7 +113,7 @@
         for (int index = 0; index < upNodes.size() && isDispensable(upNodes.get(index)); index++) {
             CandidateNode node = upNodes.get(index);
             freeCpus -= node.freeCpusAfterStops();
-            List<CandidateNode.Running> tasksToMove = tasksWorthMoving(node);
+            List<CandidateNode.RunningTask> tasksToMove = tasksWorthMoving(node);
             if (tasksToMove.isEmpty() || node.draining) {
                 continue;
             }
@@ -129,15 +129,15 @@
     }
 
     /** Reserves room for the tasks on the fullest machines that fit them and stops them; returns false if there is no room. */
-    private boolean moveTasks(List<CandidateNode.Running> tasks, List<CandidateNode> targets) {
-        for (CandidateNode.Running task : tasks) {
+    private boolean moveTasks(List<CandidateNode.RunningTask> tasks, List<CandidateNode> targets) {
+        for (CandidateNode.RunningTask task : tasks) {
             CandidateNode target = fullestNode(task.spec, targets);
             if (target == null) {
                 return false;
             }
             target.takeRoomAfterStops(task.spec);
         }
-        for (CandidateNode.Running task : tasks) {
+        for (CandidateNode.RunningTask task : tasks) {
             task.stopping = true;
             plan.stops.add(task);
         }
@@ -158,17 +158,17 @@
     }
 
     /** Returns the tasks whose move frees the machine sooner; empty if other tasks occupy it for about as long. */
-    private static List<CandidateNode.Running> tasksWorthMoving(CandidateNode node) {
+    private static List<CandidateNode.RunningTask> tasksWorthMoving(CandidateNode node) {
         double occupiedS = 0;
-        for (CandidateNode.Running task : node.runningTasks) {
+        for (CandidateNode.RunningTask task : node.runningTasks) {
             if (!isMovable(task)) {
                 occupiedS =
                         Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.remainingS);
             }
         }
-        List<CandidateNode.Running> tasksToMove = new ArrayList<>();
+        List<CandidateNode.RunningTask> tasksToMove = new ArrayList<>();
         double gainS = 0;
-        for (CandidateNode.Running task : node.runningTasks) {
+        for (CandidateNode.RunningTask task : node.runningTasks) {
             if (!isMovable(task)) {
                 continue;
             }
@@ -181,11 +181,11 @@
         return gainS > occupiedS + MIN_GAIN_S ? tasksToMove : List.of();
     }
 
-    private static double moveCostS(CandidateNode.Running task, CandidateNode node) {
+    private static double moveCostS(CandidateNode.RunningTask task, CandidateNode node) {
         return task.spec.saveS() + MOVE_COMMANDS_S + task.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS());
     }
 
-    private static boolean isMovable(CandidateNode.Running task) {
+    private static boolean isMovable(CandidateNode.RunningTask task) {
         return !task.stopping
                 && task.spec != null
                 && task.spec.checkpointS() > 0
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -79,7 +79,7 @@
                         true,
                         false,
                         false);
-                node.add(new CandidateNode.Running(
+                node.add(new CandidateNode.RunningTask(
                         spec, team, "a" + i + taskNumber, random.nextInt(1000), random.nextInt(5) == 0));
                 teams.get(team).usedCpus += 1;
             }
@@ -108,7 +108,7 @@
 
     private static double freeCpus(CandidateNode node) {
         double used = 0;
-        for (CandidateNode.Running task : node.runningTasks) {
+        for (CandidateNode.RunningTask task : node.runningTasks) {
             used += task.spec.cpus();
         }
         return node.type.cpus() - used;
@@ -176,7 +176,7 @@
                 }
             }
         }
-        for (CandidateNode.Running task : plan.stops) {
+        for (CandidateNode.RunningTask task : plan.stops) {
             boolean allowed = false;
             for (TaskGroup group : consumed.groups()) {
                 allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
@@ -249,7 +249,7 @@
         group.startWithinS = 1;
         CandidateNode empty = new CandidateNode(MACHINE_TYPE, "a", false, "empty", true, Set.of());
         CandidateNode full = new CandidateNode(MACHINE_TYPE, "a", false, "full", true, Set.of("img-1"));
-        full.add(new CandidateNode.Running(
+        full.add(new CandidateNode.RunningTask(
                 spec(9, false, Priority.NORMAL, 1, 4, false, false, false), 0, "victim", 5, false));
         SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of(empty, full)));
         assertEquals(
@@ -310,7 +310,7 @@
         Team owner = new Team(8, 0, 0, 0);
         for (int i = 0; i < 3; i++) {
             CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m" + i, true, Set.of());
-            node.add(new CandidateNode.Running(
+            node.add(new CandidateNode.RunningTask(
                     spec(900 + i, false, Priority.NORMAL, 1, 4, false, false, false), 0, "a" + i, i, false));
             lender.usedCpus += 4;
             nodes.add(node);
@@ -331,7 +331,7 @@
     }
 
     /** Returns a running task of one CPU that has run for {@code ranS} seconds and can save its state if {@code canSave}. */
-    private static CandidateNode.Running runningTask(int jobNumber, double ranS, double leftS, boolean canSave) {
+    private static CandidateNode.RunningTask runningTask(int jobNumber, double ranS, double leftS, boolean canSave) {
         JobSpec spec = spec(jobNumber, false, Priority.NORMAL, 1, 1, true, false, false);
         JobSpec specWithCheckpoints = new JobSpec(
                 spec.id(),
@@ -354,14 +354,14 @@
                 canSave ? 15 : 0,
                 canSave ? 3 : 0,
                 null);
-        CandidateNode.Running task = new CandidateNode.Running(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
+        CandidateNode.RunningTask task = new CandidateNode.RunningTask(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
         task.elapsedS = ranS;
         task.remainingS = leftS;
         return task;
     }
 
     private static List<Object> attemptsStoppedToDrain(
-            CandidateNode.Running taskOnExpensiveNode, double cpusToKeep, TaskGroup... waitingGroups) {
+            CandidateNode.RunningTask taskOnExpensiveNode, double cpusToKeep, TaskGroup... waitingGroups) {
         CandidateNode expensive = new CandidateNode(MACHINE_TYPE, "a", false, "expensive", true, Set.of());
         expensive.add(taskOnExpensiveNode);
         CandidateNode cheap = new CandidateNode(MACHINE_TYPE, "a", true, "cheap", true, Set.of());
@@ -388,7 +388,7 @@
         List<Team> teams = List.of(new Team(8, 0, 0, 0), new Team(0, 0, 0, 0));
         CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m", true, Set.of());
         for (int i = 0; i < 4; i++) {
-            node.add(new CandidateNode.Running(
+            node.add(new CandidateNode.RunningTask(
                     spec(90 + i, false, Priority.LOW, 1, 1, true, false, false), 1, "a" + i, i, false));
             teams.get(1).usedCpus += 1;
         }
@@ -466,7 +466,7 @@
         List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", true, "m" + i, true, Set.of());
-            node.add(new CandidateNode.Running(
+            node.add(new CandidateNode.RunningTask(
                     spec(900, false, Priority.NORMAL, 1, 4, true, false, false), 0, i, 0, false));
             nodes.add(node);
         }
@@ -507,7 +507,7 @@
         for (int i = 0; i < machines; i++) {
             CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m" + i, true, Set.of());
             if (i % 10 > 0) {
-                node.add(new CandidateNode.Running(
+                node.add(new CandidateNode.RunningTask(
                         spec(900, false, Priority.NORMAL, 1, 4, false, false, false), 0, i, 0, false));
             }
             nodes.add(node);
