--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -29,7 +29,7 @@
 
     void apply(SchedulingPlan plan) {
         place(plan.placements);
-        plan.stops.forEach(this::stop);
+        plan.tasksToStop.forEach(this::stop);
         plan.vacated.forEach(node -> fleet.drain((Machine) node.machine));
         fleet.flush();
         scaleOut(plan.rents);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -251,7 +251,7 @@
                         && Math.min(task.elapsedS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
                 input.teams().get(task.teamIndex).stopping(task.spec);
                 candidate.node().addRoomAfterStops(task.spec);
-                plan.stops.add(task);
+                plan.tasksToStop.add(task);
             }
             nodesBeingFreed.add(candidate.node());
         }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -59,7 +59,7 @@
             return;
         }
         returnIdleNodes();
-        if (plan.stops.isEmpty()) {
+        if (plan.tasksToStop.isEmpty()) {
             drainNodes();
         }
     }
@@ -139,7 +139,7 @@
         }
         for (CandidateNode.RunningTask task : tasks) {
             task.stopping = true;
-            plan.stops.add(task);
+            plan.tasksToStop.add(task);
         }
         return true;
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
@@ -14,7 +14,7 @@
     /** Tasks to start now. */
     public final List<Placement> placements = new ArrayList<>();
     /** Tasks to stop: preempted, or moved off a machine that is drained. */
-    public final List<CandidateNode.RunningTask> stops = new ArrayList<>();
+    public final List<CandidateNode.RunningTask> tasksToStop = new ArrayList<>();
     /** Machines to rent. */
     public final List<Rent> rents = new ArrayList<>();
     /** Idle nodes to return. */
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -154,7 +154,7 @@
         // No task is left waiting if a node has free room that the task may use now.
         Map<TaskGroup, Integer> placedTasksByGroup = new HashMap<>();
         plan.placements.forEach(placement -> placedTasksByGroup.merge(placement.group(), 1, Integer::sum));
-        if (plan.stops.isEmpty() && plan.unplacedTasks > 0) {
+        if (plan.tasksToStop.isEmpty() && plan.unplacedTasks > 0) {
             for (int i = 0; i < consumed.groups().size(); i++) {
                 TaskGroup group = consumed.groups().get(i);
                 int waitingTasks = original.groups().get(i).waiting - placedTasksByGroup.getOrDefault(group, 0);
@@ -176,7 +176,7 @@
                 }
             }
         }
-        for (CandidateNode.RunningTask task : plan.stops) {
+        for (CandidateNode.RunningTask task : plan.tasksToStop) {
             boolean allowed = false;
             for (TaskGroup group : consumed.groups()) {
                 allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
@@ -184,7 +184,7 @@
             }
             assertTrue(allowed, "tasks are stopped only for higher priority or another team's guarantee");
         }
-        assertEquals(new HashSet<>(plan.stops).size(), plan.stops.size(), "no task is stopped twice");
+        assertEquals(new HashSet<>(plan.tasksToStop).size(), plan.tasksToStop.size(), "no task is stopped twice");
     }
 
     @ParameterizedTest
@@ -253,7 +253,7 @@
                 spec(9, false, Priority.NORMAL, 1, 4, false, false, false), 0, "victim", 5, false));
         SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of(empty, full)));
         assertEquals(
-                List.of("victim"), plan.stops.stream().map(task -> task.attempt).toList());
+                List.of("victim"), plan.tasksToStop.stream().map(task -> task.attempt).toList());
         assertTrue(plan.placements.isEmpty());
     }
 
@@ -326,7 +326,7 @@
                 null,
                 60_000,
                 0));
-        assertEquals(1, plan.stops.size(), "twelve CPUs in use, eight guaranteed: four are borrowed");
+        assertEquals(1, plan.tasksToStop.size(), "twelve CPUs in use, eight guaranteed: four are borrowed");
         assertEquals(1, plan.unplacedTasks);
     }
 
@@ -376,7 +376,7 @@
                         null,
                         60_000,
                         cpusToKeep))
-                .stops
+                .tasksToStop
                 .stream()
                 .map(task -> task.attempt)
                 .toList();
@@ -395,7 +395,7 @@
         TaskGroup group = new TaskGroup(spec(2, false, Priority.HIGH, 2, 2, false, false, false), "j", 1, 0, 2);
         SchedulingPlan plan = Scheduler.plan(new Scheduler.Input(
                 2_000, List.of(node), List.of(group), teams, List.of(MACHINE_TYPE), new HashMap<>(), null, 1_000, 0));
-        assertEquals(4, plan.stops.size());
+        assertEquals(4, plan.tasksToStop.size());
         assertEquals(0, plan.unplacedTasks);
     }
 
