--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -30,7 +30,7 @@
     void apply(SchedulingPlan plan) {
         place(plan.placements);
         plan.tasksToStop.forEach(this::stop);
-        plan.vacated.forEach(node -> fleet.drain((Machine) node.machine));
+        plan.nodesToDrain.forEach(node -> fleet.drain((Machine) node.machine));
         fleet.flush();
         scaleOut(plan.rents);
         scaleIn(plan.idle);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -124,7 +124,7 @@
             }
             freeCpus -= movedCpus;
             keptCpus -= node.type.cpus();
-            plan.vacated.add(node);
+            plan.nodesToDrain.add(node);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
@@ -20,7 +20,7 @@
     /** Idle nodes to return. */
     public final List<CandidateNode> idle = new ArrayList<>();
     /** Nodes to drain: they take new tasks only if no other node has room. */
-    public final List<CandidateNode> vacated = new ArrayList<>();
+    public final List<CandidateNode> nodesToDrain = new ArrayList<>();
     /** Number of tasks within their team's limit that found no room. */
     public int unplacedTasks;
     /** Number of evaluated nodes and machines to rent: the cycle's cost, independent of the hardware. */
