--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -33,7 +33,7 @@
         plan.nodesToDrain.forEach(node -> fleet.drain((Machine) node.machine));
         fleet.flush();
         scaleOut(plan.rents);
-        scaleIn(plan.idle);
+        scaleIn(plan.nodesToReturn);
     }
 
     /** Stops attempts that exceed a lowered quota. */
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -83,7 +83,7 @@
                 serviceCapacity -= nodeCapacity;
             }
             keptCpus -= node.type.cpus();
-            plan.idle.add(node);
+            plan.nodesToReturn.add(node);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/SchedulingPlan.java
@@ -18,7 +18,7 @@
     /** Machines to rent. */
     public final List<Rent> rents = new ArrayList<>();
     /** Idle nodes to return. */
-    public final List<CandidateNode> idle = new ArrayList<>();
+    public final List<CandidateNode> nodesToReturn = new ArrayList<>();
     /** Nodes to drain: they take new tasks only if no other node has room. */
     public final List<CandidateNode> nodesToDrain = new ArrayList<>();
     /** Number of tasks within their team's limit that found no room. */
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -438,7 +438,7 @@
                         cpusToKeep));
                 assertEquals(
                         !spot && cpusToKeep == 0 ? 1 : 0,
-                        plan.idle.size(),
+                        plan.nodesToReturn.size(),
                         "spot " + spot + ", CPUs to keep " + cpusToKeep);
             }
         }
