--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -57,7 +57,7 @@
             inheritance.tighten(group, job.id());
             Inherited passedOn = new Inherited(
                     inheritance.effectivePriority(job.spec()),
-                    latestStart(group.due, group.longestRunS),
+                    latestStart(group.deadlineMs, group.longestRunS),
                     latestStart(group.lastDue, group.longestRunS));
             for (String awaitedId : job.awaited()) {
                 inheritance.inheritedByJob.merge(awaitedId, passedOn, Inherited::combinedWith);
@@ -89,9 +89,9 @@
         if (inherited == null || inherited.due == Long.MAX_VALUE) {
             return;
         }
-        group.due = Math.min(group.due, inherited.due);
+        group.deadlineMs = Math.min(group.deadlineMs, inherited.due);
         group.lastDue = Math.min(group.lastDue, inherited.lastDue);
-        group.startBy = latestStart(group.due, group.longestRunS);
+        group.startBy = latestStart(group.deadlineMs, group.longestRunS);
         group.withoutDeadline = false;
         group.mayWaitForBoots = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -201,9 +201,9 @@
         if (allowedS == null && group.startWithinS > 0 && !spec.service()) {
             // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
             group.startBy = countedFrom + Math.round(group.startWithinS * 1000);
-            group.due = group.startBy + Math.round(group.longestRunS * 1000);
+            group.deadlineMs = group.startBy + Math.round(group.longestRunS * 1000);
             group.lastDue =
-                    now - countedFrom < STARVATION_FACTOR * group.startWithinS * 1000 ? group.due : Long.MAX_VALUE;
+                    now - countedFrom < STARVATION_FACTOR * group.startWithinS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
             return;
         }
         if (allowedS == null) {
@@ -212,8 +212,8 @@
             group.mayWaitForBoots = group.withoutDeadline;
             return;
         }
-        group.due = countedFrom + Math.round(allowedS * 1000);
-        group.startBy = group.due - Math.round(group.longestRunS * 1000);
+        group.deadlineMs = countedFrom + Math.round(allowedS * 1000);
+        group.startBy = group.deadlineMs - Math.round(group.longestRunS * 1000);
         if (now - countedFrom < STARVATION_FACTOR * allowedS * 1000) {
             double latestFinishFactor = spec.deadlineS() != null
                     ? latestDeadlineFactor
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -28,7 +28,7 @@
             .thenComparing(Comparator.comparingLong((TaskGroup group) -> group.arrivalOrder)
                     .reversed());
 
-    /** Lateness is checked in two rounds: against {@link TaskGroup#due}, then against {@link TaskGroup#lastDue}. */
+    /** Lateness is checked in two rounds: against {@link TaskGroup#deadlineMs}, then against {@link TaskGroup#lastDue}. */
     private static final int DEADLINE_ROUNDS = 2;
 
     private final long now;
@@ -112,7 +112,7 @@
                 cpuSeconds += group.deferralLevel == round ? waitingCpuSeconds(group) : 0;
                 continue;
             }
-            double availableMs = (round == 0 ? group.due : group.lastDue) - now - 1000 * group.longestRunS;
+            double availableMs = (round == 0 ? group.deadlineMs : group.lastDue) - now - 1000 * group.longestRunS;
             largestFirst.add(group);
             cpuSeconds += waitingCpuSeconds(group);
             while (group.deferralLevel == round && cpuSeconds * millisPerCpuSecond > availableMs) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -23,7 +23,7 @@
     /** Expected run time of the longest task, which determines when the job ends, in seconds. */
     public double longestRunS;
     /** Deadline of the job, in milliseconds of the cycle's clock; Long.MAX_VALUE if it has none. */
-    public long due = Long.MAX_VALUE;
+    public long deadlineMs = Long.MAX_VALUE;
     /** Time until which finishing is still useful if the deadline is missed, in milliseconds. */
     public long lastDue = Long.MAX_VALUE;
     /** Latest start of the last task to meet the deadline, in milliseconds; the arrival time for work without a deadline. */
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -229,13 +229,13 @@
     void tasksThatCanRunInTurnBeforeDeadlineShareMachine() {
         TaskGroup group = new TaskGroup(spec(1, false, Priority.NORMAL, 6, 4, false, false, false), "j", 1, 0, 6);
         group.runS = 30;
-        group.due = 1_000_000 + 200_000;
+        group.deadlineMs = 1_000_000 + 200_000;
         SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of()));
         int rentedMachines =
                 plan.rents.stream().mapToInt(SchedulingPlan.Rent::count).sum();
         assertEquals(2, rentedMachines, "six tasks of 30 s finish within 200 s on two machines, three in turn on each");
         group.waiting = 6;
-        group.due = 1_000_000 + 60_000;
+        group.deadlineMs = 1_000_000 + 60_000;
         assertEquals(
                 6,
                 Scheduler.plan(inputWithGroup(group, List.of())).rents.stream()
@@ -266,9 +266,9 @@
                 tasks);
         group.runS = runS;
         group.longestRunS = runS;
-        group.due = Math.round(dueS * 1000);
-        group.lastDue = group.due;
-        group.startBy = group.due - Math.round(runS * 1000);
+        group.deadlineMs = Math.round(dueS * 1000);
+        group.lastDue = group.deadlineMs;
+        group.startBy = group.deadlineMs - Math.round(runS * 1000);
         return group;
     }
 
@@ -457,7 +457,7 @@
             TaskGroup waitingGroup = new TaskGroup(spec, group.job, group.arrivalOrder, 0, 4);
             waitingGroup.runS = group.runS;
             waitingGroup.longestRunS = group.longestRunS;
-            waitingGroup.due = group.due;
+            waitingGroup.deadlineMs = group.deadlineMs;
             waitingGroup.lastDue = group.lastDue;
             waitingGroup.startBy = group.startBy;
             waitingGroup.mayWaitForBoots = true;
