--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -58,7 +58,7 @@
             Inherited passedOn = new Inherited(
                     inheritance.effectivePriority(job.spec()),
                     latestStart(group.deadlineMs, group.longestRunS),
-                    latestStart(group.lastDue, group.longestRunS));
+                    latestStart(group.finalDeadlineMs, group.longestRunS));
             for (String awaitedId : job.awaited()) {
                 inheritance.inheritedByJob.merge(awaitedId, passedOn, Inherited::combinedWith);
             }
@@ -90,7 +90,7 @@
             return;
         }
         group.deadlineMs = Math.min(group.deadlineMs, inherited.due);
-        group.lastDue = Math.min(group.lastDue, inherited.lastDue);
+        group.finalDeadlineMs = Math.min(group.finalDeadlineMs, inherited.lastDue);
         group.startBy = latestStart(group.deadlineMs, group.longestRunS);
         group.withoutDeadline = false;
         group.mayWaitForBoots = false;
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -202,7 +202,7 @@
             // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
             group.startBy = countedFrom + Math.round(group.startWithinS * 1000);
             group.deadlineMs = group.startBy + Math.round(group.longestRunS * 1000);
-            group.lastDue =
+            group.finalDeadlineMs =
                     now - countedFrom < STARVATION_FACTOR * group.startWithinS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
             return;
         }
@@ -218,7 +218,7 @@
             double latestFinishFactor = spec.deadlineS() != null
                     ? latestDeadlineFactor
                     : latestFinishSByClass.get(spec.jobClass()) / allowedS;
-            group.lastDue = countedFrom + Math.round(allowedS * latestFinishFactor * 1000);
+            group.finalDeadlineMs = countedFrom + Math.round(allowedS * latestFinishFactor * 1000);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -28,7 +28,7 @@
             .thenComparing(Comparator.comparingLong((TaskGroup group) -> group.arrivalOrder)
                     .reversed());
 
-    /** Lateness is checked in two rounds: against {@link TaskGroup#deadlineMs}, then against {@link TaskGroup#lastDue}. */
+    /** Lateness is checked in two rounds: against {@link TaskGroup#deadlineMs}, then against {@link TaskGroup#finalDeadlineMs}. */
     private static final int DEADLINE_ROUNDS = 2;
 
     private final long now;
@@ -74,7 +74,7 @@
 
     /** Returns true for a group with a known run time and a deadline. */
     static boolean hasDeadline(TaskGroup group) {
-        return group.runS > 0 && group.lastDue != Long.MAX_VALUE;
+        return group.runS > 0 && group.finalDeadlineMs != Long.MAX_VALUE;
     }
 
     /** Returns true if each job can start in time after all work before it in the list. */
@@ -112,7 +112,7 @@
                 cpuSeconds += group.deferralLevel == round ? waitingCpuSeconds(group) : 0;
                 continue;
             }
-            double availableMs = (round == 0 ? group.deadlineMs : group.lastDue) - now - 1000 * group.longestRunS;
+            double availableMs = (round == 0 ? group.deadlineMs : group.finalDeadlineMs) - now - 1000 * group.longestRunS;
             largestFirst.add(group);
             cpuSeconds += waitingCpuSeconds(group);
             while (group.deferralLevel == round && cpuSeconds * millisPerCpuSecond > availableMs) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -25,7 +25,7 @@
     /** Deadline of the job, in milliseconds of the cycle's clock; Long.MAX_VALUE if it has none. */
     public long deadlineMs = Long.MAX_VALUE;
     /** Time until which finishing is still useful if the deadline is missed, in milliseconds. */
-    public long lastDue = Long.MAX_VALUE;
+    public long finalDeadlineMs = Long.MAX_VALUE;
     /** Latest start of the last task to meet the deadline, in milliseconds; the arrival time for work without a deadline. */
     public long startBy;
     /** True if jobs of this class can usually wait for several machine boots and still meet their deadline. */
@@ -40,7 +40,7 @@
     public final Map<String, Integer> perZone = new HashMap<>();
     /**
      * 0 for a job that is not deferred; 1 if it is deferred so that others meet their deadlines, 2 if it is also deferred
-     * so that others meet {@link #lastDue}. Groups with a lower value are served first.
+     * so that others meet {@link #finalDeadlineMs}. Groups with a lower value are served first.
      */
     int deferralLevel;
 
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -267,7 +267,7 @@
         group.runS = runS;
         group.longestRunS = runS;
         group.deadlineMs = Math.round(dueS * 1000);
-        group.lastDue = group.deadlineMs;
+        group.finalDeadlineMs = group.deadlineMs;
         group.startBy = group.deadlineMs - Math.round(runS * 1000);
         return group;
     }
@@ -458,7 +458,7 @@
             waitingGroup.runS = group.runS;
             waitingGroup.longestRunS = group.longestRunS;
             waitingGroup.deadlineMs = group.deadlineMs;
-            waitingGroup.lastDue = group.lastDue;
+            waitingGroup.finalDeadlineMs = group.finalDeadlineMs;
             waitingGroup.startBy = group.startBy;
             waitingGroup.mayWaitForBoots = true;
             queue.add(waitingGroup);
