--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -91,7 +91,7 @@
         }
         group.deadlineMs = Math.min(group.deadlineMs, inherited.due);
         group.finalDeadlineMs = Math.min(group.finalDeadlineMs, inherited.lastDue);
-        group.startBy = latestStart(group.deadlineMs, group.longestRunS);
+        group.latestStartMs = latestStart(group.deadlineMs, group.longestRunS);
         group.withoutDeadline = false;
         group.mayWaitForBoots = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -197,11 +197,11 @@
             // Only a job's own deadline counts from its submission. Objectives count from when the job became ready.
             countedFrom = job.readySince();
         }
-        group.startBy = countedFrom;
+        group.latestStartMs = countedFrom;
         if (allowedS == null && group.startWithinS > 0 && !spec.service()) {
             // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
-            group.startBy = countedFrom + Math.round(group.startWithinS * 1000);
-            group.deadlineMs = group.startBy + Math.round(group.longestRunS * 1000);
+            group.latestStartMs = countedFrom + Math.round(group.startWithinS * 1000);
+            group.deadlineMs = group.latestStartMs + Math.round(group.longestRunS * 1000);
             group.finalDeadlineMs =
                     now - countedFrom < STARVATION_FACTOR * group.startWithinS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
             return;
@@ -213,7 +213,7 @@
             return;
         }
         group.deadlineMs = countedFrom + Math.round(allowedS * 1000);
-        group.startBy = group.deadlineMs - Math.round(group.longestRunS * 1000);
+        group.latestStartMs = group.deadlineMs - Math.round(group.longestRunS * 1000);
         if (now - countedFrom < STARVATION_FACTOR * allowedS * 1000) {
             double latestFinishFactor = spec.deadlineS() != null
                     ? latestDeadlineFactor
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -19,7 +19,7 @@
     static final Comparator<TaskGroup> BY_DEADLINE = Comparator.comparing((TaskGroup group) -> group.spec.priority())
             .reversed()
             .thenComparingInt(group -> group.deferralLevel)
-            .thenComparingLong(group -> group.startBy)
+            .thenComparingLong(group -> group.latestStartMs)
             .thenComparingLong(group -> group.arrivalOrder);
 
     private static final Comparator<TaskGroup> MOST_WORK_FIRST = Comparator.comparingDouble(
@@ -82,7 +82,7 @@
         double cpuSeconds = 0;
         for (TaskGroup group : groups) {
             cpuSeconds += waitingCpuSeconds(group);
-            if (hasDeadline(group) && cpuSeconds * millisPerCpuSecond > group.startBy - now) {
+            if (hasDeadline(group) && cpuSeconds * millisPerCpuSecond > group.latestStartMs - now) {
                 return false;
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -78,7 +78,7 @@
 
     /** Returns the seconds until the group's last task should start; negative if it is late. */
     private double untilStartS(TaskGroup group) {
-        return (group.startBy - input.now()) / 1000.0;
+        return (group.latestStartMs - input.now()) / 1000.0;
     }
 
     /** Returns the seconds that the group may wait, no shorter than a machine rented now needs to help it. */
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -27,7 +27,7 @@
     /** Time until which finishing is still useful if the deadline is missed, in milliseconds. */
     public long finalDeadlineMs = Long.MAX_VALUE;
     /** Latest start of the last task to meet the deadline, in milliseconds; the arrival time for work without a deadline. */
-    public long startBy;
+    public long latestStartMs;
     /** True if jobs of this class can usually wait for several machine boots and still meet their deadline. */
     public boolean mayWaitForBoots;
     /** True for a job whose tasks fail on every machine: it uses free room only, without preemption or scaling out. */
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -268,7 +268,7 @@
         group.longestRunS = runS;
         group.deadlineMs = Math.round(dueS * 1000);
         group.finalDeadlineMs = group.deadlineMs;
-        group.startBy = group.deadlineMs - Math.round(runS * 1000);
+        group.latestStartMs = group.deadlineMs - Math.round(runS * 1000);
         return group;
     }
 
@@ -459,7 +459,7 @@
             waitingGroup.longestRunS = group.longestRunS;
             waitingGroup.deadlineMs = group.deadlineMs;
             waitingGroup.finalDeadlineMs = group.finalDeadlineMs;
-            waitingGroup.startBy = group.startBy;
+            waitingGroup.latestStartMs = group.latestStartMs;
             waitingGroup.mayWaitForBoots = true;
             queue.add(waitingGroup);
         }
