--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -185,7 +185,7 @@
     /** Sets the group's expected times without learning from the job. */
     void fillExpectations(TaskGroup group, Job job, long now, long timeOfDay) {
         JobSpec spec = job.spec();
-        group.startWithinS = startWithinSByClass.getOrDefault(spec.jobClass(), 0.0);
+        group.startTargetS = startWithinSByClass.getOrDefault(spec.jobClass(), 0.0);
         group.runS = expectedRunS(spec);
         group.longestRunS = START_OVERHEAD_S
                 + RUN_TIME_MARGIN_FACTOR
@@ -198,12 +198,12 @@
             countedFrom = job.readySince();
         }
         group.latestStartMs = countedFrom;
-        if (allowedS == null && group.startWithinS > 0 && !spec.service()) {
+        if (allowedS == null && group.startTargetS > 0 && !spec.service()) {
             // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
-            group.latestStartMs = countedFrom + Math.round(group.startWithinS * 1000);
+            group.latestStartMs = countedFrom + Math.round(group.startTargetS * 1000);
             group.deadlineMs = group.latestStartMs + Math.round(group.longestRunS * 1000);
             group.finalDeadlineMs =
-                    now - countedFrom < STARVATION_FACTOR * group.startWithinS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
+                    now - countedFrom < STARVATION_FACTOR * group.startTargetS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
             return;
         }
         if (allowedS == null) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
@@ -115,10 +115,10 @@
 
     /** Returns false if the image fetch would make the task start later than its target on this node. */
     static boolean startsInTime(TaskGroup group, CandidateNode node) {
-        return group.startWithinS <= 0
+        return group.startTargetS <= 0
                 || group.spec.image() == null
                 || node.images.contains(group.spec.image())
                 || group.spec.imageGb() / Math.max(0.01, node.type.fetchGbPerS())
-                        < group.startWithinS * MAX_FETCH_SHARE;
+                        < group.startTargetS * MAX_FETCH_SHARE;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -246,8 +246,8 @@
         private void preempt(Candidate candidate) {
             for (CandidateNode.RunningTask task : candidate.preemptions()) {
                 task.stopping = true;
-                task.skipSave = group.startWithinS > 0
-                        && task.spec.saveS() > group.startWithinS * MAX_SAVE_SHARE
+                task.skipSave = group.startTargetS > 0
+                        && task.spec.saveS() > group.startTargetS * MAX_SAVE_SHARE
                         && Math.min(task.elapsedS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
                 input.teams().get(task.teamIndex).stopping(task.spec);
                 candidate.node().addRoomAfterStops(task.spec);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -35,7 +35,7 @@
     /** True for a job that ends but has no objective that sets a deadline. */
     public boolean withoutDeadline;
     /** Target time within which a task should start, in seconds; 0 if there is none. */
-    public double startWithinS;
+    public double startTargetS;
     /** Number of the job's tasks on machines, by zone, for the rules oneZone and spread. */
     public final Map<String, Integer> perZone = new HashMap<>();
     /**
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -246,7 +246,7 @@
     @Test
     void servicePreemptsOnNodeWithItsImageWhenFetchWouldBeTooSlow() {
         TaskGroup group = new TaskGroup(spec(1, true, Priority.HIGH, 1, 1, false, false, false), "j", 1, 0, 1);
-        group.startWithinS = 1;
+        group.startTargetS = 1;
         CandidateNode empty = new CandidateNode(MACHINE_TYPE, "a", false, "empty", true, Set.of());
         CandidateNode full = new CandidateNode(MACHINE_TYPE, "a", false, "full", true, Set.of("img-1"));
         full.add(new CandidateNode.RunningTask(
