--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -109,7 +109,7 @@
             addUsage(teams.get(teamIndex), spec, attempt.stopRequested());
         }
         if (group != null) {
-            group.perZone.merge(node.zone, 1, Integer::sum);
+            group.tasksByZone.merge(node.zone, 1, Integer::sum);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -73,7 +73,7 @@
     }
 
     private boolean isStarved(TaskGroup group) {
-        return group.withoutDeadline && untilStartS(group) < -STARVED_AFTER_S && group.perZone.isEmpty();
+        return group.withoutDeadline && untilStartS(group) < -STARVED_AFTER_S && group.tasksByZone.isEmpty();
     }
 
     /** Returns the seconds until the group's last task should start; negative if it is late. */
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -120,7 +120,7 @@
         double secondsPerTask = group.runS * RUN_TIME_MARGIN + 1;
         int tasksPerSlot = (int) Math.max(1, (timeLeftS - bootS - longestFetchS(group)) / secondsPerTask);
         int runningTasks =
-                group.perZone.values().stream().mapToInt(Integer::intValue).sum();
+                group.tasksByZone.values().stream().mapToInt(Integer::intValue).sum();
         int tasksForRunningSlots = runningTasks * (int) Math.max(0, (timeLeftS - secondsPerTask / 2) / secondsPerTask);
         return Math.max(0, (count - tasksForRunningSlots + tasksPerSlot - 1) / tasksPerSlot);
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -123,7 +123,7 @@
                 if (node == null) {
                     recordUnplaced(allowedTasks);
                 } else {
-                    group.perZone.merge(node.zone, 1, Integer::sum);
+                    group.tasksByZone.merge(node.zone, 1, Integer::sum);
                     team.add(group.spec, 1);
                     group.waiting--;
                 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -37,7 +37,7 @@
     /** Target time within which a task should start, in seconds; 0 if there is none. */
     public double startTargetS;
     /** Number of the job's tasks on machines, by zone, for the rules oneZone and spread. */
-    public final Map<String, Integer> perZone = new HashMap<>();
+    public final Map<String, Integer> tasksByZone = new HashMap<>();
     /**
      * 0 for a job that is not deferred; 1 if it is deferred so that others meet their deadlines, 2 if it is also deferred
      * so that others meet {@link #finalDeadlineMs}. Groups with a lower value are served first.
@@ -59,9 +59,9 @@
         }
         // Blocked tasks may be running in any zone, on a machine that has not sent a heartbeat yet. If they were not
         // counted, a oneZone job could be split over zones and a spread job could get too many tasks in one zone.
-        if (spec.oneZone() && (perZone.isEmpty() ? blocked > 0 : !perZone.containsKey(zone))) {
+        if (spec.oneZone() && (tasksByZone.isEmpty() ? blocked > 0 : !tasksByZone.containsKey(zone))) {
             return false;
         }
-        return !spec.spread() || perZone.getOrDefault(zone, 0) + blocked < (spec.tasks() + 1) / 2;
+        return !spec.spread() || tasksByZone.getOrDefault(zone, 0) + blocked < (spec.tasks() + 1) / 2;
     }
 }
