--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -44,7 +44,7 @@
     static List<TaskGroup> sortedGroups(Scheduler.Input input) {
         List<TaskGroup> groups = new ArrayList<>();
         for (TaskGroup group : input.groups()) {
-            if (group.waiting > 0 || group.blocked > 0) {
+            if (group.waitingTasks > 0 || group.blocked > 0) {
                 groups.add(group);
             }
         }
@@ -129,6 +129,6 @@
 
     /** Returns the CPU seconds that the group's waiting tasks need. */
     private static double waitingCpuSeconds(TaskGroup group) {
-        return group.waiting * group.runS * group.spec.cpus();
+        return group.waitingTasks * group.runS * group.spec.cpus();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -55,7 +55,7 @@
         double neededCpus = 0;
         double cpuSeconds = 0;
         for (TaskGroup group : groups) {
-            int waitingTasks = group.waiting
+            int waitingTasks = group.waitingTasks
                     + unplacedWithinGuarantee.getOrDefault(group, 0)
                     + unplacedBeyondGuarantee.getOrDefault(group, 0);
             cpuSeconds += waitingTasks * group.runS * group.spec.cpus();
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -83,7 +83,7 @@
             if (group.blocked > 0 && group.spec.priority().compareTo(lowestPriority) > 0) {
                 packing.reserveRoom(group);
             }
-            if (group.waiting > 0 && new GroupPlacement(group, true, unplaced).placeTasks()) {
+            if (group.waitingTasks > 0 && new GroupPlacement(group, true, unplaced).placeTasks()) {
                 groupsBeyondGuarantee.add(group);
             }
         }
@@ -111,8 +111,8 @@
 
         /** Places tasks; returns true if others wait that are beyond the team's guarantee but within its limit. */
         boolean placeTasks() {
-            while (group.waiting > 0) {
-                int allowedTasks = team.additionalTasks(group.spec, withinGuarantee, group.waiting);
+            while (group.waitingTasks > 0) {
+                int allowedTasks = team.additionalTasks(group.spec, withinGuarantee, group.waitingTasks);
                 if (allowedTasks == 0) {
                     return withinGuarantee && team.additionalTasks(group.spec, false, 1) > 0;
                 }
@@ -125,7 +125,7 @@
                 } else {
                     group.tasksByZone.merge(node.zone, 1, Integer::sum);
                     team.add(group.spec, 1);
-                    group.waiting--;
+                    group.waitingTasks--;
                 }
             }
             return false;
@@ -165,7 +165,7 @@
                 plan.unplacedTasks += tasks;
             }
             team.add(group.spec, tasks);
-            group.waiting -= tasks;
+            group.waitingTasks -= tasks;
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.landingridge.wire.JobSpec;
 
-/** The identical waiting tasks of one job. The leader fills it; the scheduling cycle decrements {@link #waiting}. */
+/** The identical waiting tasks of one job. The leader fills it; the scheduling cycle decrements {@link #waitingTasks}. */
 public final class TaskGroup {
     /** The job's specification, with its current priority. */
     public final JobSpec spec;
@@ -15,7 +15,7 @@
     /** Index of the job's team in the cycle's list of teams. */
     public final int team;
     /** Number of tasks that may be placed now. */
-    public int waiting;
+    public int waitingTasks;
     /** Number of tasks that may not be placed until it is certain that no machine runs them. */
     public int blocked;
     /** Expected run time of one task, in seconds; 0 if unknown, or if the task is a service replica and does not end. */
@@ -50,7 +50,7 @@
         this.job = job;
         this.arrivalOrder = arrivalOrder;
         this.team = team;
-        this.waiting = waiting;
+        this.waitingTasks = waiting;
     }
 
     boolean allowsZone(String zone) {
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -157,7 +157,7 @@
         if (plan.tasksToStop.isEmpty() && plan.unplacedTasks > 0) {
             for (int i = 0; i < consumed.groups().size(); i++) {
                 TaskGroup group = consumed.groups().get(i);
-                int waitingTasks = original.groups().get(i).waiting - placedTasksByGroup.getOrDefault(group, 0);
+                int waitingTasks = original.groups().get(i).waitingTasks - placedTasksByGroup.getOrDefault(group, 0);
                 double cpuLimit = consumed.teams().get(group.team).cpuLimit;
                 boolean limitReached =
                         cpuLimit > 0 && consumed.teams().get(group.team).usedCpus + group.spec.cpus() > cpuLimit + 1e-6;
@@ -234,7 +234,7 @@
         int rentedMachines =
                 plan.rents.stream().mapToInt(SchedulingPlan.Rent::count).sum();
         assertEquals(2, rentedMachines, "six tasks of 30 s finish within 200 s on two machines, three in turn on each");
-        group.waiting = 6;
+        group.waitingTasks = 6;
         group.deadlineMs = 1_000_000 + 60_000;
         assertEquals(
                 6,
