--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -49,7 +49,7 @@
                 teamIndex,
                 job.pausedUntil() <= now ? startable : 0);
         group.probing = isBroken;
-        group.blocked = job.count(Task.State.PENDING) - placeable;
+        group.blockedTasks = job.count(Task.State.PENDING) - placeable;
         forecast.fillAndLearn(group, job.job(), now, timeOfDay);
         inheritance.tighten(group, job.id());
         return group;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/BinPacking.java
@@ -80,7 +80,7 @@
      * later. Tasks that fit on machines without a heartbeat so far are most likely running there and need no room elsewhere.
      */
     void reserveRoom(TaskGroup group) {
-        int remaining = group.blocked;
+        int remaining = group.blockedTasks;
         for (CandidateNode node : nodesAwaitingHeartbeat) {
             while (remaining > 0 && node.allows(group) && node.fits(group.spec)) {
                 node.takeRoom(group.spec);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -44,7 +44,7 @@
     static List<TaskGroup> sortedGroups(Scheduler.Input input) {
         List<TaskGroup> groups = new ArrayList<>();
         for (TaskGroup group : input.groups()) {
-            if (group.waitingTasks > 0 || group.blocked > 0) {
+            if (group.waitingTasks > 0 || group.blockedTasks > 0) {
                 groups.add(group);
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -80,7 +80,7 @@
                 ? null
                 : sortedGroups.get(sortedGroups.size() - 1).spec.priority();
         for (TaskGroup group : sortedGroups) {
-            if (group.blocked > 0 && group.spec.priority().compareTo(lowestPriority) > 0) {
+            if (group.blockedTasks > 0 && group.spec.priority().compareTo(lowestPriority) > 0) {
                 packing.reserveRoom(group);
             }
             if (group.waitingTasks > 0 && new GroupPlacement(group, true, unplaced).placeTasks()) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -17,7 +17,7 @@
     /** Number of tasks that may be placed now. */
     public int waitingTasks;
     /** Number of tasks that may not be placed until it is certain that no machine runs them. */
-    public int blocked;
+    public int blockedTasks;
     /** Expected run time of one task, in seconds; 0 if unknown, or if the task is a service replica and does not end. */
     public double runS;
     /** Expected run time of the longest task, which determines when the job ends, in seconds. */
@@ -59,9 +59,9 @@
         }
         // Blocked tasks may be running in any zone, on a machine that has not sent a heartbeat yet. If they were not
         // counted, a oneZone job could be split over zones and a spread job could get too many tasks in one zone.
-        if (spec.oneZone() && (tasksByZone.isEmpty() ? blocked > 0 : !tasksByZone.containsKey(zone))) {
+        if (spec.oneZone() && (tasksByZone.isEmpty() ? blockedTasks > 0 : !tasksByZone.containsKey(zone))) {
             return false;
         }
-        return !spec.spread() || tasksByZone.getOrDefault(zone, 0) + blocked < (spec.tasks() + 1) / 2;
+        return !spec.spread() || tasksByZone.getOrDefault(zone, 0) + blockedTasks < (spec.tasks() + 1) / 2;
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -557,7 +557,7 @@
             nodes.add(node);
         }
         TaskGroup service = new TaskGroup(spec(1, true, Priority.HIGH, 1, 3, false, false, false), "s", 0, 0, 0);
-        service.blocked = 1;
+        service.blockedTasks = 1;
         TaskGroup competing = new TaskGroup(spec(2, false, competingPriority, 4, 1, false, false, false), "a", 1, 0, 4);
         return Scheduler.plan(new Scheduler.Input(
                 2_000,
