--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -160,7 +160,7 @@
         if (allowedS == null) {
             return;
         }
-        double tightSample = allowedS - group.runS < TIGHT_SLACK_BOOT_TIMES * bootS ? 1 : 0;
+        double tightSample = allowedS - group.expectedRunS < TIGHT_SLACK_BOOT_TIMES * bootS ? 1 : 0;
         if (job.index() > newestLearnedIndex) {
             newestLearnedIndex = job.index();
             tightShare = tightShare < 0
@@ -186,10 +186,10 @@
     void fillExpectations(TaskGroup group, Job job, long now, long timeOfDay) {
         JobSpec spec = job.spec();
         group.startTargetS = startWithinSByClass.getOrDefault(spec.jobClass(), 0.0);
-        group.runS = expectedRunS(spec);
+        group.expectedRunS = expectedRunS(spec);
         group.longestRunS = START_OVERHEAD_S
                 + RUN_TIME_MARGIN_FACTOR
-                        * group.runS
+                        * group.expectedRunS
                         * (spec.tasks() > 1 ? longestToMeanByClass.getOrDefault(spec.jobClass(), 1.0) : 1);
         Double allowedS = allowedTimeS(spec);
         long countedFrom = now + job.submittedAt() - timeOfDay;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -74,7 +74,7 @@
 
     /** Returns true for a group with a known run time and a deadline. */
     static boolean hasDeadline(TaskGroup group) {
-        return group.runS > 0 && group.finalDeadlineMs != Long.MAX_VALUE;
+        return group.expectedRunS > 0 && group.finalDeadlineMs != Long.MAX_VALUE;
     }
 
     /** Returns true if each job can start in time after all work before it in the list. */
@@ -129,6 +129,6 @@
 
     /** Returns the CPU seconds that the group's waiting tasks need. */
     private static double waitingCpuSeconds(TaskGroup group) {
-        return group.waitingTasks * group.runS * group.spec.cpus();
+        return group.waitingTasks * group.expectedRunS * group.spec.cpus();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -58,7 +58,7 @@
             int waitingTasks = group.waitingTasks
                     + unplacedWithinGuarantee.getOrDefault(group, 0)
                     + unplacedBeyondGuarantee.getOrDefault(group, 0);
-            cpuSeconds += waitingTasks * group.runS * group.spec.cpus();
+            cpuSeconds += waitingTasks * group.expectedRunS * group.spec.cpus();
             if (waitingTasks == 0 || !(group.withoutDeadline || GroupOrder.hasDeadline(group))) {
                 continue;
             }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -113,11 +113,11 @@
      * slot runs several tasks in turn, and slots of the job's running tasks are reused.
      */
     private int slotsToRent(TaskGroup group, int count) {
-        if (group.deadlineMs == Long.MAX_VALUE || group.runS <= 0) {
+        if (group.deadlineMs == Long.MAX_VALUE || group.expectedRunS <= 0) {
             return count;
         }
         double timeLeftS = (group.deadlineMs - input.now()) / 1000.0;
-        double secondsPerTask = group.runS * RUN_TIME_MARGIN + 1;
+        double secondsPerTask = group.expectedRunS * RUN_TIME_MARGIN + 1;
         int tasksPerSlot = (int) Math.max(1, (timeLeftS - bootS - longestFetchS(group)) / secondsPerTask);
         int runningTasks =
                 group.tasksByZone.values().stream().mapToInt(Integer::intValue).sum();
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -19,7 +19,7 @@
     /** Number of tasks that may not be placed until it is certain that no machine runs them. */
     public int blockedTasks;
     /** Expected run time of one task, in seconds; 0 if unknown, or if the task is a service replica and does not end. */
-    public double runS;
+    public double expectedRunS;
     /** Expected run time of the longest task, which determines when the job ends, in seconds. */
     public double longestRunS;
     /** Deadline of the job, in milliseconds of the cycle's clock; Long.MAX_VALUE if it has none. */
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -228,7 +228,7 @@
     @Test
     void tasksThatCanRunInTurnBeforeDeadlineShareMachine() {
         TaskGroup group = new TaskGroup(spec(1, false, Priority.NORMAL, 6, 4, false, false, false), "j", 1, 0, 6);
-        group.runS = 30;
+        group.expectedRunS = 30;
         group.deadlineMs = 1_000_000 + 200_000;
         SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of()));
         int rentedMachines =
@@ -264,7 +264,7 @@
                 jobNumber,
                 0,
                 tasks);
-        group.runS = runS;
+        group.expectedRunS = runS;
         group.longestRunS = runS;
         group.deadlineMs = Math.round(dueS * 1000);
         group.finalDeadlineMs = group.deadlineMs;
@@ -455,7 +455,7 @@
             TaskGroup group = groupWithDeadline(10 * i + 1, 4, 20, dueS);
             JobSpec spec = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
             TaskGroup waitingGroup = new TaskGroup(spec, group.job, group.arrivalOrder, 0, 4);
-            waitingGroup.runS = group.runS;
+            waitingGroup.expectedRunS = group.expectedRunS;
             waitingGroup.longestRunS = group.longestRunS;
             waitingGroup.deadlineMs = group.deadlineMs;
             waitingGroup.finalDeadlineMs = group.finalDeadlineMs;
