--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -57,8 +57,8 @@
             inheritance.tighten(group, job.id());
             Inherited passedOn = new Inherited(
                     inheritance.effectivePriority(job.spec()),
-                    latestStart(group.deadlineMs, group.longestRunS),
-                    latestStart(group.finalDeadlineMs, group.longestRunS));
+                    latestStart(group.deadlineMs, group.expectedLongestRunS),
+                    latestStart(group.finalDeadlineMs, group.expectedLongestRunS));
             for (String awaitedId : job.awaited()) {
                 inheritance.inheritedByJob.merge(awaitedId, passedOn, Inherited::combinedWith);
             }
@@ -91,7 +91,7 @@
         }
         group.deadlineMs = Math.min(group.deadlineMs, inherited.due);
         group.finalDeadlineMs = Math.min(group.finalDeadlineMs, inherited.lastDue);
-        group.latestStartMs = latestStart(group.deadlineMs, group.longestRunS);
+        group.latestStartMs = latestStart(group.deadlineMs, group.expectedLongestRunS);
         group.withoutDeadline = false;
         group.mayWaitForBoots = false;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -187,7 +187,7 @@
         JobSpec spec = job.spec();
         group.startTargetS = startWithinSByClass.getOrDefault(spec.jobClass(), 0.0);
         group.expectedRunS = expectedRunS(spec);
-        group.longestRunS = START_OVERHEAD_S
+        group.expectedLongestRunS = START_OVERHEAD_S
                 + RUN_TIME_MARGIN_FACTOR
                         * group.expectedRunS
                         * (spec.tasks() > 1 ? longestToMeanByClass.getOrDefault(spec.jobClass(), 1.0) : 1);
@@ -201,7 +201,7 @@
         if (allowedS == null && group.startTargetS > 0 && !spec.service()) {
             // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
             group.latestStartMs = countedFrom + Math.round(group.startTargetS * 1000);
-            group.deadlineMs = group.latestStartMs + Math.round(group.longestRunS * 1000);
+            group.deadlineMs = group.latestStartMs + Math.round(group.expectedLongestRunS * 1000);
             group.finalDeadlineMs =
                     now - countedFrom < STARVATION_FACTOR * group.startTargetS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
             return;
@@ -213,7 +213,7 @@
             return;
         }
         group.deadlineMs = countedFrom + Math.round(allowedS * 1000);
-        group.latestStartMs = group.deadlineMs - Math.round(group.longestRunS * 1000);
+        group.latestStartMs = group.deadlineMs - Math.round(group.expectedLongestRunS * 1000);
         if (now - countedFrom < STARVATION_FACTOR * allowedS * 1000) {
             double latestFinishFactor = spec.deadlineS() != null
                     ? latestDeadlineFactor
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -21,7 +21,7 @@
     /** Expected run time of one task, in seconds; 0 if unknown, or if the task is a service replica and does not end. */
     public double expectedRunS;
     /** Expected run time of the longest task, which determines when the job ends, in seconds. */
-    public double longestRunS;
+    public double expectedLongestRunS;
     /** Deadline of the job, in milliseconds of the cycle's clock; Long.MAX_VALUE if it has none. */
     public long deadlineMs = Long.MAX_VALUE;
     /** Time until which finishing is still useful if the deadline is missed, in milliseconds. */
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -265,7 +265,7 @@
                 0,
                 tasks);
         group.expectedRunS = runS;
-        group.longestRunS = runS;
+        group.expectedLongestRunS = runS;
         group.deadlineMs = Math.round(dueS * 1000);
         group.finalDeadlineMs = group.deadlineMs;
         group.latestStartMs = group.deadlineMs - Math.round(runS * 1000);
@@ -456,7 +456,7 @@
             JobSpec spec = spec(10 * i + 1, false, Priority.NORMAL, 4, 4, true, false, false);
             TaskGroup waitingGroup = new TaskGroup(spec, group.job, group.arrivalOrder, 0, 4);
             waitingGroup.expectedRunS = group.expectedRunS;
-            waitingGroup.longestRunS = group.longestRunS;
+            waitingGroup.expectedLongestRunS = group.expectedLongestRunS;
             waitingGroup.deadlineMs = group.deadlineMs;
             waitingGroup.finalDeadlineMs = group.finalDeadlineMs;
             waitingGroup.latestStartMs = group.latestStartMs;
