--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -130,7 +130,7 @@
     private static double demandCpus(List<Team> teams, Collection<TaskGroup> groups) {
         double[] waitingCpus = new double[teams.size()];
         for (TaskGroup group : groups) {
-            waitingCpus[group.team] += group.waitingTasks * group.spec.cpus();
+            waitingCpus[group.teamIndex] += group.waitingTasks * group.spec.cpus();
         }
         double totalCpus = 0;
         for (int i = 0; i < waitingCpus.length; i++) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -77,7 +77,7 @@
             return priorityOrder < 0;
         }
         for (int teamIndex = 0; teamIndex < input.teams().size(); teamIndex++) {
-            if (teamIndex != group.team && input.teams().get(teamIndex).isBorrowing()) {
+            if (teamIndex != group.teamIndex && input.teams().get(teamIndex).isBorrowing()) {
                 return true;
             }
         }
@@ -115,14 +115,14 @@
      */
     private boolean mayStop(TaskGroup group, boolean withinGuarantee, CandidateNode.RunningTask task) {
         int priorityOrder = task.spec.priority().compareTo(group.spec.priority());
-        if (priorityOrder < 0 && task.teamIndex == group.team) {
+        if (priorityOrder < 0 && task.teamIndex == group.teamIndex) {
             return true;
         }
         boolean teamCanSpare = input.teams().get(task.teamIndex).canSpare(task.spec);
         if (priorityOrder < 0) {
             return withinGuarantee || teamCanSpare;
         }
-        return priorityOrder == 0 && withinGuarantee && teamCanSpare && task.teamIndex != group.team && !task.spec.service();
+        return priorityOrder == 0 && withinGuarantee && teamCanSpare && task.teamIndex != group.teamIndex && !task.spec.service();
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -105,7 +105,7 @@
             this.group = group;
             this.withinGuarantee = withinGuarantee;
             this.unplaced = unplaced;
-            team = input.teams.get(group.team);
+            team = input.teams.get(group.teamIndex);
             victims = preemption.victims(group, withinGuarantee);
         }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TaskGroup.java
@@ -13,7 +13,7 @@
     /** Position in the order of arrival. */
     public final long arrivalOrder;
     /** Index of the job's team in the cycle's list of teams. */
-    public final int team;
+    public final int teamIndex;
     /** Number of tasks that may be placed now. */
     public int waitingTasks;
     /** Number of tasks that may not be placed until it is certain that no machine runs them. */
@@ -49,7 +49,7 @@
         this.spec = spec;
         this.job = job;
         this.arrivalOrder = arrivalOrder;
-        this.team = team;
+        this.teamIndex = team;
         this.waitingTasks = waiting;
     }
 
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -127,7 +127,7 @@
             tasksByZoneByGroup
                     .computeIfAbsent(placement.group(), group -> new HashMap<>())
                     .merge(placement.node().zone, 1, Integer::sum);
-            usedCpusByTeam[placement.group().team] += spec.cpus();
+            usedCpusByTeam[placement.group().teamIndex] += spec.cpus();
             assertTrue(placement.node().up, "only nodes that are up take tasks");
             assertTrue(!placement.node().spot || spec.spot(), "spot instances only for jobs that allow them");
             assertTrue(
@@ -158,9 +158,9 @@
             for (int i = 0; i < consumed.groups().size(); i++) {
                 TaskGroup group = consumed.groups().get(i);
                 int waitingTasks = original.groups().get(i).waitingTasks - placedTasksByGroup.getOrDefault(group, 0);
-                double cpuLimit = consumed.teams().get(group.team).cpuLimit;
+                double cpuLimit = consumed.teams().get(group.teamIndex).cpuLimit;
                 boolean limitReached =
-                        cpuLimit > 0 && consumed.teams().get(group.team).usedCpus + group.spec.cpus() > cpuLimit + 1e-6;
+                        cpuLimit > 0 && consumed.teams().get(group.teamIndex).usedCpus + group.spec.cpus() > cpuLimit + 1e-6;
                 if (waitingTasks == 0 || limitReached || group.spec.oneZone() || group.spec.spread()) {
                     continue;
                 }
@@ -180,7 +180,7 @@
             boolean allowed = false;
             for (TaskGroup group : consumed.groups()) {
                 allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
-                        || task.teamIndex != group.team && task.spec.priority().compareTo(group.spec.priority()) == 0;
+                        || task.teamIndex != group.teamIndex && task.spec.priority().compareTo(group.spec.priority()) == 0;
             }
             assertTrue(allowed, "tasks are stopped only for higher priority or another team's guarantee");
         }
