--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -125,7 +125,7 @@
         team.usedCpus += spec.cpus();
         team.usedGpus += spec.gpus();
         if (isStopping) {
-            team.stopping(spec);
+            team.markStopping(spec);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -213,7 +213,7 @@
                     continue;
                 }
                 tasksToStop.add(task);
-                input.teams().get(task.teamIndex).stopping(task.spec);
+                input.teams().get(task.teamIndex).markStopping(task.spec);
                 freeCpus += task.spec.cpus();
                 freeGpus += task.spec.gpus();
                 freeMemoryGb += task.spec.memoryGb();
@@ -249,7 +249,7 @@
                 task.skipSave = group.startTargetS > 0
                         && task.spec.saveS() > group.startTargetS * MAX_SAVE_SHARE
                         && Math.min(task.elapsedS, task.spec.checkpointS()) < MAX_LOST_WORK_S;
-                input.teams().get(task.teamIndex).stopping(task.spec);
+                input.teams().get(task.teamIndex).markStopping(task.spec);
                 candidate.node().addRoomAfterStops(task.spec);
                 plan.tasksToStop.add(task);
             }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
@@ -40,12 +40,12 @@
     }
 
     /** Marks a task as stopping: it still counts as used, but no longer as something the team can spare. */
-    public void stopping(JobSpec spec) {
+    public void markStopping(JobSpec spec) {
         stoppingCpus += spec.cpus();
         stoppingGpus += spec.gpus();
     }
 
-    /** Reverts {@link #stopping} for a task that is not stopped. */
+    /** Reverts {@link #markStopping} for a task that is not stopped. */
     void unmarkStopping(JobSpec spec) {
         stoppingCpus -= spec.cpus();
         stoppingGpus -= spec.gpus();
