--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -134,7 +134,7 @@
         }
         double totalCpus = 0;
         for (int i = 0; i < waitingCpus.length; i++) {
-            totalCpus += teams.get(i).guaranteed(waitingCpus[i]);
+            totalCpus += teams.get(i).guaranteedDemandCpus(waitingCpus[i]);
         }
         return totalCpus;
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
@@ -91,7 +91,7 @@
      *
      * @param waitingCpus CPUs of waiting tasks
      */
-    public double guaranteed(double waitingCpus) {
+    public double guaranteedDemandCpus(double waitingCpus) {
         double demand = usedCpus + waitingCpus;
         double withinLimit = cpuLimit > 0 ? Math.min(demand, cpuLimit) : demand;
         return guaranteedCpus > 0 ? Math.min(withinLimit, guaranteedCpus) : withinLimit;
