--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -11,7 +11,7 @@
 import org.landingridge.controller.fleet.Machine;
 import org.landingridge.controller.scheduling.CandidateNode;
 import org.landingridge.controller.scheduling.TaskGroup;
-import org.landingridge.controller.scheduling.Team;
+import org.landingridge.controller.scheduling.TeamQuota;
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.MachineType;
 import org.landingridge.wire.RentRequest;
@@ -24,7 +24,7 @@
     private final Fleet fleet;
     private final RuntimeForecast forecast;
     private final ConfiguredTeams configuredTeams;
-    private final List<Team> teams;
+    private final List<TeamQuota> teams;
     private final Map<String, TaskGroup> groupsByJob;
     private final long now;
     private final List<CandidateNode> nodes = new ArrayList<>();
@@ -33,7 +33,7 @@
             Fleet fleet,
             RuntimeForecast forecast,
             ConfiguredTeams configuredTeams,
-            List<Team> teams,
+            List<TeamQuota> teams,
             Map<String, TaskGroup> groupsByJob,
             long now) {
         this.fleet = fleet;
@@ -121,7 +121,7 @@
         return running;
     }
 
-    private static void addUsage(Team team, JobSpec spec, boolean isStopping) {
+    private static void addUsage(TeamQuota team, JobSpec spec, boolean isStopping) {
         team.usedCpus += spec.cpus();
         team.usedGpus += spec.gpus();
         if (isStopping) {
@@ -130,7 +130,7 @@
     }
 
     private void addUnverifiedToAllTeams(double cpus, double gpus) {
-        for (Team team : teams) {
+        for (TeamQuota team : teams) {
             team.addUnverified(cpus, gpus);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.landingridge.controller.liveconfig.Configuration;
 import org.landingridge.controller.liveconfig.ConfiguredTeam;
-import org.landingridge.controller.scheduling.Team;
+import org.landingridge.controller.scheduling.TeamQuota;
 import org.landingridge.controller.settings.Settings;
 
 /**
@@ -33,17 +33,17 @@
 
     /** Returns the currently configured teams, without usage. A cycle reads the configuration only through this method. */
     @SuppressWarnings("ReferenceEquality") // each change creates a new immutable configuration
-    List<Team> refresh() {
+    List<TeamQuota> refresh() {
         Configuration current = context.liveConfiguration().current();
         if (current != configuration) {
             configuration = current;
             indexByName.clear();
             current.teams().keySet().forEach(name -> indexByName.put(name, indexByName.size()));
         }
-        List<Team> teams = new ArrayList<>();
+        List<TeamQuota> teams = new ArrayList<>();
         for (ConfiguredTeam team : current.teams().values()) {
             Settings.Team limits = team.limits();
-            teams.add(new Team(limits.cpus(), limits.cpusMax(), limits.gpus(), limits.gpusMax()));
+            teams.add(new TeamQuota(limits.cpus(), limits.cpusMax(), limits.gpus(), limits.gpusMax()));
         }
         return teams;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -13,7 +13,7 @@
 import org.landingridge.controller.scheduling.Scheduler;
 import org.landingridge.controller.scheduling.SchedulingPlan;
 import org.landingridge.controller.scheduling.TaskGroup;
-import org.landingridge.controller.scheduling.Team;
+import org.landingridge.controller.scheduling.TeamQuota;
 import org.landingridge.controller.scheduling.WindowedMaximum;
 import org.landingridge.wire.JobSpec;
 
@@ -58,7 +58,7 @@
             return;
         }
         long now = context.loop().now();
-        List<Team> teams = configuredTeams.refresh();
+        List<TeamQuota> teams = configuredTeams.refresh();
         if (configuredTeams.mayBeOutdated(now)) {
             return;
         }
@@ -67,7 +67,7 @@
         stopExcess(snapshot);
     }
 
-    private SchedulingSnapshot takeSnapshot(long now, List<Team> teams) {
+    private SchedulingSnapshot takeSnapshot(long now, List<TeamQuota> teams) {
         Map<String, TaskGroup> groupsByJob = taskGroupBuilder.build(now);
         CandidateNodeBuilder nodeBuilder =
                 new CandidateNodeBuilder(fleet, forecast, configuredTeams, teams, groupsByJob, now);
@@ -127,7 +127,7 @@
     }
 
     /** Returns the CPUs that the teams use and request: up to the guarantee for a team that has one, all of them otherwise. */
-    private static double demandCpus(List<Team> teams, Collection<TaskGroup> groups) {
+    private static double demandCpus(List<TeamQuota> teams, Collection<TaskGroup> groups) {
         double[] waitingCpus = new double[teams.size()];
         for (TaskGroup group : groups) {
             waitingCpus[group.teamIndex] += group.waitingTasks * group.spec.cpus();
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingSnapshot.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingSnapshot.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.landingridge.controller.scheduling.CandidateNode;
 import org.landingridge.controller.scheduling.TaskGroup;
-import org.landingridge.controller.scheduling.Team;
+import org.landingridge.controller.scheduling.TeamQuota;
 
 /**
  * The input of one scheduling cycle.
@@ -14,4 +14,4 @@
  * @param groupsByJob the waiting tasks by job id, in the order in which the jobs were accepted
  * @param nodes       machines that can take tasks now or soon, followed by machines that pending rent operations may provide
  */
-record SchedulingSnapshot(long now, List<Team> teams, Map<String, TaskGroup> groupsByJob, List<CandidateNode> nodes) {}
+record SchedulingSnapshot(long now, List<TeamQuota> teams, Map<String, TaskGroup> groupsByJob, List<CandidateNode> nodes) {}
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -29,10 +29,10 @@
     private ExcessWork() {}
 
     /** Returns the tasks to stop in one step; empty if every team is within its limit. */
-    public static List<CandidateNode.RunningTask> step(List<CandidateNode> nodes, List<Team> teams) {
+    public static List<CandidateNode.RunningTask> step(List<CandidateNode> nodes, List<TeamQuota> teams) {
         List<CandidateNode.RunningTask> tasksToStop = new ArrayList<>();
         for (int teamIndex = 0; teamIndex < teams.size(); teamIndex++) {
-            Team team = teams.get(teamIndex);
+            TeamQuota team = teams.get(teamIndex);
             List<CandidateNode.RunningTask> teamTasks = runningTasks(nodes, teamIndex);
             double excessCpus = team.cpuLimit > 0
                     ? teamTasks.stream().mapToDouble(task -> task.spec.cpus()).sum() - team.cpuLimit
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -30,7 +30,7 @@
             long now,
             List<CandidateNode> nodes,
             List<TaskGroup> groups,
-            List<Team> teams,
+            List<TeamQuota> teams,
             List<MachineType> machineTypes,
             Map<String, Long> noCapacityUntilByPool,
             Spare serviceReserve,
@@ -95,7 +95,7 @@
         private final TaskGroup group;
         private final boolean withinGuarantee;
         private final Map<TaskGroup, Integer> unplaced;
-        private final Team team;
+        private final TeamQuota team;
         private final Preemption.Victims victims;
         /** Null until the quota permits a first task. */
         private PriorityQueue<Candidate> candidates;
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Team.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/TeamQuota.java
@@ -6,7 +6,7 @@
  * A team's quota in one scheduling cycle: its guarantee, its limit and its current use, in CPUs and GPUs. A limit of 0 means
  * that there is no limit.
  */
-public final class Team {
+public final class TeamQuota {
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     final double guaranteedCpus;
@@ -26,7 +26,7 @@
     private double unverifiedGpus;
 
     /** Creates the quota of a team without current use. */
-    public Team(double guaranteedCpus, double cpuLimit, double guaranteedGpus, double gpuLimit) {
+    public TeamQuota(double guaranteedCpus, double cpuLimit, double guaranteedGpus, double gpuLimit) {
         this.guaranteedCpus = guaranteedCpus;
         this.cpuLimit = cpuLimit;
         this.guaranteedGpus = guaranteedGpus;
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -58,7 +58,7 @@
     /** Returns a random input; the same seed gives the same input. */
     private static Scheduler.Input randomInput(long seed) {
         Random random = new Random(seed);
-        List<Team> teams = List.of(new Team(8, random.nextBoolean() ? 16 : 0, 0, 0), new Team(4, 12, 0, 0));
+        List<TeamQuota> teams = List.of(new TeamQuota(8, random.nextBoolean() ? 16 : 0, 0, 0), new TeamQuota(4, 12, 0, 0));
         List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(8); i++) {
             CandidateNode node = new CandidateNode(
@@ -217,7 +217,7 @@
                 1_000_000,
                 nodes,
                 List.of(group),
-                List.of(new Team(0, 0, 0, 0)),
+                List.of(new TeamQuota(0, 0, 0, 0)),
                 List.of(MACHINE_TYPE),
                 new HashMap<>(),
                 null,
@@ -278,7 +278,7 @@
                         0,
                         List.of(node),
                         List.of(groups),
-                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(new TeamQuota(0, 0, 0, 0)),
                         List.of(MACHINE_TYPE),
                         new HashMap<>(),
                         null,
@@ -306,8 +306,8 @@
     @Test
     void preemptionForAnotherTeamsGuaranteeStopsAtOwnersGuarantee() {
         List<CandidateNode> nodes = new ArrayList<>();
-        Team lender = new Team(8, 0, 0, 0);
-        Team owner = new Team(8, 0, 0, 0);
+        TeamQuota lender = new TeamQuota(8, 0, 0, 0);
+        TeamQuota owner = new TeamQuota(8, 0, 0, 0);
         for (int i = 0; i < 3; i++) {
             CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m" + i, true, Set.of());
             node.add(new CandidateNode.RunningTask(
@@ -370,7 +370,7 @@
                         0,
                         List.of(expensive, cheap),
                         List.of(waitingGroups),
-                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(new TeamQuota(0, 0, 0, 0)),
                         List.of(MACHINE_TYPE),
                         new HashMap<>(),
                         null,
@@ -385,7 +385,7 @@
     /** A node on which tasks were stopped for one waiting task may be the only one with more tasks to stop for the next. */
     @Test
     void oneNodeMakesRoomForSeveralTasksInOneCycle() {
-        List<Team> teams = List.of(new Team(8, 0, 0, 0), new Team(0, 0, 0, 0));
+        List<TeamQuota> teams = List.of(new TeamQuota(8, 0, 0, 0), new TeamQuota(0, 0, 0, 0));
         CandidateNode node = new CandidateNode(MACHINE_TYPE, "a", false, "m", true, Set.of());
         for (int i = 0; i < 4; i++) {
             node.add(new CandidateNode.RunningTask(
@@ -430,7 +430,7 @@
                         0,
                         List.of(idle, busy),
                         List.of(),
-                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(new TeamQuota(0, 0, 0, 0)),
                         List.of(MACHINE_TYPE),
                         new HashMap<>(),
                         null,
@@ -480,7 +480,7 @@
                         0,
                         nodes,
                         queue,
-                        List.of(new Team(0, 0, 0, 0)),
+                        List.of(new TeamQuota(0, 0, 0, 0)),
                         List.of(MACHINE_TYPE),
                         noCapacityUntilByPool,
                         null,
@@ -521,7 +521,7 @@
                 0,
                 nodes,
                 groups,
-                List.of(new Team(0, 0, 0, 0)),
+                List.of(new TeamQuota(0, 0, 0, 0)),
                 List.of(MACHINE_TYPE),
                 new HashMap<>(),
                 null,
@@ -563,7 +563,7 @@
                 2_000,
                 nodes,
                 List.of(service, competing),
-                List.of(new Team(100, 0, 0, 0)),
+                List.of(new TeamQuota(100, 0, 0, 0)),
                 List.of(MACHINE_TYPE),
                 new HashMap<>(),
                 null,
