--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -184,7 +184,7 @@
         if (!configuredTeams.wasEverChanged() || snapshot.now() < nextExcessStepAt) {
             return;
         }
-        List<CandidateNode.RunningTask> excess = ExcessWork.step(snapshot.nodes(), snapshot.teams());
+        List<CandidateNode.RunningTask> excess = ExcessWork.tasksToStop(snapshot.nodes(), snapshot.teams());
         if (!excess.isEmpty()) {
             nextExcessStepAt = snapshot.now() + ExcessWork.STEP_MS;
             planExecutor.stopExcess(excess);
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -29,7 +29,7 @@
     private ExcessWork() {}
 
     /** Returns the tasks to stop in one step; empty if every team is within its limit. */
-    public static List<CandidateNode.RunningTask> step(List<CandidateNode> nodes, List<TeamQuota> teams) {
+    public static List<CandidateNode.RunningTask> tasksToStop(List<CandidateNode> nodes, List<TeamQuota> teams) {
         List<CandidateNode.RunningTask> tasksToStop = new ArrayList<>();
         for (int teamIndex = 0; teamIndex < teams.size(); teamIndex++) {
             TeamQuota team = teams.get(teamIndex);
