--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -186,7 +186,7 @@
         }
         List<CandidateNode.RunningTask> excess = ExcessWork.tasksToStop(snapshot.nodes(), snapshot.teams());
         if (!excess.isEmpty()) {
-            nextExcessStepAt = snapshot.now() + ExcessWork.STEP_MS;
+            nextExcessStepAt = snapshot.now() + ExcessWork.STEP_INTERVAL_MS;
             planExecutor.stopExcess(excess);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
@@ -11,7 +11,7 @@
  */
 public final class ExcessWork {
     /** Interval between two steps, in milliseconds. */
-    public static final long STEP_MS = 1_000;
+    public static final long STEP_INTERVAL_MS = 1_000;
     /** Share of the excess that one step stops. */
     private static final double STEP_SHARE = 0.25;
     /** Minimum number of CPUs per step, so that the excess reaches zero. */
