--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -9,7 +9,7 @@
 import org.landingridge.controller.fleet.Machine;
 import org.landingridge.controller.recovery.ObservationWindow;
 import org.landingridge.controller.scheduling.CandidateNode;
-import org.landingridge.controller.scheduling.ExcessWork;
+import org.landingridge.controller.scheduling.QuotaEnforcement;
 import org.landingridge.controller.scheduling.Scheduler;
 import org.landingridge.controller.scheduling.SchedulingPlan;
 import org.landingridge.controller.scheduling.TaskGroup;
@@ -184,9 +184,9 @@
         if (!configuredTeams.wasEverChanged() || snapshot.now() < nextExcessStepAt) {
             return;
         }
-        List<CandidateNode.RunningTask> excess = ExcessWork.tasksToStop(snapshot.nodes(), snapshot.teams());
+        List<CandidateNode.RunningTask> excess = QuotaEnforcement.tasksToStop(snapshot.nodes(), snapshot.teams());
         if (!excess.isEmpty()) {
-            nextExcessStepAt = snapshot.now() + ExcessWork.STEP_INTERVAL_MS;
+            nextExcessStepAt = snapshot.now() + QuotaEnforcement.STEP_INTERVAL_MS;
             planExecutor.stopExcess(excess);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ExcessWork.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QuotaEnforcement.java
@@ -9,7 +9,7 @@
  * most recently started first within a priority. Each step stops a quarter of the remaining excess, so that a mistaken
  * quota that is soon corrected does not stop all of a team's work.
  */
-public final class ExcessWork {
+public final class QuotaEnforcement {
     /** Interval between two steps, in milliseconds. */
     public static final long STEP_INTERVAL_MS = 1_000;
     /** Share of the excess that one step stops. */
@@ -26,7 +26,7 @@
             .thenComparing(Comparator.comparingLong((CandidateNode.RunningTask task) -> task.startedAtMs)
                     .reversed());
 
-    private ExcessWork() {}
+    private QuotaEnforcement() {}
 
     /** Returns the tasks to stop in one step; empty if every team is within its limit. */
     public static List<CandidateNode.RunningTask> tasksToStop(List<CandidateNode> nodes, List<TeamQuota> teams) {
