--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -52,7 +52,7 @@
     }
 
     private static String pool(RentRequest request) {
-        return Scheduler.pool(request.type(), request.zone(), request.spot());
+        return Scheduler.poolKey(request.type(), request.zone(), request.spot());
     }
 
     /** Removes machines that were returned, and machines that the cloud's lists no longer show. */
--- a/controller/src/main/java/org/landingridge/controller/leader/PoolCapacity.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PoolCapacity.java
@@ -6,7 +6,7 @@
 
 /**
  * Backoff for pools of the cloud that could not provide all requested machines: until when no rent is requested from them. Pools
- * are named by {@link org.landingridge.controller.scheduling.Scheduler#pool}.
+ * are named by {@link org.landingridge.controller.scheduling.Scheduler#poolKey}.
  */
 final class PoolCapacity {
     private static final long INITIAL_PAUSE_MS = 3_000;
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -151,7 +151,7 @@
             hasLapsedMachines |= machine.state() == Machine.State.LAPSED;
             // If all machines of a pool boot late, new ones would be late too; other pools are tried first.
             if (fleet.isLateWithPool(machine, now)) {
-                closedUntilByPool.put(Scheduler.pool(machine.machineType().name(), machine.zone(), machine.spot()), now + 1);
+                closedUntilByPool.put(Scheduler.poolKey(machine.machineType().name(), machine.zone(), machine.spot()), now + 1);
             }
         }
         if (hasLapsedMachines) {
@@ -172,8 +172,8 @@
         silentMinusUpByZone.forEach((zone, silentMinusUp) -> {
             if (silentMinusUp > 0) {
                 for (String type : context.machineTypes().keySet()) {
-                    closedUntilByPool.put(Scheduler.pool(type, zone, true), now + 1);
-                    closedUntilByPool.put(Scheduler.pool(type, zone, false), now + 1);
+                    closedUntilByPool.put(Scheduler.poolKey(type, zone, true), now + 1);
+                    closedUntilByPool.put(Scheduler.poolKey(type, zone, false), now + 1);
                 }
             }
         });
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -29,7 +29,7 @@
     /** Machines of one type in one zone. */
     private record Pool(MachineType type, String zone, boolean spot) {
         String key() {
-            return Scheduler.pool(type.name(), zone, spot);
+            return Scheduler.poolKey(type.name(), zone, spot);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -21,7 +21,7 @@
      * @param now                   current time, in milliseconds of the event loop's clock
      * @param teams                 the teams' quotas; team indexes of groups and tasks refer to this list
      * @param machineTypes          the cloud's machine types
-     * @param noCapacityUntilByPool time until which the cloud is not asked for machines of a pool, by {@link #pool} key
+     * @param noCapacityUntilByPool time until which the cloud is not asked for machines of a pool, by {@link #poolKey} key
      * @param serviceReserve        room to keep free for services, or null if there are none
      * @param idleTimeoutMs         how long an idle machine is kept, in milliseconds
      * @param cpusToKeep            CPUs to keep up, from recent demand within the guarantees; Double.MAX_VALUE keeps all
@@ -57,7 +57,7 @@
     }
 
     /** Returns the key of a machine pool, under which a lack of capacity is recorded. */
-    public static String pool(String type, String zone, boolean spot) {
+    public static String poolKey(String type, String zone, boolean spot) {
         return type + '/' + zone + (spot ? "/spot" : "/ordinary");
     }
 
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -472,8 +472,8 @@
         }
         Map<String, Long> noCapacityUntilByPool = new HashMap<>();
         if (cheapPoolsFull) {
-            noCapacityUntilByPool.put(Scheduler.pool("t4", "a", true), 1_000L);
-            noCapacityUntilByPool.put(Scheduler.pool("t4", "b", true), 1_000L);
+            noCapacityUntilByPool.put(Scheduler.poolKey("t4", "a", true), 1_000L);
+            noCapacityUntilByPool.put(Scheduler.poolKey("t4", "b", true), 1_000L);
         }
         Map<Boolean, Integer> rented = new HashMap<>();
         Scheduler.plan(new Scheduler.Input(
