--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -93,7 +93,7 @@
     }
 
     /** Returns the capacity to keep free for services, or null if there are no services. */
-    private Scheduler.Spare serviceHeadroom(Collection<TaskGroup> groups) {
+    private Scheduler.ServiceReserve serviceHeadroom(Collection<TaskGroup> groups) {
         JobSpec largestReplica = null;
         int replicaCount = 0;
         for (TaskGroup group : groups) {
@@ -108,7 +108,7 @@
             return null;
         }
         int reservedTasks = (int) Math.ceil(replicaCount * context.policy().spareShare());
-        return new Scheduler.Spare(largestReplica, Math.max(2, reservedTasks));
+        return new Scheduler.ServiceReserve(largestReplica, Math.max(2, reservedTasks));
     }
 
     /** Returns the number of CPUs to keep running even if they are not requested at the moment. */
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleOut.java
@@ -97,7 +97,7 @@
         expensiveCpuBudget = Double.MAX_VALUE;
     }
 
-    private void packServiceReserve(Scheduler.Spare serviceReserve) {
+    private void packServiceReserve(Scheduler.ServiceReserve serviceReserve) {
         TaskGroup serviceGroup = new TaskGroup(serviceReserve.taskSpec(), null, Long.MAX_VALUE, 0, 0);
         int missingTasks = serviceReserve.tasks();
         for (CandidateNode node : input.nodes()) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Scheduler.java
@@ -33,12 +33,12 @@
             List<TeamQuota> teams,
             List<MachineType> machineTypes,
             Map<String, Long> noCapacityUntilByPool,
-            Spare serviceReserve,
+            ServiceReserve serviceReserve,
             long idleTimeoutMs,
             double cpusToKeep) {}
 
     /** Room kept free for services, as a number of additional tasks of the given size. */
-    public record Spare(JobSpec taskSpec, int tasks) {}
+    public record ServiceReserve(JobSpec taskSpec, int tasks) {}
 
     private final Input input;
     private final SchedulingPlan plan = new SchedulingPlan();
