--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -277,7 +277,7 @@
 
         @Override
         public void unknownMachineReported() {
-            observationWindow.newcomer(loop.now());
+            observationWindow.recordUnknownMachine(loop.now());
         }
 
         @Override
--- a/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -35,7 +35,7 @@
     }
 
     /** Records a heartbeat of a machine that was unknown so far. */
-    public void newcomer(long nowMs) {
+    public void recordUnknownMachine(long nowMs) {
         newestMachineAtMs = nowMs;
     }
 
--- a/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -12,11 +12,11 @@
 
     @Test
     void isCompleteOnceListIsReadAndNoUnknownMachineReportedForOneSecond() {
-        observationWindow.newcomer(10_800);
+        observationWindow.recordUnknownMachine(10_800);
         assertEquals(GATHERING, observationWindow.state(11_900), "no list has been read yet");
         observationWindow.listed();
         assertEquals(COMPLETE, observationWindow.state(11_900));
-        observationWindow.newcomer(12_000);
+        observationWindow.recordUnknownMachine(12_000);
         assertEquals(COMPLETE, observationWindow.state(12_001), "the state is final");
     }
 
@@ -24,7 +24,7 @@
     void staysGatheringWhileUnknownMachinesReportUntilMaxDuration() {
         observationWindow.listed();
         for (long at = 10_000; at < 16_000; at += 900) {
-            observationWindow.newcomer(at);
+            observationWindow.recordUnknownMachine(at);
             assertEquals(GATHERING, observationWindow.state(at + 899));
         }
         assertEquals(COMPLETE, observationWindow.state(17_000));
