--- a/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/ObservationWindow.java
@@ -40,7 +40,7 @@
     }
 
     /** Records that a list of the cloud's machines has been read. */
-    public void listed() {
+    public void recordMachineList() {
         listRead = true;
     }
 
--- a/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
+++ b/controller/src/test/java/org/landingridge/controller/recovery/ObservationWindowTest.java
@@ -14,7 +14,7 @@
     void isCompleteOnceListIsReadAndNoUnknownMachineReportedForOneSecond() {
         observationWindow.recordUnknownMachine(10_800);
         assertEquals(GATHERING, observationWindow.state(11_900), "no list has been read yet");
-        observationWindow.listed();
+        observationWindow.recordMachineList();
         assertEquals(COMPLETE, observationWindow.state(11_900));
         observationWindow.recordUnknownMachine(12_000);
         assertEquals(COMPLETE, observationWindow.state(12_001), "the state is final");
@@ -22,7 +22,7 @@
 
     @Test
     void staysGatheringWhileUnknownMachinesReportUntilMaxDuration() {
-        observationWindow.listed();
+        observationWindow.recordMachineList();
         for (long at = 10_000; at < 16_000; at += 900) {
             observationWindow.recordUnknownMachine(at);
             assertEquals(GATHERING, observationWindow.state(at + 899));
