--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatEndpoint.java
@@ -49,7 +49,7 @@
         Decision decision = Reconciliation.heartbeat(new HeartbeatEvidence(
                 machines.wasReturned(heartbeat.machine()),
                 knownMachine == null || knownMachine.incarnation().isOlderThan(heartbeat),
-                Token.of(heartbeat.token(), context.leadership().token())));
+                Token.compare(heartbeat.token(), context.leadership().token())));
         if (decision.is(Action.ASK)) {
             // The worker has seen a higher token and would drop this controller's 200: its lease would not be renewed.
             context.leadership().verifyLeadership();
--- a/controller/src/main/java/org/landingridge/controller/recovery/HeartbeatEvidence.java
+++ b/controller/src/main/java/org/landingridge/controller/recovery/HeartbeatEvidence.java
@@ -18,7 +18,7 @@
         HIGHER;
 
         /** Compares a token that a worker has seen with this leader's. */
-        public static Token of(long seenToken, long ownToken) {
+        public static Token compare(long seenToken, long ownToken) {
             if (seenToken == ownToken) {
                 return EQUAL;
             }
