--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -256,7 +256,7 @@
         }
 
         @Override
-        public void lost() {
+        public void changesMissed() {
             history.reset();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -31,7 +31,7 @@
         void changed(String key, JsonNode value, long version);
 
         /** Called when changes may have been missed. Keys outside the loaded prefix are not reloaded by the cache. */
-        default void lost() {}
+        default void changesMissed() {}
     }
 
     private enum State {
@@ -202,7 +202,7 @@
             } else if (answer.status() == Status.TOO_OLD) {
                 LOG.info("watch revision too old and reload started, revision={}", fromRevision);
                 state = State.LOADING;
-                listener.lost();
+                listener.changesMissed();
                 start();
             } else {
                 loop.after(RETRY_WATCH_MS, this::watchChanges);
