--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -161,7 +161,7 @@
      * from the state service or from the reports of all other controllers.
      */
     public long cancellationsKnownBefore() {
-        return Math.max(watchCache.viewAt(), promises.cancellationsKnownBefore());
+        return Math.max(watchCache.currentAsOf(), promises.cancellationsKnownBefore());
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -56,7 +56,7 @@
     private long revision = -1;
     private long lastAnswer = Long.MIN_VALUE / 2;
     /** Time on the loop's clock, in milliseconds: the cache reflects everything that was stored before it. */
-    private long viewAt = Long.MIN_VALUE / 2;
+    private long currentAsOf = Long.MIN_VALUE / 2;
 
     private boolean loaded;
     private List<BarrierCall> pendingCalls = new ArrayList<>();
@@ -118,8 +118,8 @@
     }
 
     /** Returns a time on the loop's clock: the cache reflects all earlier writes. Far in the past until the first load ends. */
-    public long viewAt() {
-        return viewAt;
+    public long currentAsOf() {
+        return currentAsOf;
     }
 
     /** Returns true once the first full load is complete. */
@@ -220,7 +220,7 @@
         timer.during(ActivityTimer.Part.WATCH, () -> applyChanges(changes.get().changes()));
         revision = Math.max(revision, changes.get().revision());
         // During a reload, the changes from a watch alone do not make the cache complete.
-        viewAt = state == State.FOLLOWING ? Math.max(viewAt, sentAt) : viewAt;
+        currentAsOf = state == State.FOLLOWING ? Math.max(currentAsOf, sentAt) : currentAsOf;
         return true;
     }
 
@@ -294,7 +294,7 @@
         revision = firstRevision;
         state = State.FOLLOWING;
         loaded = true;
-        viewAt = Math.max(viewAt, load.startedAt);
+        currentAsOf = Math.max(currentAsOf, load.startedAt);
         watchChanges();
     }
 }
