--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -336,7 +336,7 @@
     private void probeStateService() {
         if (!probePending
                 && watchCache.following()
-                && loop.now() - watchCache.lastAnswer() > READINESS_TIMEOUT_MS / 4) {
+                && loop.now() - watchCache.lastAnswerAt() > READINESS_TIMEOUT_MS / 4) {
             probePending = true;
             watchCache.barrier(() -> probePending = false, () -> probePending = false);
         }
@@ -346,7 +346,7 @@
     private boolean isReady() {
         return watchCache.following()
                 && !machineTypes.isEmpty()
-                && loop.now() - watchCache.lastAnswer() < READINESS_TIMEOUT_MS;
+                && loop.now() - watchCache.lastAnswerAt() < READINESS_TIMEOUT_MS;
     }
 
     /** Serves one request of a user, a worker or the load balancer. */
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -156,7 +156,7 @@
         return !catchingUp
                 && watchCache.following()
                 && loop.now() >= claimNotBefore
-                && loop.now() - watchCache.lastAnswer() <= MAX_ANSWER_AGE_MS;
+                && loop.now() - watchCache.lastAnswerAt() <= MAX_ANSWER_AGE_MS;
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -54,7 +54,7 @@
     private final Map<String, Long> versionsByKey = new HashMap<>();
     private State state = State.LOADING;
     private long revision = -1;
-    private long lastAnswer = Long.MIN_VALUE / 2;
+    private long lastAnswerAt = Long.MIN_VALUE / 2;
     /** Time on the loop's clock, in milliseconds: the cache reflects everything that was stored before it. */
     private long currentAsOf = Long.MIN_VALUE / 2;
 
@@ -113,8 +113,8 @@
     }
 
     /** Returns the time of the state service's last answer, on the loop's clock. Refusals do not count. */
-    public long lastAnswer() {
-        return lastAnswer;
+    public long lastAnswerAt() {
+        return lastAnswerAt;
     }
 
     /** Returns a time on the loop's clock: the cache reflects all earlier writes. Far in the past until the first load ends. */
@@ -187,7 +187,7 @@
 
     private void recordAnswerTime(Answer answer) {
         if (answer.status() != Status.REFUSED && answer.status() != Status.UNKNOWN) {
-            lastAnswer = loop.now();
+            lastAnswerAt = loop.now();
         }
     }
 
