--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -82,7 +82,7 @@
     }
 
     private void recordCancelled(Exchange exchange, Job job, long revision) {
-        watchCache.committed(Keys.JOBS + job.id(), revision);
+        watchCache.recordCommitted(Keys.JOBS + job.id(), revision);
         table.end(job, Job.Status.CANCELLED, job.tasks(), revision, true);
         LOG.info("job cancelled, job={}", job.id());
         responses.finalStatus(exchange, job.id(), Job.Status.CANCELLED);
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -121,7 +121,7 @@
 
     private void completeAccepted(Submission submission, String key, Answer answer) {
         if (answer.revision() > watchCache.revision()) {
-            watchCache.committed(key, answer.revision());
+            watchCache.recordCommitted(key, answer.revision());
             table.changed(submission.id(), submission.storedValue, answer.revision());
         }
         boolean cancelled = StoredJobCodec.termination(submission.storedValue).isPresent();
--- a/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
+++ b/controller/src/main/java/org/landingridge/controller/election/FencingToken.java
@@ -43,7 +43,7 @@
             raisePending = false;
             if (lease.id() == leader.leaseId() && answer.ok()) {
                 value = Math.max(value, answer.revision());
-                store.cache().committed(key, value);
+                store.cache().recordCommitted(key, value);
                 LOG.info("token raised, from={} to={}", previousValue, value);
             }
         });
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -207,7 +207,7 @@
             return;
         }
         if (answer.ok()) {
-            watchCache.committed(settings.lastLeaderKey(), answer.revision());
+            watchCache.recordCommitted(settings.lastLeaderKey(), answer.revision());
             finishWonClaim(claim, answer.revision());
         } else if (answer.status() == Status.UNKNOWN) {
             resolveUnknownClaim(claim);
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -250,7 +250,7 @@
         previousToken = claim.previousToken();
         wonAt = loop.now();
         token.set(revision);
-        watchCache.committed(settings.leaderKey(), revision);
+        watchCache.recordCommitted(settings.leaderKey(), revision);
         state.moveTo(State.LEADING);
         awaitCurrentView();
     }
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -240,7 +240,7 @@
             if (write.value() == null) {
                 watchCache.recordDeleted(write.key(), revision);
             } else {
-                watchCache.committed(write.key(), revision);
+                watchCache.recordCommitted(write.key(), revision);
             }
         }
         for (Document document : batch.documents) {
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -133,7 +133,7 @@
     }
 
     /** Records the version of a key that this process has committed, before the watch delivers the change. */
-    public void committed(String key, long version) {
+    public void recordCommitted(String key, long version) {
         // Changes that the watch has delivered are as new or newer: a key deleted in the meantime must not reappear.
         if (version > revision && version > version(key)) {
             versionsByKey.put(key, version);
