--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -338,7 +338,7 @@
                 && watchCache.following()
                 && loop.now() - watchCache.lastAnswerAt() > READINESS_TIMEOUT_MS / 4) {
             probePending = true;
-            watchCache.barrier(() -> probePending = false, () -> probePending = false);
+            watchCache.readBarrier(() -> probePending = false, () -> probePending = false);
         }
         loop.after(READINESS_TIMEOUT_MS / 4, this::probeStateService);
     }
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -155,7 +155,7 @@
     }
 
     private void afterBarrier(Callback callback, Runnable onPassed) {
-        watchCache.barrier(onPassed, () -> callback.unavailable(STATE_SERVICE_UNAVAILABLE));
+        watchCache.readBarrier(onPassed, () -> callback.unavailable(STATE_SERVICE_UNAVAILABLE));
     }
 
     /** Looks up every awaited job that the table does not keep; a leader cannot start the dependants of these jobs before. */
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -249,7 +249,7 @@
     /** Blocks further claims until the watch has delivered everything that was stored before this call. */
     private void catchUp() {
         catchingUp = true;
-        watchCache.barrier(
+        watchCache.readBarrier(
                 () -> {
                     catchingUp = false;
                     claimIfPossible();
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -258,7 +258,7 @@
     /** Reports the election only once this controller's view holds everything that was written before it. */
     private void awaitCurrentView() {
         long electedToken = token.value();
-        watchCache.barrier(
+        watchCache.readBarrier(
                 () -> {
                     if (leads() && token.value() == electedToken) {
                         listener.elected(electedToken);
@@ -288,7 +288,7 @@
     public void verifyLeadership() {
         if (!leaderCheckPending) {
             leaderCheckPending = true;
-            watchCache.barrier(() -> leaderCheckPending = false, () -> leaderCheckPending = false);
+            watchCache.readBarrier(() -> leaderCheckPending = false, () -> leaderCheckPending = false);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -270,7 +270,7 @@
     /** Waits until the watch cache shows the outcome of the transaction. */
     private void awaitOutcome(List<MoveCandidate> moved) {
         transitionTo(State.SYNCING);
-        watchCache.barrier(
+        watchCache.readBarrier(
                 () -> {
                     if (state == State.SYNCING) {
                         selector.forget(moved);
--- a/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/ConfiguredTeams.java
@@ -71,7 +71,7 @@
         long viewAgeMs = now - context.leadership().cancellationsKnownBefore();
         if (viewAgeMs > REFRESH_VIEW_AGE_MS && !isBarrierPending) {
             isBarrierPending = true;
-            context.watchCache().barrier(() -> isBarrierPending = false, () -> isBarrierPending = false);
+            context.watchCache().readBarrier(() -> isBarrierPending = false, () -> isBarrierPending = false);
         }
         return viewAgeMs > MAX_VIEW_AGE_MS;
     }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -103,7 +103,7 @@
             answerError(exchange, 503, "the outcome of the change is unknown: retry with the same key");
             return;
         }
-        watchCache.barrier(
+        watchCache.readBarrier(
                 () -> evaluate(exchange, request, attempt),
                 () -> answerError(exchange, 503, "the state service does not answer: retry with the same key"));
     }
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -266,7 +266,7 @@
     }
 
     private void rereadVersions(long sentInEpoch) {
-        watchCache.barrier(
+        watchCache.readBarrier(
                 () -> {
                     if (sentInEpoch == epoch) {
                         scheduleNext(PAUSE_AFTER_REREAD_MS);
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -153,7 +153,7 @@
     }
 
     /** Runs {@code onPassed} once the cache is at least as new as all answers sent before this call, else {@code onFailed}. */
-    public void barrier(Runnable onPassed, Runnable onFailed) {
+    public void readBarrier(Runnable onPassed, Runnable onFailed) {
         pendingCalls.add(new BarrierCall(onPassed, onFailed));
         if (!barrierScheduled) {
             barrierScheduled = true;
