--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -271,7 +271,7 @@
     private void leaderDocumentChanged(String key, JsonNode value) {
         leaderDocuments.update(key, value);
         if (key.startsWith(Keys.ROOT + CompletionStore.PREFIX)) {
-            CompletionStore.read(value, jobTable);
+            CompletionStore.markFinishedTasks(value, jobTable);
         }
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -65,7 +65,7 @@
     private void readFinishedTasks(Map<String, JsonNode> documents) {
         documents.forEach((key, document) -> {
             if (key.startsWith(COMPLETION_PREFIX)) {
-                CompletionStore.read(document, jobTable);
+                CompletionStore.markFinishedTasks(document, jobTable);
             }
         });
     }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -62,7 +62,7 @@
     }
 
     /** Marks the tasks that a stored page lists as finished in the job table. */
-    public static void read(JsonNode page, JobTable jobTable) {
+    public static void markFinishedTasks(JsonNode page, JobTable jobTable) {
         if (page == null) {
             return;
         }
