--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -260,7 +260,7 @@
 
         @Override
         public void taskFinished(Task task) {
-            completionStore.finished(task);
+            completionStore.recordFinished(task);
         }
 
         @Override
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -122,7 +122,7 @@
     }
 
     /** Records that a task has finished. It is stored with one of the next batches. */
-    public void finished(Task task) {
+    public void recordFinished(Task task) {
         ActiveJob job = task.job();
         int finishedTasks = job.count(Task.State.FINISHED) + job.count(Task.State.DONE);
         if (finishedTasks == job.taskCount()) {
