--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -216,7 +216,7 @@
         forecast.recordJobEnded(job.id());
         ActiveJob activeJob = fleet.job(job.id());
         if (activeJob != null) {
-            completionStore.ended(activeJob);
+            completionStore.dropChunks(activeJob);
         }
         fleet.jobEnded(job);
         cancellationWriter.write();
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -139,7 +139,7 @@
     }
 
     /** Drops the chunks of a job that has ended. They are removed from the store with the page's next write. */
-    public void ended(ActiveJob job) {
+    public void dropChunks(ActiveJob job) {
         for (int chunk = 0; chunk <= job.taskCount() / CompletionPageCodec.CHUNK_TASKS; chunk++) {
             String chunkName = CompletionPageCodec.chunkName(job.id(), chunk);
             pages.remove(chunkName);
