--- a/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void stored(Task task) {
+    public void finishedTaskStored(Task task) {
         fleet.resultStored(task);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -26,7 +26,7 @@
     /** Receives what has been stored. */
     public interface Events {
         /** Called when it is stored that the task has finished. */
-        void stored(Task task);
+        void finishedTaskStored(Task task);
 
         /** Called when the job's completion is stored, at this revision. */
         void done(Job job, long revision);
@@ -181,7 +181,7 @@
                 if (job.active()) {
                     job.done().set(task.index());
                 }
-                events.stored(task);
+                events.finishedTaskStored(task);
             }
         }
 
@@ -212,7 +212,7 @@
         @Override
         public void stored(long revision) {
             for (Task task : job.trackedTasks()) {
-                events.stored(task);
+                events.finishedTaskStored(task);
             }
             events.done(job.job(), revision);
         }
