--- a/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompletionEvents.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void done(Job job, long revision) {
+    public void completionStored(Job job, long revision) {
         long durationS = (context.loop().timeOfDay() - job.submittedAt()) / 1000;
         LOG.debug("job done, job={} tookS={}", job.id(), durationS);
         Double deadlineS = job.spec() == null ? null : job.spec().deadlineS();
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -29,7 +29,7 @@
         void finishedTaskStored(Task task);
 
         /** Called when the job's completion is stored, at this revision. */
-        void done(Job job, long revision);
+        void completionStored(Job job, long revision);
     }
 
     /** Prefix of the pages' keys, relative to the root. */
@@ -214,7 +214,7 @@
             for (Task task : job.trackedTasks()) {
                 events.finishedTaskStored(task);
             }
-            events.done(job.job(), revision);
+            events.completionStored(job.job(), revision);
         }
 
         @Override
