--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -219,7 +219,7 @@
             completionStore.dropChunks(activeJob);
         }
         fleet.jobEnded(job);
-        cancellationWriter.write();
+        cancellationWriter.markUnpersisted();
     }
 
     @Override
@@ -245,7 +245,7 @@
             instanceReconciler.returnUnusableMachines(loop.now());
             instanceReconciler.requestList();
             context.jobLookup().resolveAll();
-            cancellationWriter.write();
+            cancellationWriter.markUnpersisted();
             trigger.requestCycle();
         }
         loop.after(TICK_INTERVAL_MS, this::tick);
--- a/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -26,7 +26,7 @@
     }
 
     /** Marks every derived cancellation that is not stored yet for writing. */
-    public void write() {
+    public void markUnpersisted() {
         markedJobs.retainAll(jobTable.terminated().unpersisted());
         for (Job job : jobTable.terminated().unpersisted()) {
             if (markedJobs.add(job)) {
