--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -94,7 +94,7 @@
 
     private void takeOver(
             String id, MachineRow row, MachinePage page, JsonNode imageNames, long seenAt, long previousToken) {
-        MachinePage otherPage = pages.of(id);
+        MachinePage otherPage = pages.pageOf(id);
         if (otherPage != null) {
             // The machine is in two pages, because a leader stopped between the two writes of a page split. It may
             // hold tasks if either row has an address.
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -94,12 +94,12 @@
     }
 
     private void takeOverChunk(CompletionPage page, Job job, String chunkName, JsonNode encodedBits) {
-        if (pages.of(chunkName) == null) {
+        if (pages.pageOf(chunkName) == null) {
             pages.put(chunkName, CompletionPageCodec.maxChunkBytes(job.id(), job.tasks()), page);
         } else {
             // An earlier leader stopped between the two steps of a split: the chunk stays in the page that was read
             // first.
-            writer.mark(pages.of(chunkName));
+            writer.mark(pages.pageOf(chunkName));
             writer.mark(page);
         }
         try {
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns the page of a row, or null. */
-    public P of(String row) {
+    public P pageOf(String row) {
         return pagesByRow.get(row);
     }
 
