--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -83,7 +83,7 @@
             hooks.recordUnreadablePage();
             return;
         }
-        MachinePage page = pages.open(key);
+        MachinePage page = pages.addPage(key);
         JsonNode imageNames = value.path(IMAGES_FIELD);
         value.properties().forEach(field -> {
             if (!field.getKey().equals(IMAGES_FIELD)) {
@@ -130,7 +130,7 @@
     /** Deletes the unreadable pages, once the leases of their machines have expired. */
     public void dropUnreadable() {
         for (String key : unreadableKeys) {
-            writer.mark(pages.open(key));
+            writer.mark(pages.addPage(key));
         }
         unreadableKeys.clear();
     }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -83,7 +83,7 @@
 
     /** Takes over a page of an earlier leader. Chunks of ended jobs are dropped with the page's next write. */
     public void takeOver(String key, JsonNode value, JobTable jobTable) {
-        CompletionPage page = pages.open(key);
+        CompletionPage page = pages.addPage(key);
         for (Map.Entry<String, JsonNode> chunk : value.properties()) {
             String jobId = CompletionPageCodec.jobId(chunk.getKey());
             Job job = jobId == null ? null : jobTable.get(jobId);
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -43,7 +43,7 @@
     }
 
     /** Adds an empty page for the key and returns it; rows are added by {@link #put(String, int, Page)}. */
-    public P open(String key) {
+    public P addPage(String key) {
         P page = pageFactory.apply(key);
         pages.add(page);
         return page;
@@ -86,7 +86,7 @@
         while (isTaken(prefix + pageNumber)) {
             pageNumber++;
         }
-        return open(prefix + pageNumber);
+        return addPage(prefix + pageNumber);
     }
 
     private boolean isTaken(String key) {
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -92,7 +92,7 @@
                 () -> watchCache.version(LEADER_KEY),
                 new Metrics(leaderHost::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
-        TextPage page = table.open("lr/page/0");
+        TextPage page = table.addPage("lr/page/0");
         for (int row = 0; row < rowCount; row++) {
             table.put("row-" + row, ROW_BYTES, page);
         }
@@ -126,7 +126,7 @@
                 new Metrics(leaderHost::nanos).busy);
         PageTable<TextPage> table = new PageTable<>("lr/page/", 800, TextPage::new, writer);
         for (int pageNumber = 0; pageNumber < 4; pageNumber++) {
-            TextPage page = table.open("lr/page/" + pageNumber);
+            TextPage page = table.addPage("lr/page/" + pageNumber);
             int rowsInPage = pageNumber == 0 ? 38 : 5;
             for (int row = 0; row < rowsInPage; row++) {
                 table.put("row-" + pageNumber + "-" + row, ROW_BYTES, page);
