--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineRegistry.java
@@ -177,7 +177,7 @@
 
         @Override
         public JsonNode render() {
-            if (names().isEmpty()) {
+            if (rowNames().isEmpty()) {
                 idsWithAddress = List.of();
                 resumingIds = List.of();
                 return null;
@@ -194,7 +194,7 @@
             resumingIds = new ArrayList<>();
             ObjectNode page = Json.object();
             Map<String, Integer> indexByImage = new LinkedHashMap<>();
-            for (String id : names()) {
+            for (String id : rowNames()) {
                 Machine machine = machines.get(id);
                 if (machine != null) {
                     row(machine, withImages ? imageDigits(machine, indexByImage) : "")
@@ -277,7 +277,7 @@
 
         @Override
         public int rank() {
-            for (String id : names()) {
+            for (String id : rowNames()) {
                 Machine machine = machines.get(id);
                 if (machine != null && awaitsRow(machine)) {
                     return URGENT_RANK;
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -168,7 +168,7 @@
             unconfirmed.addAll(unrendered);
             unrendered = new ArrayList<>();
             // An empty page is deleted, so that the number of pages shrinks with the load.
-            return names().isEmpty() ? null : CompletionPageCodec.encodePage(names(), finishedByChunk);
+            return rowNames().isEmpty() ? null : CompletionPageCodec.encodePage(rowNames(), finishedByChunk);
         }
 
         @Override
--- a/controller/src/main/java/org/landingridge/controller/store/Page.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Page.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the names of the rows in insertion order. */
-    public final Set<String> names() {
+    public final Set<String> rowNames() {
         return maxBytesByRow.keySet();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/store/PageTable.java
+++ b/controller/src/main/java/org/landingridge/controller/store/PageTable.java
@@ -97,7 +97,7 @@
     /** Moves rows from pages above the size limit to other pages and marks all changed pages for writing. */
     public void splitOversized() {
         for (P page : List.copyOf(pages)) {
-            List<String> rows = new ArrayList<>(page.names());
+            List<String> rows = new ArrayList<>(page.rowNames());
             for (int rowIndex = rows.size() - 1; rowIndex > 0 && page.totalBytes() > maxPageBytes; rowIndex--) {
                 String row = rows.get(rowIndex);
                 int sizeBytes = page.remove(row);
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -54,8 +54,8 @@
         @Override
         public JsonNode render() {
             ObjectNode value = Json.object();
-            names().forEach(name -> value.put(name, "0123456789"));
-            return names().isEmpty() ? null : value;
+            rowNames().forEach(name -> value.put(name, "0123456789"));
+            return rowNames().isEmpty() ? null : value;
         }
     }
 
