--- a/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -64,7 +64,7 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean isNeeded() {
             return jobTable.terminated().unpersisted().contains(job);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -224,7 +224,7 @@
 
         /** A job ends as either done or cancelled: an earlier cancellation wins. */
         @Override
-        public boolean wanted() {
+        public boolean isNeeded() {
             return job.job().active();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -147,7 +147,7 @@
         if (state != State.WAITING) {
             return;
         }
-        pending.removeIf(document -> !document.wanted());
+        pending.removeIf(document -> !document.isNeeded());
         long currentLeaderVersion = leaderVersion.getAsLong();
         if (pending.isEmpty() || currentLeaderVersion == 0) {
             transitionTo(State.IDLE);
--- a/controller/src/main/java/org/landingridge/controller/store/Document.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Document.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns false once the write is no longer needed, for example because a user's request has already changed the key. */
-    default boolean wanted() {
+    default boolean isNeeded() {
         return true;
     }
 }
