--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -164,7 +164,7 @@
 
     private List<Document> candidates() {
         return pending.stream()
-                .filter(Document::ready)
+                .filter(Document::canBeWritten)
                 .sorted(Comparator.comparingInt(Document::rank))
                 .limit(maxBatchWrites)
                 .toList();
--- a/controller/src/main/java/org/landingridge/controller/store/Document.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Document.java
@@ -28,7 +28,7 @@
      * Returns false while another document has to be stored first. For example, when rows move to a new document, that document
      * is stored first, so that a concurrent reader finds the rows in both documents rather than in none.
      */
-    default boolean ready() {
+    default boolean canBeWritten() {
         return true;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/store/Page.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Page.java
@@ -67,7 +67,7 @@
      * reads the pages at that moment would miss these rows.
      */
     @Override
-    public final boolean ready() {
+    public final boolean canBeWritten() {
         successors.removeIf(page -> page.hasBeenStored);
         return successors.isEmpty();
     }
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -97,12 +97,12 @@
             table.put("row-" + row, ROW_BYTES, page);
         }
         table.splitOversized();
-        assertFalse(page.ready(), "the split page must wait until its successors are stored");
+        assertFalse(page.canBeWritten(), "the split page must wait until its successors are stored");
         for (int step = 0; step < 400; step++) {
             simulation.run(simulation.now + 10);
             assertEquals(rowCount, storedRows().size(), "number of stored rows at " + simulation.now + " ms");
         }
-        assertTrue(page.ready());
+        assertTrue(page.canBeWritten());
         for (String key : stateService.keys("lr/page/")) {
             assertTrue(Json.bytes(stateService.value(key)).length <= 1_024, key);
         }
