--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -143,7 +143,7 @@
     }
 
     private void handleRefusal(Submission submission, Answer answer) {
-        if (answer.overRate()) {
+        if (answer.rateLimited()) {
             teamLimiter.recordRefusal();
         }
         responses.unavailable(submission.exchange, "the state service refused the write");
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -35,9 +35,9 @@
      * An answer of the state service.
      *
      * @param body     body of the answer; null if the service sent none
-     * @param overRate true if the request was refused because the rate limit was exceeded
+     * @param rateLimited true if the request was refused because the rate limit was exceeded
      */
-    public record Answer(Status status, JsonNode body, boolean overRate) {
+    public record Answer(Status status, JsonNode body, boolean rateLimited) {
         private Answer(Status status, JsonNode body) {
             this(status, body, false);
         }
