--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -183,11 +183,11 @@
     private void claim(long leaderKeyVersion, long lastLeaderKeyVersion, long quiescentSince) {
         long sentAt = loop.now();
         store.client().grant(settings.leaseMs(), grantAnswer -> {
-            if (!grantAnswer.ok() || grantAnswer.lease() == 0) {
+            if (!grantAnswer.ok() || grantAnswer.leaseId() == 0) {
                 returnToFollowing(UNKNOWN_OUTCOME_PAUSE_MS);
                 return;
             }
-            Claim claim = new Claim(grantAnswer.lease(), sentAt, quiescentSince, lastLeaderKeyVersion);
+            Claim claim = new Claim(grantAnswer.leaseId(), sentAt, quiescentSince, lastLeaderKeyVersion);
             pendingClaim = claim;
             JsonNode record = recordUnderLease(claim.leaseId).toJson();
             List<Write> writes = List.of(
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -53,7 +53,7 @@
         }
 
         /** Returns the id of the granted lease; 0 if the answer has none. */
-        public long lease() {
+        public long leaseId() {
             return body == null ? 0 : StateAnswer.lease(body);
         }
 
@@ -135,7 +135,7 @@
         return new StateTransaction(wireGuards, wireWrites);
     }
 
-    /** Requests a lease with this duration in milliseconds: {@link Answer#lease}. */
+    /** Requests a lease with this duration in milliseconds: {@link Answer#leaseId}. */
     public void grant(long durationMs, Consumer<Answer> callback) {
         call(new StateRequest.GrantLease(durationMs), CALL_TIMEOUT_MS, callback);
     }
