--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -182,7 +182,7 @@
 
     private void claim(long leaderKeyVersion, long lastLeaderKeyVersion, long quiescentSince) {
         long sentAt = loop.now();
-        store.client().grant(settings.leaseMs(), grantAnswer -> {
+        store.client().grantLease(settings.leaseMs(), grantAnswer -> {
             if (!grantAnswer.ok() || grantAnswer.leaseId() == 0) {
                 returnToFollowing(UNKNOWN_OUTCOME_PAUSE_MS);
                 return;
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -136,7 +136,7 @@
     }
 
     /** Requests a lease with this duration in milliseconds: {@link Answer#leaseId}. */
-    public void grant(long durationMs, Consumer<Answer> callback) {
+    public void grantLease(long durationMs, Consumer<Answer> callback) {
         call(new StateRequest.GrantLease(durationMs), CALL_TIMEOUT_MS, callback);
     }
 
