--- a/controller/src/main/java/org/landingridge/controller/election/LeaderLease.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderLease.java
@@ -88,7 +88,7 @@
         renewalPending = true;
         long sentAt = loop.now();
         long leaseId = id;
-        client.renew(leaseId, Math.max(MIN_RENEWAL_TIMEOUT_MS, timeoutMs), answer -> {
+        client.renewLease(leaseId, Math.max(MIN_RENEWAL_TIMEOUT_MS, timeoutMs), answer -> {
             renewalPending = false;
             if (id != leaseId) {
                 return;
@@ -110,7 +110,7 @@
     void tryRenewal(long timeoutMs, Runnable onRenewed, Runnable onFailed) {
         long leaseId = id;
         long sentAt = loop.now();
-        client.renew(leaseId, timeoutMs, answer -> {
+        client.renewLease(leaseId, timeoutMs, answer -> {
             if (id != leaseId) {
                 return;
             }
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -141,7 +141,7 @@
     }
 
     /** Renews a lease for its full duration. */
-    public void renew(long lease, long timeoutMs, Consumer<Answer> callback) {
+    public void renewLease(long lease, long timeoutMs, Consumer<Answer> callback) {
         call(new StateRequest.RenewLease(lease), timeoutMs, callback);
     }
 
