--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -259,7 +259,7 @@
 
     private void abandonClaim(Claim claim, long pauseMs) {
         pendingClaim = null;
-        store.client().release(claim.leaseId, ignored -> {});
+        store.client().releaseLease(claim.leaseId, ignored -> {});
         returnToFollowing(pauseMs);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/store/StateClient.java
+++ b/controller/src/main/java/org/landingridge/controller/store/StateClient.java
@@ -146,7 +146,7 @@
     }
 
     /** Releases a lease immediately. */
-    public void release(long lease, Consumer<Answer> callback) {
+    public void releaseLease(long lease, Consumer<Answer> callback) {
         call(new StateRequest.ReleaseLease(lease), CALL_TIMEOUT_MS, callback);
     }
 
