--- a/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
@@ -34,7 +34,7 @@
 
     /** Returns whether every controller runs a version that looks terminated jobs up in the history. */
     private boolean allControllersReadHistory() {
-        List<String> outdatedControllers = capabilities.unaware(Capabilities.Feature.HISTORY);
+        List<String> outdatedControllers = capabilities.hostsWithout(Capabilities.Feature.HISTORY);
         if (outdatedControllers.isEmpty() == isWaitingForUpgrade) {
             isWaitingForUpgrade = !isWaitingForUpgrade;
             if (isWaitingForUpgrade) {
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -143,7 +143,7 @@
     }
 
     /** Returns the hosts of the controllers that have not announced support for the feature. */
-    public List<String> unaware(Feature feature) {
+    public List<String> hostsWithout(Feature feature) {
         List<String> unawareHosts = new ArrayList<>();
         for (String controllerHost : controllerHosts) {
             if (levelsOf(controllerHost).level(feature) < SUPPORTED_LEVEL) {
@@ -155,6 +155,6 @@
 
     /** Returns true if every controller has announced support for the feature. */
     public boolean all(Feature feature) {
-        return unaware(feature).isEmpty();
+        return hostsWithout(feature).isEmpty();
     }
 }
