--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -128,7 +128,7 @@
                 configurationView,
                 settings,
                 machineTypes,
-                () -> capabilities.all(Capabilities.Feature.PIPELINES));
+                () -> capabilities.isSupportedByAll(Capabilities.Feature.PIPELINES));
         leaderContext = new LeaderContext(
                 new LeaderContext.Environment(loop, http, random),
                 new LeaderContext.StartupConfiguration(settings, policy),
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -154,7 +154,7 @@
     }
 
     /** Returns true if every controller has announced support for the feature. */
-    public boolean all(Feature feature) {
+    public boolean isSupportedByAll(Feature feature) {
         return hostsWithout(feature).isEmpty();
     }
 }
