--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -241,7 +241,7 @@
             } else if (key.startsWith(SegmentAddress.ROOT)) {
                 history.changed(key, value, version);
             } else if (key.startsWith(Capabilities.ROOT)) {
-                capabilities.changed(key, value);
+                capabilities.announcementChanged(key, value);
             } else if (key.startsWith(ConfigurationView.ROOT)) {
                 configurationChanged(key, value);
             } else if (key.equals(Keys.LEADER)) {
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -104,7 +104,7 @@
     }
 
     /** Applies a change to a controller's announcement; {@code value} is null if it has been removed. */
-    public void changed(String key, JsonNode value) {
+    public void announcementChanged(String key, JsonNode value) {
         levelsByHost.put(key.substring(ROOT.length()), Levels.read(value));
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -50,7 +50,7 @@
                     } else if (key.startsWith(SegmentAddress.ROOT)) {
                         history[0].changed(key, value, version);
                     } else if (key.startsWith(Capabilities.ROOT)) {
-                        capabilities[0].changed(key, value);
+                        capabilities[0].announcementChanged(key, value);
                     }
                 });
         history[0] = new History(client, watchCache, metrics);
