--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -22,7 +22,7 @@
 
     @Override
     public boolean busy() {
-        return fleet.unverified() > 0 || !context.writer().idle();
+        return fleet.unverified() > 0 || !context.writer().isIdle();
     }
 
     @Override
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -116,13 +116,13 @@
     }
 
     /** Returns true if no document is pending and no request is in progress. */
-    public boolean idle() {
+    public boolean isIdle() {
         return state == State.IDLE && pending.isEmpty();
     }
 
     /** Returns true if the state service refused a batch within the last 3 seconds and writes are still pending. */
     public boolean starved() {
-        return !idle() && loop.now() - refusedAt < RECENT_REFUSAL_MS;
+        return !isIdle() && loop.now() - refusedAt < RECENT_REFUSAL_MS;
     }
 
     /** Drops all pending documents and ignores outstanding answers. Called when the leader term ends. */
--- a/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PageTableTest.java
@@ -138,6 +138,6 @@
         assertTrue(
                 stateService.tooLarge() < 10,
                 stateService.tooLarge() + " values or transactions were rejected for their size");
-        assertTrue(writer.idle());
+        assertTrue(writer.isIdle());
     }
 }
