--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -46,7 +46,7 @@
     void announce() {
         Map<String, Integer> counts = currentTerm.get().runningTasksByJob();
         display(counts);
-        boolean writesStarved = writer.starved();
+        boolean writesStarved = writer.isStarved();
         jobService.leaderHeard(writesStarved);
         for (String otherHost : otherHosts) {
             transport.send(otherHost, new PeerMessage.RunningCounts(ownHost, counts, writesStarved));
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -121,7 +121,7 @@
     }
 
     /** Returns true if the state service refused a batch within the last 3 seconds and writes are still pending. */
-    public boolean starved() {
+    public boolean isStarved() {
         return !isIdle() && loop.now() - refusedAt < RECENT_REFUSAL_MS;
     }
 
