--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -181,7 +181,7 @@
         instanceReconciler.close();
         fleet.close();
         operations.close();
-        writer.clear();
+        writer.reset();
     }
 
     /** Processes a worker's heartbeat. The exchange may be answered after this method has returned. */
--- a/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/store/BatchWriter.java
@@ -53,7 +53,7 @@
     private State state = State.IDLE;
     private int maxBatchWrites;
     private long nextBatchAt;
-    /** Incremented by {@link #clear}; answers to requests sent under an earlier value are ignored. */
+    /** Incremented by {@link #reset}; answers to requests sent under an earlier value are ignored. */
     private long epoch;
 
     private long refusedAt = Long.MIN_VALUE / 2;
@@ -126,7 +126,7 @@
     }
 
     /** Drops all pending documents and ignores outstanding answers. Called when the leader term ends. */
-    public void clear() {
+    public void reset() {
         pending.clear();
         epoch++;
         transitionTo(State.IDLE);
