--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -174,7 +174,7 @@
      * request costs more than a closed port, and delays the election.
      */
     private void openWhenInformed(Runnable open, long latestOpenAt) {
-        if (watchCache.following() || forwarder.reachableLeader() != null || loop.now() >= latestOpenAt) {
+        if (watchCache.isFollowing() || forwarder.reachableLeader() != null || loop.now() >= latestOpenAt) {
             open.run();
             leadership.claimIfPossible();
             loop.after(CAPABILITIES_DELAY_MS, capabilities::announce);
@@ -335,7 +335,7 @@
     /** Sends a request to the state service if the watch has had no answer recently: readiness depends on the last answer. */
     private void probeStateService() {
         if (!probePending
-                && watchCache.following()
+                && watchCache.isFollowing()
                 && loop.now() - watchCache.lastAnswerAt() > READINESS_TIMEOUT_MS / 4) {
             probePending = true;
             watchCache.readBarrier(() -> probePending = false, () -> probePending = false);
@@ -344,7 +344,7 @@
     }
 
     private boolean isReady() {
-        return watchCache.following()
+        return watchCache.isFollowing()
                 && !machineTypes.isEmpty()
                 && loop.now() - watchCache.lastAnswerAt() < READINESS_TIMEOUT_MS;
     }
--- a/controller/src/main/java/org/landingridge/controller/LeaderView.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderView.java
@@ -49,7 +49,7 @@
     String leaderHost() {
         String reachableLeader = forwarder.reachableLeader();
         boolean isStoredLeaderCurrent =
-                watchCache.following() && loop.now() - watchCache.lastAnswerAt() < STATE_SERVICE_TIMEOUT_MS;
+                watchCache.isFollowing() && loop.now() - watchCache.lastAnswerAt() < STATE_SERVICE_TIMEOUT_MS;
         return !isStoredLeaderCurrent && reachableLeader != null ? reachableLeader : leadership.leaderHost();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
+++ b/controller/src/main/java/org/landingridge/controller/election/LeaderElection.java
@@ -154,7 +154,7 @@
 
     private boolean canClaim() {
         return !catchingUp
-                && watchCache.following()
+                && watchCache.isFollowing()
                 && loop.now() >= claimNotBefore
                 && loop.now() - watchCache.lastAnswerAt() <= MAX_ANSWER_AGE_MS;
     }
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -155,7 +155,7 @@
         // Added to the cache before the request, so that changes arriving through the watch meanwhile are not missed.
         CachedSegment segment = add(address.key());
         segment.addWaiting(() -> callback.accept(segment.lookupResult(address.offset())));
-        boolean wasFollowing = watchCache.following();
+        boolean wasFollowing = watchCache.isFollowing();
         long resetsBefore = resets;
         metrics.historyReads.increment();
         client.get(address.key(), answer -> {
@@ -175,7 +175,7 @@
     /** Reads one page of segments. If that is the whole history, later lookups of unknown ids need no request. */
     private void readFirstPage() {
         firstReadState = FirstReadState.RUNNING;
-        boolean wasFollowing = watchCache.following();
+        boolean wasFollowing = watchCache.isFollowing();
         long resetsBefore = resets;
         int evictionsBefore = evictions;
         metrics.historyReads.increment();
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -62,7 +62,7 @@
     public void show(Exchange exchange) {
         Configuration current = view.current();
         ObjectNode body = Json.object().put("host", host).put("number", current.number());
-        body.put("following", watchCache.following());
+        body.put("following", watchCache.isFollowing());
         ObjectNode teams = body.putObject("teams");
         current.teams().forEach((name, team) -> {
             Settings.Team teamLimits = team.limits();
--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -103,7 +103,7 @@
     }
 
     /** Returns true once all keys are loaded, and false during a reload. */
-    public boolean following() {
+    public boolean isFollowing() {
         return state == State.FOLLOWING;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
+++ b/controller/src/main/java/org/landingridge/controller/upgrade/Capabilities.java
@@ -129,7 +129,7 @@
         if (!incomplete) {
             return;
         }
-        if (watchCache.following()) {
+        if (watchCache.isFollowing()) {
             store(stored.raisedToSupported());
         }
         // Repeated until the watch delivers the announcement: a lost answer and a refusal look the same.
