--- a/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
+++ b/controller/src/main/java/org/landingridge/controller/store/WatchCache.java
@@ -58,7 +58,7 @@
     /** Time on the loop's clock, in milliseconds: the cache reflects everything that was stored before it. */
     private long currentAsOf = Long.MIN_VALUE / 2;
 
-    private boolean loaded;
+    private boolean isLoaded;
     private List<BarrierCall> pendingCalls = new ArrayList<>();
     private boolean barrierScheduled;
     private boolean barrierRunning;
@@ -123,8 +123,8 @@
     }
 
     /** Returns true once the first full load is complete. */
-    public boolean loaded() {
-        return loaded;
+    public boolean isLoaded() {
+        return isLoaded;
     }
 
     /** Returns the version of a key; 0 if the key does not exist. */
@@ -293,7 +293,7 @@
         }
         revision = firstRevision;
         state = State.FOLLOWING;
-        loaded = true;
+        isLoaded = true;
         currentAsOf = Math.max(currentAsOf, load.startedAt);
         watchChanges();
     }
