--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -248,7 +248,7 @@
                 String previousLeader = leadership.leaderHost();
                 leadership.leaderKeyChanged(value, version);
                 leaderView.leaderKeyChanged(previousLeader);
-            } else if (key.equals(Keys.LEADER_LAST)) {
+            } else if (key.equals(Keys.LAST_LEADER)) {
                 leadership.lastLeaderChanged(value);
             } else {
                 leaderDocumentChanged(key, value);
--- a/controller/src/main/java/org/landingridge/controller/store/Keys.java
+++ b/controller/src/main/java/org/landingridge/controller/store/Keys.java
@@ -10,7 +10,7 @@
     /** Key of the current leader's record; deleted when the leader's lease expires. */
     public static final String LEADER = ROOT + "leader";
     /** Key of the last elected leader's record; it outlives the leader's lease. */
-    public static final String LEADER_LAST = LEADER + "-last";
+    public static final String LAST_LEADER = LEADER + "-last";
 
     private Keys() {}
 }
