--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -114,7 +114,7 @@
     }
 
     /** Applies the report that came with a promise, even if this controller no longer leads. */
-    void applyReport(PeerMessage.Grant grant, Consumer<CancellationLog.Ending> onCancellation) {
+    void applyReport(PeerMessage.Grant grant, Consumer<CancellationLog.Cancellation> onCancellation) {
         reports.applyReport(grant, sentAtByRequestNumber.get(grant.number()), onCancellation);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -10,7 +10,7 @@
  */
 public final class CancellationLog {
     /** A cancelled job, and the revision at which the cancellation was stored. */
-    public record Ending(long revision, String id) {}
+    public record Cancellation(long revision, String id) {}
 
     /**
      * A page of entries that follow a given position.
@@ -18,12 +18,12 @@
      * @param to       the position after the last entry examined
      * @param complete whether the page reaches the newest entry of the log
      */
-    public record Page(long to, boolean complete, List<Ending> endings) {}
+    public record Page(long to, boolean complete, List<Cancellation> endings) {}
 
     static final int CAPACITY = 4_096;
     private static final int PAGE_SIZE = 1_000;
 
-    private final Ending[] ring = new Ending[CAPACITY];
+    private final Cancellation[] ring = new Cancellation[CAPACITY];
     private long count;
     /** The newest revision among the overwritten entries. */
     private long newestOverwrittenRevision;
@@ -33,7 +33,7 @@
         if (ring[slot] != null) {
             newestOverwrittenRevision = Math.max(newestOverwrittenRevision, ring[slot].revision);
         }
-        ring[slot] = new Ending(revision, jobId);
+        ring[slot] = new Cancellation(revision, jobId);
     }
 
     /** Returns the number of cancellations added so far, which is the position after the newest entry. */
@@ -51,10 +51,10 @@
         if (position < oldestPosition && newestOverwrittenRevision > revision) {
             return null;
         }
-        List<Ending> cancellations = new ArrayList<>();
+        List<Cancellation> cancellations = new ArrayList<>();
         long endPosition = Math.min(count, Math.max(oldestPosition, position));
         while (endPosition < count && cancellations.size() < PAGE_SIZE) {
-            Ending cancellation = ring[(int) (endPosition++ % CAPACITY)];
+            Cancellation cancellation = ring[(int) (endPosition++ % CAPACITY)];
             if (cancellation.revision > revision) {
                 cancellations.add(cancellation);
             }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -53,7 +53,7 @@
      * @param cancellations the entries, in the order of the log
      */
     record CancellationReport(
-            long incarnation, long from, long to, boolean complete, List<CancellationLog.Ending> cancellations) {}
+            long incarnation, long from, long to, boolean complete, List<CancellationLog.Cancellation> cancellations) {}
 
     /** Refusal of a promise: the sender can use the state service itself, or leads. */
     record Refuse(String host, long token, long number) implements PeerMessage {
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -67,7 +67,7 @@
         out.writeLong(report.to());
         out.writeBoolean(report.complete());
         out.writeInt(report.cancellations().size());
-        for (CancellationLog.Ending cancellation : report.cancellations()) {
+        for (CancellationLog.Cancellation cancellation : report.cancellations()) {
             out.writeLong(cancellation.revision());
             out.writeUTF(cancellation.id());
         }
@@ -147,9 +147,9 @@
             throw new IOException(
                     "cancellation report: count " + size + " is not between 0 and " + PeerMessage.MAX_BYTES);
         }
-        List<CancellationLog.Ending> cancellations = new ArrayList<>();
+        List<CancellationLog.Cancellation> cancellations = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            cancellations.add(new CancellationLog.Ending(in.readLong(), in.readUTF()));
+            cancellations.add(new CancellationLog.Cancellation(in.readLong(), in.readUTF()));
         }
         return new PeerMessage.CancellationReport(incarnation, from, to, complete, cancellations);
     }
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -266,8 +266,8 @@
                         2,
                         true,
                         List.of(
-                                new CancellationLog.Ending(7, "job-000007"),
-                                new CancellationLog.Ending(8, "job-000008"))));
+                                new CancellationLog.Cancellation(7, "job-000007"),
+                                new CancellationLog.Cancellation(8, "job-000008"))));
         assertEquals(grantWithReport, encodeAndDecode(grantWithReport));
         byte[] encoded = grantWithReport.encode();
         for (int length = withoutReport.length + 1; length < encoded.length; length++) {
@@ -287,7 +287,7 @@
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
         assertEquals(List.of(), table.active());
         assertEquals(
-                List.of(new CancellationLog.Ending(9, "job-000009")),
+                List.of(new CancellationLog.Cancellation(9, "job-000009")),
                 table.endings().after(0, 0).endings());
         table.changed("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
         assertEquals(1, table.endings().count());
