--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -90,7 +90,7 @@
         CancellationLog.Page page = ownLog.after(from, request.knownRevision());
         return page == null
                 ? null
-                : new PeerMessage.CancellationReport(incarnation, from, page.to(), page.complete(), page.endings());
+                : new PeerMessage.CancellationReport(incarnation, from, page.to(), page.complete(), page.cancellations());
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -18,7 +18,7 @@
      * @param to       the position after the last entry examined
      * @param complete whether the page reaches the newest entry of the log
      */
-    public record Page(long to, boolean complete, List<Cancellation> endings) {}
+    public record Page(long to, boolean complete, List<Cancellation> cancellations) {}
 
     static final int CAPACITY = 4_096;
     private static final int PAGE_SIZE = 1_000;
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -288,7 +288,7 @@
         assertEquals(List.of(), table.active());
         assertEquals(
                 List.of(new CancellationLog.Cancellation(9, "job-000009")),
-                table.endings().after(0, 0).endings());
+                table.endings().after(0, 0).cancellations());
         table.changed("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
         assertEquals(1, table.endings().count());
     }
@@ -326,10 +326,10 @@
         List<Long> revisions = new ArrayList<>();
         CancellationLog.Page page = cancellationLog.after(0, 2_000);
         for (int pageCount = 0; !page.complete() && pageCount < 9; pageCount++) {
-            page.endings().forEach(cancellation -> revisions.add(cancellation.revision()));
+            page.cancellations().forEach(cancellation -> revisions.add(cancellation.revision()));
             page = cancellationLog.after(page.to(), 2_000);
         }
-        page.endings().forEach(cancellation -> revisions.add(cancellation.revision()));
+        page.cancellations().forEach(cancellation -> revisions.add(cancellation.revision()));
         assertEquals(4_000, revisions.size());
         assertEquals(6_000L, revisions.get(3_999));
     }
