--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -114,7 +114,7 @@
         long freshnessMs = ElectionSettings.freshnessLimitMs(
                 settings.workers().cancelS(), settings.workers().leaseS(), holdMs);
         ElectionSettings electionSettings = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
-        leadership = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.endings(), this);
+        leadership = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.cancellations(), this);
         BatchWriter writer = new BatchWriter(
                 storeAccess, settings.stateLimits(), DOCUMENT_WRITE_SHARE, Keys.LEADER, leadership::writeGuard, metrics.busy);
         cloudClient = new CloudClient(
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -95,7 +95,7 @@
     }
 
     /** Returns the log of the cancellations known to this process. */
-    public CancellationLog endings() {
+    public CancellationLog cancellations() {
         return cancellations;
     }
 
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -94,7 +94,7 @@
             stateLoaded = false;
             PeerGroup peers =
                     new PeerGroup(host, List.of("rig-0"), (recipientHost, message) -> answersInTransit.add(message));
-            promises = createPromises(peers, ++lastIncarnation, table.endings(), () -> stateLoaded);
+            promises = createPromises(peers, ++lastIncarnation, table.cancellations(), () -> stateLoaded);
         }
 
         void loadState(Map<Long, Long> storedAtByRevision) {
@@ -288,9 +288,9 @@
         assertEquals(List.of(), table.active());
         assertEquals(
                 List.of(new CancellationLog.Cancellation(9, "job-000009")),
-                table.endings().after(0, 0).cancellations());
+                table.cancellations().after(0, 0).cancellations());
         table.changed("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
-        assertEquals(1, table.endings().count());
+        assertEquals(1, table.cancellations().count());
     }
 
     @Test
@@ -318,7 +318,7 @@
         for (long revision = 1; revision <= 6_000; revision++) {
             recordCancellation(table, revision);
         }
-        CancellationLog cancellationLog = table.endings();
+        CancellationLog cancellationLog = table.cancellations();
         assertEquals(
                 null,
                 cancellationLog.after(0, 1_000),
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -267,7 +267,7 @@
         table.cancelled("job-0", length + 1);
         assertEquals(0, table.active().size());
         assertEquals(length, table.terminated().unpersisted().size());
-        assertTrue(table.endings().count() == length, "every cancellation is logged");
+        assertTrue(table.cancellations().count() == length, "every cancellation is logged");
     }
 
     /** A job that awaits one whose end is unknown to the table is neither ready nor ended until the end has been looked up. */
