--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -90,7 +90,7 @@
         CancellationLog.Page page = ownLog.after(from, request.knownRevision());
         return page == null
                 ? null
-                : new PeerMessage.CancellationReport(incarnation, from, page.to(), page.complete(), page.cancellations());
+                : new PeerMessage.CancellationReport(incarnation, from, page.endPosition(), page.complete(), page.cancellations());
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -15,10 +15,10 @@
     /**
      * A page of entries that follow a given position.
      *
-     * @param to       the position after the last entry examined
+     * @param endPosition       the position after the last entry examined
      * @param complete whether the page reaches the newest entry of the log
      */
-    public record Page(long to, boolean complete, List<Cancellation> cancellations) {}
+    public record Page(long endPosition, boolean complete, List<Cancellation> cancellations) {}
 
     static final int CAPACITY = 4_096;
     private static final int PAGE_SIZE = 1_000;
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -327,7 +327,7 @@
         CancellationLog.Page page = cancellationLog.after(0, 2_000);
         for (int pageCount = 0; !page.complete() && pageCount < 9; pageCount++) {
             page.cancellations().forEach(cancellation -> revisions.add(cancellation.revision()));
-            page = cancellationLog.after(page.to(), 2_000);
+            page = cancellationLog.after(page.endPosition(), 2_000);
         }
         page.cancellations().forEach(cancellation -> revisions.add(cancellation.revision()));
         assertEquals(4_000, revisions.size());
