--- a/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/api/CancelHandler.java
@@ -51,7 +51,7 @@
 
             @Override
             public void terminated(TerminatedJob terminatedJob) {
-                responses.finalStatus(exchange, id, terminatedJob.how());
+                responses.finalStatus(exchange, id, terminatedJob.status());
             }
 
             @Override
--- a/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
+++ b/controller/src/main/java/org/landingridge/controller/api/DependencyCheck.java
@@ -61,7 +61,7 @@
 
         @Override
         public void terminated(TerminatedJob terminatedJob) {
-            anyCancelled |= terminatedJob.how() == Job.Status.CANCELLED;
+            anyCancelled |= terminatedJob.status() == Job.Status.CANCELLED;
             completeLookup();
         }
 
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -206,7 +206,7 @@
 
             @Override
             public void terminated(TerminatedJob terminatedJob) {
-                table.resolved(id, terminatedJob.how(), watchCache.revision());
+                table.resolved(id, terminatedJob.status(), watchCache.revision());
                 completeResolution(id, Optional.empty());
             }
 
--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -37,7 +37,7 @@
 
     /** Responds with the state of a job that has ended. */
     void terminated(Exchange exchange, String id, TerminatedJob terminatedJob) {
-        exchange.answer(200, Json.bytes(stateBody(id, statusText(terminatedJob.how()), terminatedJob.tasks(), 0)));
+        exchange.answer(200, Json.bytes(stateBody(id, statusText(terminatedJob.status()), terminatedJob.tasks(), 0)));
     }
 
     /** Responds to a cancellation with the job's final status: cancelled, or done if it had already finished. */
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -161,7 +161,7 @@
             add(new Job(id, nextIndex++, revision), stored, earlyCancellation);
         } else if (stored.outcome() != null) {
             terminatedJobs.persisted(job);
-            end(job, stored.outcome().how(), stored.outcome().tasks(), revision, true);
+            end(job, stored.outcome().status(), stored.outcome().tasks(), revision, true);
         }
     }
 
@@ -181,7 +181,7 @@
             job.setSpec(stored.spec(), stored.submittedAt());
         }
         if (stored.outcome() != null) {
-            end(job, stored.outcome().how(), stored.outcome().tasks(), job.created(), false);
+            end(job, stored.outcome().status(), stored.outcome().tasks(), job.created(), false);
         } else if (earlyCancellation != null && earlyCancellation > job.created()) {
             terminate(Termination.derivedCancellation(job, earlyCancellation, false));
         } else {
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -130,7 +130,7 @@
             TerminatedJob outcome = model.valuesById.containsKey(id)
                     ? StoredJobCodec.termination(model.valuesById.get(id)).orElse(null)
                     : null;
-            table.resolved(id, outcome != null ? outcome.how() : model.historyById.get(id), model.revision);
+            table.resolved(id, outcome != null ? outcome.status() : model.historyById.get(id), model.revision);
         }
     }
 
@@ -229,7 +229,7 @@
                             jobId,
                             StoredJobCodec.termination(model.valuesById.get(jobId))
                                     .orElseThrow()
-                                    .how());
+                                    .status());
                     model.store(jobId, null);
                     notifyTables(jobId);
                 }
