--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -80,7 +80,7 @@
         if (job == null) {
             return history.known(id);
         }
-        return job.active() ? null : terminatedJob(job);
+        return job.isActive() ? null : terminatedJob(job);
     }
 
     private static TerminatedJob terminatedJob(Job job) {
@@ -111,7 +111,7 @@
     /** Finds the job in the table or the history; the caller has passed the barrier. */
     private void findAfterBarrier(String id, Callback callback, Runnable onAbsent) {
         Job job = table.get(id);
-        if (job != null && job.active()) {
+        if (job != null && job.isActive()) {
             reportActive(job, callback);
         } else if (job != null) {
             callback.terminated(terminatedJob(job));
@@ -134,7 +134,7 @@
         resolveAwaited(job, failure -> {
             if (failure.isPresent()) {
                 callback.unavailable(failure.get());
-            } else if (job.active()) {
+            } else if (job.isActive()) {
                 callback.active(job);
             } else {
                 callback.terminated(terminatedJob(job));
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns true while the job has not ended. */
-    public boolean active() {
+    public boolean isActive() {
         return status == Status.ACCEPTED;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -242,7 +242,7 @@
         for (Job dependent : dependencies.removeEdgesTo(id)) {
             if (status == Job.Status.CANCELLED) {
                 derived.add(Termination.derivedCancellation(dependent, Math.max(revision, dependent.created()), true));
-            } else if (dependent.active() && dependent.markAwaitedDone(id, clock.getAsLong()) && listener != null) {
+            } else if (dependent.isActive() && dependent.markAwaitedDone(id, clock.getAsLong()) && listener != null) {
                 listener.jobReady(dependent);
             }
         }
@@ -277,7 +277,7 @@
     /** Records tasks that are stored as finished: bit {@code i} stands for task {@code firstTask + i}. */
     public void done(String id, int firstTask, BitSet bits) {
         Job job = jobsById.get(id);
-        if (job != null && job.active()) {
+        if (job != null && job.isActive()) {
             job.markFinished(firstTask, bits);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -87,7 +87,7 @@
         for (Map.Entry<String, JsonNode> chunk : value.properties()) {
             String jobId = CompletionPageCodec.jobId(chunk.getKey());
             Job job = jobId == null ? null : jobTable.get(jobId);
-            if (job != null && job.active()) {
+            if (job != null && job.isActive()) {
                 takeOverChunk(page, job, chunk.getKey(), chunk.getValue());
             }
         }
@@ -178,7 +178,7 @@
             unconfirmed = new ArrayList<>();
             for (Task task : storedTasks) {
                 Job job = task.job().job();
-                if (job.active()) {
+                if (job.isActive()) {
                     job.done().set(task.index());
                 }
                 events.finishedTaskStored(task);
@@ -225,7 +225,7 @@
         /** A job ends as either done or cancelled: an earlier cancellation wins. */
         @Override
         public boolean isNeeded() {
-            return job.job().active();
+            return job.job().isActive();
         }
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -140,7 +140,7 @@
             for (String id : model.specsById.keySet()) {
                 Job job = table.get(id);
                 if (!model.hasEnded(id)) {
-                    assertTrue(job != null && job.active(), id + " is active");
+                    assertTrue(job != null && job.isActive(), id + " is active");
                     assertEquals(model.isReady(id), job.ready(), id + " is ready");
                     Set<String> remaining =
                             new HashSet<>(model.specsById.get(id).awaits());
