--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -29,7 +29,7 @@
     void active(Exchange exchange, Job job) {
         String status = job.running() > 0 ? "running" : "queued";
         ObjectNode body = stateBody(job.id(), status, job.doneCount(), job.running());
-        if (!job.ready()) {
+        if (!job.isReady()) {
             job.awaited().forEach(body.putArray("awaits")::add);
         }
         exchange.answer(200, Json.bytes(body));
--- a/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/PlaceableTasks.java
@@ -18,7 +18,7 @@
     int pendingCount() {
         int sum = 0;
         for (ActiveJob job : jobs.all()) {
-            sum += job.job().ready() ? job.count(Task.State.PENDING) : 0;
+            sum += job.job().isReady() ? job.count(Task.State.PENDING) : 0;
         }
         return sum;
     }
@@ -29,7 +29,7 @@
      * even while there are unverified machines.
      */
     int placeableCount(ActiveJob job) {
-        if (!job.job().ready()) {
+        if (!job.job().isReady()) {
             return 0;
         }
         boolean mayBeHeld = unverifiedMachines.mayHoldTasksOf(job.spec());
@@ -46,7 +46,7 @@
     /** Returns the job's next pending task that may be placed, or null. */
     Task nextPlaceable(ActiveJob job) {
         // Every start passes here, so no task starts before all jobs that its job depends on are stored as done.
-        if (!job.job().ready()) {
+        if (!job.job().isReady()) {
             return null;
         }
         boolean mayBeHeld = unverifiedMachines.mayHoldTasksOf(job.spec());
@@ -74,7 +74,7 @@
         }
         int sum = 0;
         for (ActiveJob job : jobs.all()) {
-            sum += job.job().ready() ? job.count(Task.State.PENDING) - placeableCount(job) : 0;
+            sum += job.job().isReady() ? job.count(Task.State.PENDING) - placeableCount(job) : 0;
         }
         return sum;
     }
@@ -85,7 +85,7 @@
             return false;
         }
         for (ActiveJob job : jobs.all()) {
-            if (!job.acceptedThisTerm() && job.job().ready() && job.count(Task.State.PENDING) > 0) {
+            if (!job.acceptedThisTerm() && job.job().isReady() && job.count(Task.State.PENDING) > 0) {
                 return true;
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -99,7 +99,7 @@
     }
 
     /** Returns true once all awaited jobs are stored as done. No task of the job may start before. */
-    public boolean ready() {
+    public boolean isReady() {
         return awaited.isEmpty();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -44,7 +44,7 @@
         PriorityInheritance inheritance = new PriorityInheritance();
         List<Job> unreadyJobs = new ArrayList<>();
         for (Job job : activeJobs) {
-            if (!job.ready()) {
+            if (!job.isReady()) {
                 unreadyJobs.add(job);
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -30,7 +30,7 @@
         for (ActiveJob job : fleet.jobs()) {
             int teamIndex = configuredTeams.indexOf(job.spec().team(), -1);
             // A job that awaits others is left out of limits, guarantees, the order of jobs and forecasts.
-            if (teamIndex >= 0 && job.job().ready()) {
+            if (teamIndex >= 0 && job.job().isReady()) {
                 groupsByJob.put(job.id(), buildGroup(job, teamIndex, inheritance, now, timeOfDay));
             }
         }
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -141,7 +141,7 @@
                 Job job = table.get(id);
                 if (!model.hasEnded(id)) {
                     assertTrue(job != null && job.isActive(), id + " is active");
-                    assertEquals(model.isReady(id), job.ready(), id + " is ready");
+                    assertEquals(model.isReady(id), job.isReady(), id + " is ready");
                     Set<String> remaining =
                             new HashSet<>(model.specsById.get(id).awaits());
                     remaining.removeAll(model.done);
@@ -276,9 +276,9 @@
         JobTable table = newTable();
         table.changed("job-2", StoredJobCodec.accepted(spec("job-2", List.of("job-1")), 0), 2);
         Job job = table.get("job-2");
-        assertFalse(job.ready());
+        assertFalse(job.isReady());
         assertTrue(table.unresolved(job));
         table.resolved("job-1", Job.Status.DONE, 3);
-        assertTrue(job.ready());
+        assertTrue(job.isReady());
     }
 }
