--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJobs.java
@@ -30,7 +30,7 @@
 
     /** Adds a job that has just been accepted, or that was stored as active when this leader term began. */
     void add(Job job) {
-        jobs.put(job.id(), new ActiveJob(job, job.created() > context.token(), context.now()));
+        jobs.put(job.id(), new ActiveJob(job, job.firstSeenRevision() > context.token(), context.now()));
         context.events().changed();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns the revision at which this controller first saw the job. */
-    public long created() {
+    public long firstSeenRevision() {
         return firstSeenRevision;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -181,8 +181,8 @@
             job.setSpec(stored.spec(), stored.submittedAt());
         }
         if (stored.outcome() != null) {
-            end(job, stored.outcome().status(), stored.outcome().tasks(), job.created(), false);
-        } else if (earlyCancellation != null && earlyCancellation > job.created()) {
+            end(job, stored.outcome().status(), stored.outcome().tasks(), job.firstSeenRevision(), false);
+        } else if (earlyCancellation != null && earlyCancellation > job.firstSeenRevision()) {
             terminate(Termination.derivedCancellation(job, earlyCancellation, false));
         } else {
             activate(job);
@@ -193,7 +193,7 @@
     private void activate(Job job) {
         activeJobs.add(job);
         if (dependencies.addEdges(job)) {
-            terminate(Termination.derivedCancellation(job, job.created(), false));
+            terminate(Termination.derivedCancellation(job, job.firstSeenRevision(), false));
         } else if (listener != null) {
             listener.jobAccepted(job);
         }
@@ -241,7 +241,7 @@
         List<Termination> derived = new ArrayList<>();
         for (Job dependent : dependencies.removeEdgesTo(id)) {
             if (status == Job.Status.CANCELLED) {
-                derived.add(Termination.derivedCancellation(dependent, Math.max(revision, dependent.created()), true));
+                derived.add(Termination.derivedCancellation(dependent, Math.max(revision, dependent.firstSeenRevision()), true));
             } else if (dependent.isActive() && dependent.markAwaitedDone(id, clock.getAsLong()) && listener != null) {
                 listener.jobReady(dependent);
             }
--- a/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PriorityInheritance.java
@@ -50,9 +50,9 @@
         }
         // Awaited jobs were accepted before the jobs that await them. From newest to oldest, each job has inherited
         // everything before it passes it on.
-        unreadyJobs.sort(Comparator.comparingLong(Job::created).reversed());
+        unreadyJobs.sort(Comparator.comparingLong(Job::firstSeenRevision).reversed());
         for (Job job : unreadyJobs) {
-            TaskGroup group = new TaskGroup(job.spec(), null, job.created(), 0, 0);
+            TaskGroup group = new TaskGroup(job.spec(), null, job.firstSeenRevision(), 0, 0);
             forecast.fillExpectations(group, job, now, timeOfDay);
             inheritance.tighten(group, job.id());
             Inherited passedOn = new Inherited(
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -45,7 +45,7 @@
         TaskGroup group = new TaskGroup(
                 inheritance.withEffectivePriority(job.spec()),
                 job,
-                job.job().created(),
+                job.job().firstSeenRevision(),
                 teamIndex,
                 job.pausedUntil() <= now ? startable : 0);
         group.probing = isBroken;
