--- a/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/ActiveJob.java
@@ -61,7 +61,7 @@
         this.spec = job.spec();
         this.acceptedThisTerm = acceptedThisTerm;
         this.addedAt = now;
-        doneCount = job.done() == null ? 0 : job.done().cardinality();
+        doneCount = job.finishedTasks() == null ? 0 : job.finishedTasks().cardinality();
         pendingCount = job.tasks() - doneCount;
     }
 
@@ -199,7 +199,7 @@
     }
 
     private boolean isDone(int index) {
-        BitSet stored = job.done();
+        BitSet stored = job.finishedTasks();
         return stored != null && stored.get(index);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the indexes of the tasks that are stored as finished; null once the job has ended. */
-    public BitSet done() {
+    public BitSet finishedTasks() {
         return finishedTasks;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -179,7 +179,7 @@
             for (Task task : storedTasks) {
                 Job job = task.job().job();
                 if (job.isActive()) {
-                    job.done().set(task.index());
+                    job.finishedTasks().set(task.index());
                 }
                 events.finishedTaskStored(task);
             }
