--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -28,7 +28,7 @@
     /** Responds with the state of an active job. */
     void active(Exchange exchange, Job job) {
         String status = job.running() > 0 ? "running" : "queued";
-        ObjectNode body = stateBody(job.id(), status, job.doneCount(), job.running());
+        ObjectNode body = stateBody(job.id(), status, job.finishedCount(), job.running());
         if (!job.isReady()) {
             job.awaited().forEach(body.putArray("awaits")::add);
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -167,7 +167,7 @@
     }
 
     /** Returns the number of tasks stored as finished; 0 for a job that ended otherwise than done. */
-    public int doneCount() {
+    public int finishedCount() {
         return switch (status) {
             case ACCEPTED -> finishedTasks.cardinality();
             case DONE -> tasks;
