--- a/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobResponses.java
@@ -27,8 +27,8 @@
 
     /** Responds with the state of an active job. */
     void active(Exchange exchange, Job job) {
-        String status = job.running() > 0 ? "running" : "queued";
-        ObjectNode body = stateBody(job.id(), status, job.finishedCount(), job.running());
+        String status = job.runningTasks() > 0 ? "running" : "queued";
+        ObjectNode body = stateBody(job.id(), status, job.finishedCount(), job.runningTasks());
         if (!job.isReady()) {
             job.awaited().forEach(body.putArray("awaits")::add);
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/Job.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/Job.java
@@ -133,12 +133,12 @@
     }
 
     /** Returns the number of running tasks that the leader last published; for display only. */
-    public int running() {
+    public int runningTasks() {
         return runningTasks;
     }
 
     /** Sets the number of running tasks that the leader published. */
-    public void running(int newRunningTasks) {
+    public void runningTasks(int newRunningTasks) {
         runningTasks = newRunningTasks;
     }
 
