--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -237,7 +237,7 @@
         @Override
         public void changed(String key, JsonNode value, long version) {
             if (key.startsWith(Keys.JOBS)) {
-                jobTable.changed(key.substring(Keys.JOBS.length()), value, version);
+                jobTable.keyChanged(key.substring(Keys.JOBS.length()), value, version);
             } else if (key.startsWith(SegmentAddress.ROOT)) {
                 history.changed(key, value, version);
             } else if (key.startsWith(Capabilities.ROOT)) {
--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -122,7 +122,7 @@
     private void completeAccepted(Submission submission, String key, Answer answer) {
         if (answer.revision() > watchCache.revision()) {
             watchCache.recordCommitted(key, answer.revision());
-            table.changed(submission.id(), submission.storedValue, answer.revision());
+            table.keyChanged(submission.id(), submission.storedValue, answer.revision());
         }
         boolean cancelled = StoredJobCodec.termination(submission.storedValue).isPresent();
         responses.accepted(submission.exchange, submission.id(), cancelled);
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -140,7 +140,7 @@
      * @param value    new value; null if the key was deleted
      * @param revision revision of the change
      */
-    public void changed(String id, JsonNode value, long revision) {
+    public void keyChanged(String id, JsonNode value, long revision) {
         Long earlyCancellation = earlyCancellations.remove(id);
         unreadableIds.remove(id);
         if (value == null) {
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -134,7 +134,7 @@
     private static void recordCancellation(JobTable table, long revision) {
         JobSpec spec = spec(revision);
         if (table.get(spec.id()) == null) {
-            table.changed(spec.id(), StoredJobCodec.accepted(spec, 0), 1);
+            table.keyChanged(spec.id(), StoredJobCodec.accepted(spec, 0), 1);
         }
         table.end(table.get(spec.id()), Job.Status.CANCELLED, 1, revision, true);
     }
@@ -283,13 +283,13 @@
     void jobIsCancelledOnArrivalWhenItsCancellationCameFirst() {
         JobTable table = new JobTable(loop::now, id -> {});
         table.cancelled("job-000009", 9);
-        table.changed("job-000009", StoredJobCodec.accepted(spec(9), 0), 5);
+        table.keyChanged("job-000009", StoredJobCodec.accepted(spec(9), 0), 5);
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
         assertEquals(List.of(), table.active());
         assertEquals(
                 List.of(new CancellationLog.Cancellation(9, "job-000009")),
                 table.cancellations().after(0, 0).cancellations());
-        table.changed("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
+        table.keyChanged("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
         assertEquals(1, table.cancellations().count());
     }
 
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -116,12 +116,12 @@
     /** Returns the table of a newly started controller, which reads all keys in key order. */
     private JobTable newLoadedTable() {
         JobTable table = newTable();
-        model.valuesById.forEach((id, value) -> table.changed(id, value, model.revisionsById.get(id)));
+        model.valuesById.forEach((id, value) -> table.keyChanged(id, value, model.revisionsById.get(id)));
         return table;
     }
 
     private void notifyTables(String id) {
-        tables.forEach(table -> table.changed(id, model.valuesById.get(id), model.revisionsById.get(id)));
+        tables.forEach(table -> table.keyChanged(id, model.valuesById.get(id), model.revisionsById.get(id)));
     }
 
     /** Looks up awaited jobs that the table does not hold, as a controller does. */
@@ -261,7 +261,7 @@
         int length = 20_000;
         for (int i = 0; i < length; i++) {
             String id = "job-" + i;
-            table.changed(
+            table.keyChanged(
                     id, StoredJobCodec.accepted(spec(id, i == 0 ? List.of() : List.of("job-" + (i - 1))), 0), i + 1);
         }
         table.cancelled("job-0", length + 1);
@@ -274,7 +274,7 @@
     @Test
     void jobIsNotReadyUntilUnknownEndOfAwaitedJobIsResolved() {
         JobTable table = newTable();
-        table.changed("job-2", StoredJobCodec.accepted(spec("job-2", List.of("job-1")), 0), 2);
+        table.keyChanged("job-2", StoredJobCodec.accepted(spec("job-2", List.of("job-1")), 0), 2);
         Job job = table.get("job-2");
         assertFalse(job.isReady());
         assertTrue(table.unresolved(job));
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -46,7 +46,7 @@
         WatchCache watchCache =
                 new WatchCache(client, host, Keys.ROOT, "lr", 30, metrics.busy, (key, value, version) -> {
                     if (key.startsWith(Keys.JOBS)) {
-                        table.changed(key.substring(Keys.JOBS.length()), value, version);
+                        table.keyChanged(key.substring(Keys.JOBS.length()), value, version);
                     } else if (key.startsWith(SegmentAddress.ROOT)) {
                         history[0].changed(key, value, version);
                     } else if (key.startsWith(Capabilities.ROOT)) {
