--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -206,7 +206,7 @@
 
             @Override
             public void terminated(TerminatedJob terminatedJob) {
-                table.resolved(id, terminatedJob.status(), watchCache.revision());
+                table.awaitedJobEnded(id, terminatedJob.status(), watchCache.revision());
                 completeResolution(id, Optional.empty());
             }
 
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -130,7 +130,7 @@
     }
 
     /** Applies the end of an awaited job that is not in the table, as read from its key or the history. */
-    public void resolved(String id, Job.Status status, long revision) {
+    public void awaitedJobEnded(String id, Job.Status status, long revision) {
         propagate(id, status, revision).forEach(this::terminate);
     }
 
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -130,7 +130,7 @@
             TerminatedJob outcome = model.valuesById.containsKey(id)
                     ? StoredJobCodec.termination(model.valuesById.get(id)).orElse(null)
                     : null;
-            table.resolved(id, outcome != null ? outcome.status() : model.historyById.get(id), model.revision);
+            table.awaitedJobEnded(id, outcome != null ? outcome.status() : model.historyById.get(id), model.revision);
         }
     }
 
@@ -278,7 +278,7 @@
         Job job = table.get("job-2");
         assertFalse(job.isReady());
         assertTrue(table.unresolved(job));
-        table.resolved("job-1", Job.Status.DONE, 3);
+        table.awaitedJobEnded("job-1", Job.Status.DONE, 3);
         assertTrue(job.isReady());
     }
 }
