--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -319,7 +319,7 @@
 
     @Override
     public void cancellationReported(String job, long revision) {
-        jobTable.cancelled(job, revision);
+        jobTable.cancellationReported(job, revision);
     }
 
     private void refreshMachineTypes() {
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -200,7 +200,7 @@
     }
 
     /** Applies a cancellation reported by another controller. It is final, even if this controller's watch lags behind. */
-    public void cancelled(String id, long revision) {
+    public void cancellationReported(String id, long revision) {
         Job job = jobsById.get(id);
         if (job != null) {
             terminate(Termination.derivedCancellation(job, revision, true));
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -282,7 +282,7 @@
     @DisplayName("a cancellation received before the job itself cancels the job on its arrival")
     void jobIsCancelledOnArrivalWhenItsCancellationCameFirst() {
         JobTable table = new JobTable(loop::now, id -> {});
-        table.cancelled("job-000009", 9);
+        table.cancellationReported("job-000009", 9);
         table.keyChanged("job-000009", StoredJobCodec.accepted(spec(9), 0), 5);
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
         assertEquals(List.of(), table.active());
