--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -275,7 +275,7 @@
     }
 
     /** Records tasks that are stored as finished: bit {@code i} stands for task {@code firstTask + i}. */
-    public void done(String id, int firstTask, BitSet bits) {
+    public void markTasksFinished(String id, int firstTask, BitSet bits) {
         Job job = jobsById.get(id);
         if (job != null && job.isActive()) {
             job.markFinished(firstTask, bits);
--- a/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CompletionStore.java
@@ -72,7 +72,7 @@
             if (jobId != null && chunk.getValue().isTextual()) {
                 try {
                     int firstTask = CompletionPageCodec.firstTask(chunkName);
-                    jobTable.done(jobId, firstTask, CompletionPageCodec.decodeChunk(chunk.getValue()));
+                    jobTable.markTasksFinished(jobId, firstTask, CompletionPageCodec.decodeChunk(chunk.getValue()));
                 } catch (IllegalArgumentException e) {
                     // Harmless: a finished task that is started again ends immediately, because its result is kept.
                     LOG.error("finished tasks unreadable and started again, chunk={}", chunkName);
