--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -115,7 +115,7 @@
             reportActive(job, callback);
         } else if (job != null) {
             callback.terminated(terminatedJob(job));
-        } else if (table.unreadable(id)) {
+        } else if (table.isUnreadable(id)) {
             callback.unavailable("the stored record of the job cannot be read");
         } else {
             findInHistory(id, callback, found -> callback.terminated(found.ended()), found -> onAbsent.run());
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -115,7 +115,7 @@
     }
 
     /** Returns true if the value stored under the job's key cannot be parsed, so that the job's status is unknown. */
-    public boolean unreadable(String id) {
+    public boolean isUnreadable(String id) {
         return unreadableIds.contains(id);
     }
 
