--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -369,7 +369,7 @@
                 .put("ready", isReady())
                 .put("revision", watchCache.revision())
                 .put("jobs", jobTable.size())
-                .put("activeJobs", jobTable.active().size());
+                .put("activeJobs", jobTable.activeJobs().size());
         if (leaderTerm != null) {
             leaderTerm.describe(status);
         }
--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -55,7 +55,7 @@
 
     /** Stores the counts in the job table for display; jobs without a count have no running tasks. */
     void display(Map<String, Integer> counts) {
-        for (Job job : jobTable.active()) {
+        for (Job job : jobTable.activeJobs()) {
             job.runningTasks(counts.getOrDefault(job.id(), 0));
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -100,7 +100,7 @@
     }
 
     /** Returns the jobs that have not ended, in the order of acceptance. */
-    public List<Job> active() {
+    public List<Job> activeJobs() {
         return activeJobs;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -29,7 +29,7 @@
     public Set<String> needed() {
         JobTable table = context.jobTable();
         Set<String> ids = fleet.jobsOnMachines();
-        table.active().forEach(job -> ids.addAll(job.spec().awaits()));
+        table.activeJobs().forEach(job -> ids.addAll(job.spec().awaits()));
         table.terminated().unpersisted().forEach(job -> ids.addAll(job.spec().awaits()));
         return ids;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -158,7 +158,7 @@
     }
 
     private void reportStart() {
-        int activeJobs = jobTable.active().size();
+        int activeJobs = jobTable.activeJobs().size();
         LOG.info("leader term began, token={} jobs={} machines={}", leadership.token(), activeJobs, fleet.size());
         context.eventLog()
                 .emit(
@@ -229,7 +229,7 @@
 
     /** Returns the number of machines and jobs that a scheduling cycle visits. */
     private int visitCount() {
-        return fleet.size() + jobTable.active().size();
+        return fleet.size() + jobTable.activeJobs().size();
     }
 
     private void schedule() {
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -48,7 +48,7 @@
      */
     void load(Map<String, JsonNode> documents, Map<String, Long> seenAtByKey) {
         readFinishedTasks(documents);
-        for (Job job : jobTable.active()) {
+        for (Job job : jobTable.activeJobs()) {
             fleet.jobAccepted(job);
         }
         loadPages(documents, seenAtByKey);
--- a/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/TaskGroupBuilder.java
@@ -25,7 +25,7 @@
     Map<String, TaskGroup> build(long now) {
         long timeOfDay = context.loop().timeOfDay();
         PriorityInheritance inheritance =
-                PriorityInheritance.of(context.jobTable().active(), forecast, now, timeOfDay);
+                PriorityInheritance.of(context.jobTable().activeJobs(), forecast, now, timeOfDay);
         Map<String, TaskGroup> groupsByJob = new LinkedHashMap<>();
         for (ActiveJob job : fleet.jobs()) {
             int teamIndex = configuredTeams.indexOf(job.spec().team(), -1);
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -285,7 +285,7 @@
         table.cancellationReported("job-000009", 9);
         table.keyChanged("job-000009", StoredJobCodec.accepted(spec(9), 0), 5);
         assertEquals(Job.Status.CANCELLED, table.get("job-000009").status());
-        assertEquals(List.of(), table.active());
+        assertEquals(List.of(), table.activeJobs());
         assertEquals(
                 List.of(new CancellationLog.Cancellation(9, "job-000009")),
                 table.cancellations().after(0, 0).cancellations());
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -265,7 +265,7 @@
                     id, StoredJobCodec.accepted(spec(id, i == 0 ? List.of() : List.of("job-" + (i - 1))), 0), i + 1);
         }
         table.cancellationReported("job-0", length + 1);
-        assertEquals(0, table.active().size());
+        assertEquals(0, table.activeJobs().size());
         assertEquals(length, table.terminated().unpersisted().size());
         assertTrue(table.cancellations().count() == length, "every cancellation is logged");
     }
