--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -66,7 +66,7 @@
             afterBarrier(
                     callback,
                     () -> findAfterBarrier(id, callback, () -> {
-                        if (table.terminated().partial()) {
+                        if (table.terminatedJobs().partial()) {
                             findByKey(id, callback);
                         } else {
                             callback.absent();
--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -35,14 +35,14 @@
 
     /** Returns whether a page may be read now and may contain jobs to move. */
     boolean isDue() {
-        return table.terminated().partial() && selector.hasRoom() && loop.now() >= nextScanAt;
+        return table.terminatedJobs().partial() && selector.hasRoom() && loop.now() >= nextScanAt;
     }
 
     /** Returns the key after which the next page begins, or null for the first page of a scan. */
     String nextPageStart() {
         if (lastKey == null) {
             hasFoundJobs = false;
-            evictionsAtStart = table.terminated().evictions();
+            evictionsAtStart = table.terminatedJobs().evictions();
         }
         return lastKey;
     }
@@ -75,8 +75,8 @@
     private void finishScan() {
         lastKey = null;
         nextScanAt = selector.hasMovedAllScanned() ? loop.now() + RESCAN_DELAY_MS : 0;
-        if (!hasFoundJobs && evictionsAtStart == table.terminated().evictions()) {
-            table.terminated().complete();
+        if (!hasFoundJobs && evictionsAtStart == table.terminatedJobs().evictions()) {
+            table.terminatedJobs().complete();
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -105,7 +105,7 @@
     }
 
     /** Returns the terminated jobs that still have their own key. */
-    public TerminatedJobs terminated() {
+    public TerminatedJobs terminatedJobs() {
         return terminatedJobs;
     }
 
--- a/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -27,8 +27,8 @@
 
     /** Marks every derived cancellation that is not stored yet for writing. */
     public void markUnpersisted() {
-        markedJobs.retainAll(jobTable.terminated().unpersisted());
-        for (Job job : jobTable.terminated().unpersisted()) {
+        markedJobs.retainAll(jobTable.terminatedJobs().unpersisted());
+        for (Job job : jobTable.terminatedJobs().unpersisted()) {
             if (markedJobs.add(job)) {
                 writer.mark(new Cancellation(job));
             }
@@ -54,7 +54,7 @@
 
         @Override
         public void stored(long revision) {
-            jobTable.terminated().persisted(job);
+            jobTable.terminatedJobs().persisted(job);
         }
 
         /** Ranks after all writes that a user or a worker waits for. */
@@ -65,7 +65,7 @@
 
         @Override
         public boolean isNeeded() {
-            return jobTable.terminated().unpersisted().contains(job);
+            return jobTable.terminatedJobs().unpersisted().contains(job);
         }
     }
 }
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -217,7 +217,7 @@
             }
             case 6 -> {
                 // The leader writes the derived cancellations, and moves a terminated job to the history.
-                for (Job job : List.copyOf(tables.get(0).terminated().unpersisted())) {
+                for (Job job : List.copyOf(tables.get(0).terminatedJobs().unpersisted())) {
                     model.store(job.id(), StoredJobCodec.terminated(job, Job.Status.CANCELLED));
                     notifyTables(job.id());
                 }
@@ -266,7 +266,7 @@
         }
         table.cancellationReported("job-0", length + 1);
         assertEquals(0, table.activeJobs().size());
-        assertEquals(length, table.terminated().unpersisted().size());
+        assertEquals(length, table.terminatedJobs().unpersisted().size());
         assertTrue(table.cancellations().count() == length, "every cancellation is logged");
     }
 
