--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -287,7 +287,7 @@
             return;
         }
         leaderTerm = new LeaderTerm(leaderContext, leaderDocuments.valuesByKey(), leaderDocuments.receivedAtByKey());
-        jobTable.listener(leaderTerm);
+        jobTable.setListener(leaderTerm);
         announceNewLeader();
         heartbeatReceiver.releaseParked();
     }
@@ -310,7 +310,7 @@
     @Override
     public void leadershipEnded() {
         incidents.record("this controller no longer leads");
-        jobTable.listener(null);
+        jobTable.setListener(null);
         if (leaderTerm != null) {
             leaderTerm.close();
             leaderTerm = null;
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -66,7 +66,7 @@
     private final LongSupplier clock;
     private final Consumer<String> evictionListener;
 
-    private Listener listener;
+    private Listener setListener;
     private int nextIndex;
 
     /**
@@ -85,8 +85,8 @@
     }
 
     /** Sets the listener; null for none. */
-    public void listener(Listener newListener) {
-        listener = newListener;
+    public void setListener(Listener newListener) {
+        setListener = newListener;
     }
 
     /** Returns the job, or null if the table does not hold it. */
@@ -194,8 +194,8 @@
         activeJobs.add(job);
         if (dependencies.addEdges(job)) {
             terminate(Termination.derivedCancellation(job, job.firstSeenRevision(), false));
-        } else if (listener != null) {
-            listener.jobAccepted(job);
+        } else if (setListener != null) {
+            setListener.jobAccepted(job);
         }
     }
 
@@ -242,8 +242,8 @@
         for (Job dependent : dependencies.removeEdgesTo(id)) {
             if (status == Job.Status.CANCELLED) {
                 derived.add(Termination.derivedCancellation(dependent, Math.max(revision, dependent.firstSeenRevision()), true));
-            } else if (dependent.isActive() && dependent.markAwaitedDone(id, clock.getAsLong()) && listener != null) {
-                listener.jobReady(dependent);
+            } else if (dependent.isActive() && dependent.markAwaitedDone(id, clock.getAsLong()) && setListener != null) {
+                setListener.jobReady(dependent);
             }
         }
         return derived;
@@ -262,8 +262,8 @@
         }
         activeJobs.remove(job);
         terminatedJobs.add(job, termination.persisted);
-        if (termination.notifyListener && listener != null) {
-            listener.jobEnded(job);
+        if (termination.notifyListener && setListener != null) {
+            setListener.jobEnded(job);
         }
         terminatedJobs.evict().ifPresent(this::removeEvicted);
         return true;
