--- a/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
@@ -47,7 +47,7 @@
     /** Returns as many jobs as one transaction can move, or an empty batch if too few may be moved. */
     MoveBatch nextBatch(int maxOperations) {
         MoveBatch batch = new MoveBatch(maxOperations);
-        int surplus = table.terminatedJobs().all().size() - RETAINED_JOBS;
+        int surplus = table.terminatedJobs().retained().size() - RETAINED_JOBS;
         // Waits for more jobs to fill a transaction, because each one, however small, wakes every controller's watch.
         if (surplus < maxOperations / 2 && scannedJobs.isEmpty()) {
             return batch;
@@ -66,7 +66,7 @@
     private void addFromTable(MoveBatch batch, Set<String> excludedJobs, int surplus) {
         long now = loop.now();
         int remainingSurplus = surplus;
-        for (Job job : table.terminatedJobs().all()) {
+        for (Job job : table.terminatedJobs().retained()) {
             if (batch.isFull() || now - job.endedAt() < MIN_AGE_MS) {
                 return;
             }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns the retained jobs, in the order in which this process learned of their ends. */
-    public Collection<Job> all() {
+    public Collection<Job> retained() {
         return retained;
     }
 
