--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -66,7 +66,7 @@
             afterBarrier(
                     callback,
                     () -> findAfterBarrier(id, callback, () -> {
-                        if (table.terminatedJobs().partial()) {
+                        if (table.terminatedJobs().mayBeIncomplete()) {
                             findByKey(id, callback);
                         } else {
                             callback.absent();
--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -35,7 +35,7 @@
 
     /** Returns whether a page may be read now and may contain jobs to move. */
     boolean isDue() {
-        return table.terminatedJobs().partial() && selector.hasRoom() && loop.now() >= nextScanAt;
+        return table.terminatedJobs().mayBeIncomplete() && selector.hasRoom() && loop.now() >= nextScanAt;
     }
 
     /** Returns the key after which the next page begins, or null for the first page of a scan. */
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns true while there may be terminated jobs that have their own key but are not retained. */
-    public boolean partial() {
+    public boolean mayBeIncomplete() {
         return mayBeIncomplete;
     }
 
