--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -76,7 +76,7 @@
         lastKey = null;
         nextScanAt = selector.hasMovedAllScanned() ? loop.now() + RESCAN_DELAY_MS : 0;
         if (!hasFoundJobs && evictionsAtStart == table.terminatedJobs().evictions()) {
-            table.terminatedJobs().complete();
+            table.terminatedJobs().markComplete();
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -82,7 +82,7 @@
     }
 
     /** Records that a scan of all job keys since the last eviction found every terminated job with a key retained. */
-    public void complete() {
+    public void markComplete() {
         mayBeIncomplete = false;
     }
 }
