--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -160,7 +160,7 @@
         if (job == null) {
             add(new Job(id, nextIndex++, revision), stored, earlyCancellation);
         } else if (stored.outcome() != null) {
-            terminatedJobs.persisted(job);
+            terminatedJobs.markPersisted(job);
             end(job, stored.outcome().status(), stored.outcome().tasks(), revision, true);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -44,7 +44,7 @@
     }
 
     /** Records that the job's own key now states its end. */
-    public void persisted(Job job) {
+    public void markPersisted(Job job) {
         unpersisted.remove(job);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
+++ b/controller/src/main/java/org/landingridge/controller/progress/CancellationWriter.java
@@ -54,7 +54,7 @@
 
         @Override
         public void stored(long revision) {
-            jobTable.terminatedJobs().persisted(job);
+            jobTable.terminatedJobs().markPersisted(job);
         }
 
         /** Ranks after all writes that a user or a worker waits for. */
