--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -42,7 +42,7 @@
     String nextPageStart() {
         if (lastKey == null) {
             hasFoundJobs = false;
-            evictionsAtStart = table.terminatedJobs().evictions();
+            evictionsAtStart = table.terminatedJobs().evictionCount();
         }
         return lastKey;
     }
@@ -75,7 +75,7 @@
     private void finishScan() {
         lastKey = null;
         nextScanAt = selector.hasMovedAllScanned() ? loop.now() + RESCAN_DELAY_MS : 0;
-        if (!hasFoundJobs && evictionsAtStart == table.terminatedJobs().evictions()) {
+        if (!hasFoundJobs && evictionsAtStart == table.terminatedJobs().evictionCount()) {
             table.terminatedJobs().markComplete();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJobs.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the number of jobs evicted so far. */
-    public int evictions() {
+    public int evictionCount() {
         return evictionCount;
     }
 
