--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -87,7 +87,7 @@
             return null;
         }
         long from = request.incarnation() == incarnation ? request.position() : 0;
-        CancellationLog.Page page = ownLog.after(from, request.knownRevision());
+        CancellationLog.Page page = ownLog.pageAfter(from, request.knownRevision());
         return page == null
                 ? null
                 : new PeerMessage.CancellationReport(incarnation, from, page.endPosition(), page.complete(), page.cancellations());
--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -45,7 +45,7 @@
      * Returns a page of the entries after the position that were stored after the revision; null if some of them may have been
      * overwritten.
      */
-    public Page after(long position, long revision) {
+    public Page pageAfter(long position, long revision) {
         long oldestPosition = Math.max(0, count - CAPACITY);
         // A page without the overwritten entries would look complete to a leader that lacks them.
         if (position < oldestPosition && newestOverwrittenRevision > revision) {
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -288,7 +288,7 @@
         assertEquals(List.of(), table.activeJobs());
         assertEquals(
                 List.of(new CancellationLog.Cancellation(9, "job-000009")),
-                table.cancellations().after(0, 0).cancellations());
+                table.cancellations().pageAfter(0, 0).cancellations());
         table.keyChanged("job-000009", Json.object().put("ended", "CANCELLED").put("takes", 1), 9);
         assertEquals(1, table.cancellations().count());
     }
@@ -321,13 +321,13 @@
         CancellationLog cancellationLog = table.cancellations();
         assertEquals(
                 null,
-                cancellationLog.after(0, 1_000),
+                cancellationLog.pageAfter(0, 1_000),
                 "some entries stored after revision 1,000 have been overwritten");
         List<Long> revisions = new ArrayList<>();
-        CancellationLog.Page page = cancellationLog.after(0, 2_000);
+        CancellationLog.Page page = cancellationLog.pageAfter(0, 2_000);
         for (int pageCount = 0; !page.complete() && pageCount < 9; pageCount++) {
             page.cancellations().forEach(cancellation -> revisions.add(cancellation.revision()));
-            page = cancellationLog.after(page.endPosition(), 2_000);
+            page = cancellationLog.pageAfter(page.endPosition(), 2_000);
         }
         page.cancellations().forEach(cancellation -> revisions.add(cancellation.revision()));
         assertEquals(4_000, revisions.size());
