--- a/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobAcceptance.java
@@ -124,7 +124,7 @@
             watchCache.recordCommitted(key, answer.revision());
             table.keyChanged(submission.id(), submission.storedValue, answer.revision());
         }
-        boolean cancelled = StoredJobCodec.termination(submission.storedValue).isPresent();
+        boolean cancelled = StoredJobCodec.readOutcome(submission.storedValue).isPresent();
         responses.accepted(submission.exchange, submission.id(), cancelled);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -105,7 +105,7 @@
     }
 
     private static Optional<TerminatedJob> storedTermination(Answer answer) {
-        return answer.ok() ? StoredJobCodec.termination(answer.body().path("data")) : Optional.empty();
+        return answer.ok() ? StoredJobCodec.readOutcome(answer.body().path("data")) : Optional.empty();
     }
 
     /** Finds the job in the table or the history; the caller has passed the barrier. */
--- a/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
+++ b/controller/src/main/java/org/landingridge/controller/history/KeyScan.java
@@ -64,7 +64,7 @@
     }
 
     private void addIfTerminated(String id, StateEntry entry) {
-        StoredJobCodec.termination(entry.value()).ifPresent(end -> {
+        StoredJobCodec.readOutcome(entry.value()).ifPresent(end -> {
             if (table.get(id) == null) {
                 hasFoundJobs = true;
                 selector.addScanned(new MoveCandidate(id, entry.version(), end));
--- a/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/StoredJobCodec.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns the outcome in a stored value; empty if the job has not ended, or if the outcome cannot be parsed. */
-    public static Optional<TerminatedJob> termination(JsonNode value) {
+    public static Optional<TerminatedJob> readOutcome(JsonNode value) {
         String status = Json.text(value, ENDED);
         int tasks = (int) Math.max(0, Json.integer(value, TASKS, 0));
         if (Job.Status.DONE.name().equals(status)) {
@@ -82,7 +82,7 @@
      * @throws InvalidMessageException if the value holds neither an outcome nor a valid specification
      */
     static StoredJob read(JsonNode value) throws InvalidMessageException {
-        Optional<TerminatedJob> outcome = termination(value);
+        Optional<TerminatedJob> outcome = readOutcome(value);
         JobSpec spec = null;
         try {
             spec = value.get(SPEC) == null ? null : JobSpec.read(value.get(SPEC));
--- a/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
+++ b/controller/src/test/java/org/landingridge/controller/jobs/PipelineModelTest.java
@@ -128,7 +128,7 @@
     private void resolveAwaited(JobTable table) {
         for (String id : table.unresolved()) {
             TerminatedJob outcome = model.valuesById.containsKey(id)
-                    ? StoredJobCodec.termination(model.valuesById.get(id)).orElse(null)
+                    ? StoredJobCodec.readOutcome(model.valuesById.get(id)).orElse(null)
                     : null;
             table.awaitedJobEnded(id, outcome != null ? outcome.status() : model.historyById.get(id), model.revision);
         }
@@ -153,7 +153,7 @@
                             id + " has ended");
                 } else {
                     boolean endIsStored = model.historyById.containsKey(id)
-                            || StoredJobCodec.termination(model.valuesById.get(id))
+                            || StoredJobCodec.readOutcome(model.valuesById.get(id))
                                     .isPresent();
                     assertTrue(endIsStored, id + " is retained until its key records its end");
                 }
@@ -223,11 +223,11 @@
                 }
                 String jobId = pickRandom(jobIdsWhere(id -> model.hasEnded(id)
                         && model.valuesById.containsKey(id)
-                        && StoredJobCodec.termination(model.valuesById.get(id)).isPresent()));
+                        && StoredJobCodec.readOutcome(model.valuesById.get(id)).isPresent()));
                 if (jobId != null) {
                     model.historyById.put(
                             jobId,
-                            StoredJobCodec.termination(model.valuesById.get(jobId))
+                            StoredJobCodec.readOutcome(model.valuesById.get(jobId))
                                     .orElseThrow()
                                     .status());
                     model.store(jobId, null);
