--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -262,7 +262,7 @@
     }
 
     private void configurationChanged(String key, JsonNode value) {
-        configurationView.changed(key, value);
+        configurationView.documentChanged(key, value);
         if (leaderTerm != null) {
             leaderTerm.requestSchedulingCycle();
         }
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationView.java
@@ -43,7 +43,7 @@
     }
 
     /** Applies a change of one document; null if it was deleted. */
-    public void changed(String key, JsonNode value) {
+    public void documentChanged(String key, JsonNode value) {
         if (value == null) {
             documents.remove(key);
         } else {
