--- a/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
+++ b/controller/src/main/java/org/landingridge/controller/api/SubmissionValidator.java
@@ -44,7 +44,7 @@
         if (team == null) {
             return Optional.of("field crew: there is no team " + spec.team());
         }
-        if (team.removed()) {
+        if (team.isRemoved()) {
             return Optional.of("field crew: team " + spec.team() + " has been removed");
         }
         if (machineTypes.values().stream().noneMatch(type -> type.fits(spec))) {
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ChangeRequest.java
@@ -142,7 +142,7 @@
         }
         for (Map.Entry<String, JsonNode> entry : add.entrySet()) {
             ConfiguredTeam before = current.teams().get(entry.getKey());
-            if (before != null && !before.removed()) {
+            if (before != null && !before.isRemoved()) {
                 throw new InvalidMessageException("field add." + entry.getKey() + ": team already exists");
             }
             Settings.Team zeroLimits = new Settings.Team(entry.getKey(), 0, 0, 0, 0);
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfigurationService.java
@@ -71,7 +71,7 @@
                     .put("cpusMax", teamLimits.cpusMax())
                     .put("gpus", teamLimits.gpus())
                     .put("gpusMax", teamLimits.gpusMax());
-            if (team.removed()) {
+            if (team.isRemoved()) {
                 row.put("removed", true);
             }
         });
--- a/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
+++ b/controller/src/main/java/org/landingridge/controller/liveconfig/ConfiguredTeam.java
@@ -10,9 +10,9 @@
  * A team of the current configuration.
  *
  * @param limits  the team's guarantee and limit
- * @param removed whether new jobs of the team are refused; jobs accepted earlier still run within the limits
+ * @param isRemoved whether new jobs of the team are refused; jobs accepted earlier still run within the limits
  */
-public record ConfiguredTeam(Settings.Team limits, boolean removed) {
+public record ConfiguredTeam(Settings.Team limits, boolean isRemoved) {
     private static final int FIELD_COUNT = 5;
 
     /** Returns the stored form: guarantee and limit of CPUs, guarantee and limit of GPUs, and 1 for a removed team, else 0. */
@@ -22,7 +22,7 @@
                 .add(limits.cpusMax())
                 .add(limits.gpus())
                 .add(limits.gpusMax())
-                .add(removed ? 1 : 0);
+                .add(isRemoved ? 1 : 0);
         return row;
     }
 
