--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -27,7 +27,7 @@
         void rented(RentRequest request, List<String> machines);
 
         /** A rent was rejected permanently, for instance for lack of capacity. */
-        void noCapacity(RentRequest request);
+        void rentFailed(RentRequest request);
 
         /** The cloud has confirmed the return of these machines. */
         void returned(List<String> machines);
@@ -220,7 +220,7 @@
 
     private void fail(Operation operation, CallOutcome outcome) {
         if (operation.request() instanceof RentRequest rentRequest) {
-            events.noCapacity(rentRequest);
+            events.rentFailed(rentRequest);
         }
         finish(operation, State.FAILED, outcome);
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -38,7 +38,7 @@
             fleet.addRented(id, request.type(), request.zone(), request.spot());
         }
         if (machineIds.size() < request.count()) {
-            noCapacity(request);
+            rentFailed(request);
         } else {
             poolCapacity.recordGrant(pool(request));
         }
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void noCapacity(RentRequest request) {
+    public void rentFailed(RentRequest request) {
         poolCapacity.recordRefusal(pool(request));
         trigger.requestCycle();
     }
