--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -24,7 +24,7 @@
     /** Receives the results of operations. */
     public interface Events {
         /** A rent succeeded with these machines; fewer than requested means that the pool has no more capacity. */
-        void rented(RentRequest request, List<String> machines);
+        void machinesRented(RentRequest request, List<String> machines);
 
         /** A rent was rejected permanently, for instance for lack of capacity. */
         void rentFailed(RentRequest request);
@@ -211,7 +211,7 @@
     private void succeed(Operation operation, CallOutcome outcome) {
         CloudRequest request = operation.request();
         if (request instanceof RentRequest rentRequest) {
-            events.rented(rentRequest, outcome.machines());
+            events.machinesRented(rentRequest, outcome.machines());
         } else if (request instanceof ReturnRequest returnRequest) {
             events.returned(returnRequest.machines());
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void rented(RentRequest request, List<String> machineIds) {
+    public void machinesRented(RentRequest request, List<String> machineIds) {
         for (String id : machineIds) {
             fleet.addRented(id, request.type(), request.zone(), request.spot());
         }
