--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -30,7 +30,7 @@
         void rentFailed(RentRequest request);
 
         /** The cloud has confirmed the return of these machines. */
-        void returned(List<String> machines);
+        void machinesReturned(List<String> machines);
 
         /** The outcome of an operation is still unknown after the query limit. */
         void escalated(Operation operation);
@@ -213,7 +213,7 @@
         if (request instanceof RentRequest rentRequest) {
             events.machinesRented(rentRequest, outcome.machines());
         } else if (request instanceof ReturnRequest returnRequest) {
-            events.returned(returnRequest.machines());
+            events.machinesReturned(returnRequest.machines());
         }
         finish(operation, State.SUCCEEDED, outcome);
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -97,7 +97,7 @@
         failoverProgress = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
         schedulingCycle = new SchedulingCycle(context, fleet, operations, forecast, poolCapacity, observationWindow);
         instanceReconciler = new InstanceReconciler(
-                context, fleet, operations, listedMachines, operationEvents::returned, observationWindow::recordMachineList);
+                context, fleet, operations, listedMachines, operationEvents::machinesReturned, observationWindow::recordMachineList);
         leaderStatus = new LeaderStatus(fleet, operations, failoverProgress);
         reportStart();
         fleet.start();
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -57,7 +57,7 @@
 
     /** Removes machines that were returned, and machines that the cloud's lists no longer show. */
     @Override
-    public void returned(List<String> machineIds) {
+    public void machinesReturned(List<String> machineIds) {
         for (String id : machineIds) {
             fleet.removeGone(id);
             machineRegistry.remove(id);
