--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -33,7 +33,7 @@
         void machinesReturned(List<String> machines);
 
         /** The outcome of an operation is still unknown after the query limit. */
-        void escalated(Operation operation);
+        void operationEscalated(Operation operation);
 
         /** Returns true while this controller may act as leader. */
         boolean mayAct();
@@ -235,7 +235,7 @@
                         operation.name(),
                         queryLimitMs / 1000,
                         outcome.text());
-                events.escalated(operation);
+                events.operationEscalated(operation);
             }
             operation.transition(nextState, outcome.text());
             writer.mark(operation);
--- a/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/OperationEvents.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void escalated(Operation operation) {
+    public void operationEscalated(Operation operation) {
         context.metrics().escalated.increment();
         context.incidents()
                 .record(operation.name() + " (" + operation.kind()
