--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -206,7 +206,7 @@
         // A delayed message of an earlier leader must not replace the current leader, whose messages arrive.
         if (!leaderView.hasReachableLeaderOtherThan(message.host())) {
             forwarder.recordLeaderMessage(message.host());
-            jobService.leaderHeard(message.writesStarved());
+            jobService.handleLeaderHeartbeat(message.writesStarved());
             metrics.busy.during(Part.STATUS, () -> runningCounts.display(message.counts()));
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
+++ b/controller/src/main/java/org/landingridge/controller/RunningCountsExchange.java
@@ -47,7 +47,7 @@
         Map<String, Integer> counts = currentTerm.get().runningTasksByJob();
         display(counts);
         boolean writesStarved = writer.isStarved();
-        jobService.leaderHeard(writesStarved);
+        jobService.handleLeaderHeartbeat(writesStarved);
         for (String otherHost : otherHosts) {
             transport.send(otherHost, new PeerMessage.RunningCounts(ownHost, counts, writesStarved));
         }
--- a/controller/src/main/java/org/landingridge/controller/api/JobService.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobService.java
@@ -67,7 +67,7 @@
      *
      * @param writesStarved true if the leader has more to write than the state service accepts
      */
-    public void leaderHeard(boolean writesStarved) {
+    public void handleLeaderHeartbeat(boolean writesStarved) {
         admission.handleLeaderHeartbeat(writesStarved);
     }
 
