--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -159,7 +159,7 @@
     }
 
     /** Looks up every awaited job that the table does not keep; a leader cannot start the dependants of these jobs before. */
-    public void resolveAll() {
+    public void resolveAwaitedJobs() {
         table.unresolved().forEach(id -> resolve(id, failure -> {}));
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -244,7 +244,7 @@
         if (leadership.mayAct()) {
             instanceReconciler.returnUnusableMachines(loop.now());
             instanceReconciler.requestList();
-            context.jobLookup().resolveAll();
+            context.jobLookup().resolveAwaitedJobs();
             cancellationWriter.markUnpersisted();
             trigger.requestCycle();
         }
