--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -103,7 +103,7 @@
     static Operation takeOver(
             String root, String name, StoredOperation record, long token, Consumer<Operation> onStored) {
         Operation operation = new Operation(root, name, record, token, onStored);
-        operation.written = !operation.open();
+        operation.written = !operation.isOpen();
         return operation;
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Returns true while the outcome is not known. */
-    public boolean open() {
+    public boolean isOpen() {
         return state.isOpen();
     }
 
@@ -201,6 +201,6 @@
         if (!written) {
             return RANK_NEW;
         }
-        return open() ? RANK_OPEN : RANK_CLOSED;
+        return isOpen() ? RANK_OPEN : RANK_CLOSED;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -112,7 +112,7 @@
         Operation operation =
                 Operation.takeOver(scope.root(), name, storedOperation.get(), scope.token(), this::recordStored);
         operations.put(name, operation);
-        if (operation.open()) {
+        if (operation.isOpen()) {
             writer.mark(operation);
         } else {
             loop.after(RETENTION_MS, () -> forget(operation));
@@ -175,7 +175,7 @@
         if (closed) {
             return;
         }
-        if (operation.markWritten() && operation.open()) {
+        if (operation.markWritten() && operation.isOpen()) {
             dispatch(operation);
         }
         if (operation.state() == State.FORGOTTEN) {
@@ -184,7 +184,7 @@
     }
 
     private void dispatch(Operation operation) {
-        if (closed || !operation.open()) {
+        if (closed || !operation.isOpen()) {
             return;
         }
         if (!events.mayAct()) {
@@ -196,7 +196,7 @@
     }
 
     private void handleOutcome(Operation operation, CallOutcome outcome) {
-        if (closed || !operation.open()) {
+        if (closed || !operation.isOpen()) {
             return;
         }
         // Both kinds are safe to send again with the same key and request: the cloud deduplicates rents by their key
@@ -260,7 +260,7 @@
     }
 
     private void forget(Operation operation) {
-        if (!closed && !operation.open() && operation.state() != State.FORGOTTEN) {
+        if (!closed && !operation.isOpen() && operation.state() != State.FORGOTTEN) {
             operation.transition(State.FORGOTTEN, operation.lastOutcome());
             writer.mark(operation);
         }
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -138,7 +138,7 @@
     /** Adds a node for each machine that an open rent operation may still provide, unless the operation was escalated. */
     void addPendingRents(Operations operations, Map<String, MachineType> typesByName) {
         for (Operation operation : operations.all()) {
-            if (operation.open()
+            if (operation.isOpen()
                     && operation.state() != Operation.State.ESCALATED
                     && operation.request() instanceof RentRequest rent) {
                 MachineType type = typesByName.get(rent.type());
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderStatus.java
@@ -53,7 +53,7 @@
 
     private void describeOpenOperations(ArrayNode openOperations) {
         for (Operation operation : operations.all()) {
-            if (operation.open()) {
+            if (operation.isOpen()) {
                 openOperations
                         .addObject()
                         .put("key", operation.name())
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -95,7 +95,7 @@
     }
 
     private void markMachinesLeaving(Operation operation) {
-        if (operation.open() && operation.request() instanceof ReturnRequest request) {
+        if (operation.isOpen() && operation.request() instanceof ReturnRequest request) {
             for (String machineId : request.machines()) {
                 Machine machine = fleet.machine(machineId);
                 if (machine != null) {
