--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -124,7 +124,7 @@
      * Returns true until the first call of a rent from this pool has completed. Further demand is combined into one later
      * request: at a few calls a second, many small requests would delay a large one by half a minute.
      */
-    public boolean rentPending(String type, String zone, boolean spot) {
+    public boolean isRentPending(String type, String zone, boolean spot) {
         for (Operation operation : operations.values()) {
             if (operation.state() == State.DISPATCHED
                     && operation.request() instanceof RentRequest rentRequest
--- a/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/PlanExecutor.java
@@ -60,7 +60,7 @@
     private void scaleOut(List<SchedulingPlan.Rent> rents) {
         boolean isFleetObserved = observationWindow.state(context.loop().now()) == ObservationWindow.State.COMPLETE;
         for (SchedulingPlan.Rent rent : rents) {
-            if (isFleetObserved && !operations.rentPending(rent.type(), rent.zone(), rent.spot())) {
+            if (isFleetObserved && !operations.isRentPending(rent.type(), rent.zone(), rent.spot())) {
                 operations.rent(new RentRequest(rent.type(), rent.zone(), rent.spot(), rent.count()));
             }
         }
