--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -323,7 +323,7 @@
     }
 
     private void refreshMachineTypes() {
-        cloudClient.types(listed -> {
+        cloudClient.readMachineTypes(listed -> {
             if (listed != null && !listed.isEmpty()) {
                 machineTypes.clear();
                 listed.forEach(type -> machineTypes.put(type.name(), type));
--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -64,7 +64,7 @@
     }
 
     /** Reads the machine types; passes null if there is no valid response. */
-    public void types(Consumer<List<MachineType>> callback) {
+    public void readMachineTypes(Consumer<List<MachineType>> callback) {
         reads.addLast(() -> http.call(
                 address,
                 "GET",
