--- a/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/CloudClient.java
@@ -88,7 +88,7 @@
     }
 
     /** Lists all machines; passes null if a page cannot be read. */
-    public void list(Consumer<List<CloudMachine>> callback) {
+    public void listMachines(Consumer<List<CloudMachine>> callback) {
         readPages(null, new ArrayList<>(), callback);
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/InstanceReconciler.java
@@ -82,7 +82,7 @@
             return;
         }
         isListRequestPending = true;
-        context.cloudClient().list(cloudMachines -> {
+        context.cloudClient().listMachines(cloudMachines -> {
             isListRequestPending = false;
             nextListAt = context.loop().now() + Math.max(MIN_LIST_PAUSE_MS, listLagMs / 2);
             if (!closed && cloudMachines != null && context.leadership().mayAct()) {
