--- a/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operation.java
@@ -54,7 +54,7 @@
     }
 
     /** Last part of the key prefix of operation records. */
-    public static final String PREFIX = "op/";
+    public static final String KEY_PREFIX = "op/";
 
     /** Write ranks, lowest first; a closed operation is written after the registry, which then has the rented machines. */
     private static final int RANK_NEW = 3;
@@ -183,7 +183,7 @@
 
     @Override
     public String key() {
-        return root + PREFIX + name;
+        return root + KEY_PREFIX + name;
     }
 
     @Override
--- a/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/StoredDocumentLoader.java
@@ -17,7 +17,7 @@
 final class StoredDocumentLoader {
     private static final String COMPLETION_PREFIX = Keys.ROOT + CompletionStore.PREFIX;
     private static final String MACHINE_PREFIX = Keys.ROOT + MachineRegistry.PREFIX;
-    private static final String OPERATION_PREFIX = Keys.ROOT + Operation.PREFIX;
+    private static final String OPERATION_PREFIX = Keys.ROOT + Operation.KEY_PREFIX;
 
     private final LeaderContext context;
     private final JobTable jobTable;
