--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -47,7 +47,7 @@
      * @param queryLimitS time without a known outcome after which an operation is escalated, in seconds
      * @param valueBytes  largest value that the state service accepts, in bytes
      */
-    public record Scope(String root, long token, double queryLimitS, int valueBytes) {}
+    public record TermParameters(String root, long token, double queryLimitS, int valueBytes) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
     /** Time for which the record of a finished operation is kept, in milliseconds. */
@@ -69,7 +69,7 @@
     private final RandomGenerator random;
     private final CloudClient cloud;
     private final BatchWriter writer;
-    private final Scope scope;
+    private final TermParameters scope;
     private final long queryLimitMs;
     private final Events events;
     private final Map<String, Operation> operations = new LinkedHashMap<>();
@@ -78,7 +78,7 @@
 
     /** Creates an empty set; operations of earlier leaders are added by {@link #takeOver}. */
     public Operations(
-            EventLoop loop, RandomGenerator random, CloudClient cloud, BatchWriter writer, Scope scope, Events events) {
+            EventLoop loop, RandomGenerator random, CloudClient cloud, BatchWriter writer, TermParameters scope, Events events) {
         this.loop = loop;
         this.random = random;
         this.cloud = cloud;
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -128,7 +128,7 @@
     }
 
     private Operations createOperations(Operations.Events events) {
-        Operations.Scope scope = new Operations.Scope(
+        Operations.TermParameters scope = new Operations.TermParameters(
                 Keys.ROOT,
                 leadership.token(),
                 context.policy().queryLimitS(),
