--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -134,7 +134,7 @@
     }
 
     /** Counts a successful write for a user; moves yield to these. */
-    public void noted() {
+    public void recordUserWrite() {
         userWrites.recordWrite();
     }
 
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -206,13 +206,13 @@
 
     @Override
     public void jobAccepted(Job job) {
-        compactor.noted();
+        compactor.recordUserWrite();
         fleet.jobAccepted(job);
     }
 
     @Override
     public void jobEnded(Job job) {
-        compactor.noted();
+        compactor.recordUserWrite();
         forecast.recordJobEnded(job.id());
         ActiveJob activeJob = fleet.job(job.id());
         if (activeJob != null) {
