--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -41,7 +41,7 @@
         boolean mayAct();
 
         /** Returns whether the leader has other writes pending, or does not know yet which tasks its machines hold. */
-        boolean busy();
+        boolean isBusy();
 
         /**
          * Returns the ids of jobs that must keep their own keys, which every controller reads at startup: jobs that have or may
--- a/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
@@ -27,7 +27,7 @@
 
     boolean areMet() {
         return owner.mayAct()
-                && !owner.busy()
+                && !owner.isBusy()
                 && userWrites.perSecond() <= USER_WRITE_SHARE_LIMIT * writeRps
                 && allControllersReadHistory();
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -21,7 +21,7 @@
     }
 
     @Override
-    public boolean busy() {
+    public boolean isBusy() {
         return fleet.unverified() > 0 || !context.writer().isIdle();
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -64,7 +64,7 @@
                     }
 
                     @Override
-                    public boolean busy() {
+                    public boolean isBusy() {
                         return false;
                     }
 
