--- a/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CandidateSelector.java
@@ -52,7 +52,7 @@
         if (surplus < maxOperations / 2 && scannedJobs.isEmpty()) {
             return batch;
         }
-        Set<String> excludedJobs = owner.needed();
+        Set<String> excludedJobs = owner.jobsToRetain();
         excludedJobs.addAll(conflictingJobs);
         for (MoveCandidate candidate : scannedJobs.values()) {
             if (!excludedJobs.contains(candidate.id())) {
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -47,7 +47,7 @@
          * Returns the ids of jobs that must keep their own keys, which every controller reads at startup: jobs that have or may
          * have tasks on a machine, and jobs that an unfinished job awaits. The caller may modify the set.
          */
-        Set<String> needed();
+        Set<String> jobsToRetain();
     }
 
     private enum State {
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public Set<String> needed() {
+    public Set<String> jobsToRetain() {
         JobTable table = context.jobTable();
         Set<String> ids = fleet.jobsOnMachines();
         table.activeJobs().forEach(job -> ids.addAll(job.spec().awaits()));
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -69,7 +69,7 @@
                     }
 
                     @Override
-                    public Set<String> needed() {
+                    public Set<String> jobsToRetain() {
                         Set<String> keptJobs = new HashSet<>();
                         for (int i = keepsOddJobs ? 1 : 0; i < JOB_COUNT; i += 2) {
                             keptJobs.add(id(i));
