--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -78,7 +78,7 @@
     private TerminatedJob knownTermination(String id) {
         Job job = table.get(id);
         if (job == null) {
-            return history.known(id);
+            return history.findCached(id);
         }
         return job.isActive() ? null : terminatedJob(job);
     }
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -110,7 +110,7 @@
     }
 
     /** Returns how the job ended if the cache contains it, otherwise null; null does not prove its absence. */
-    public TerminatedJob known(String id) {
+    public TerminatedJob findCached(String id) {
         SegmentAddress address = SegmentAddress.of(id);
         CachedSegment segment = segments.get(address.key());
         return segment == null ? null : segment.terminatedJob(address.offset());
