--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -239,7 +239,7 @@
             if (key.startsWith(Keys.JOBS)) {
                 jobTable.keyChanged(key.substring(Keys.JOBS.length()), value, version);
             } else if (key.startsWith(SegmentAddress.ROOT)) {
-                history.changed(key, value, version);
+                history.segmentChanged(key, value, version);
             } else if (key.startsWith(Capabilities.ROOT)) {
                 capabilities.announcementChanged(key, value);
             } else if (key.startsWith(ConfigurationView.ROOT)) {
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -92,7 +92,7 @@
      *
      * @param value the stored value, or null if the key was deleted
      */
-    public void changed(String key, JsonNode value, long version) {
+    public void segmentChanged(String key, JsonNode value, long version) {
         CachedSegment segment = segments.get(key);
         if (segment == null) {
             segment = add(key);
@@ -198,7 +198,7 @@
         firstReadState = FirstReadState.DONE;
         if (wasFollowing) {
             for (StateEntry entry : page.get().entries()) {
-                changed(entry.key(), entry.value(), entry.version());
+                segmentChanged(entry.key(), entry.value(), entry.version());
             }
             isComplete = !page.get().more() && evictions == evictionsBefore;
         }
--- a/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ConcurrentCompactorsTest.java
@@ -48,7 +48,7 @@
                     if (key.startsWith(Keys.JOBS)) {
                         table.keyChanged(key.substring(Keys.JOBS.length()), value, version);
                     } else if (key.startsWith(SegmentAddress.ROOT)) {
-                        history[0].changed(key, value, version);
+                        history[0].segmentChanged(key, value, version);
                     } else if (key.startsWith(Capabilities.ROOT)) {
                         capabilities[0].announcementChanged(key, value);
                     }
