--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -40,11 +40,11 @@
     }
 
     /** Returns the present result of a lookup of the job at this offset. */
-    History.Found lookupResult(int offset) {
+    History.LookupResult lookupResult(int offset) {
         return switch (state) {
             case LOADING -> History.UNAVAILABLE;
-            case UNREADABLE -> new History.Found(History.Outcome.UNREADABLE, null, null, version);
-            case READ -> new History.Found(History.Outcome.READ, segment.get(offset), segment, version);
+            case UNREADABLE -> new History.LookupResult(History.Outcome.UNREADABLE, null, null, version);
+            case READ -> new History.LookupResult(History.Outcome.READ, segment.get(offset), segment, version);
         };
     }
 
--- a/controller/src/main/java/org/landingridge/controller/history/Compactor.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Compactor.java
@@ -198,7 +198,7 @@
         });
     }
 
-    private void handleSegment(MoveBatch batch, String segment, History.Found found) {
+    private void handleSegment(MoveBatch batch, String segment, History.LookupResult found) {
         switch (found.outcome()) {
             case READ -> {
                 batch.setContents(segment, found);
--- a/controller/src/main/java/org/landingridge/controller/history/History.java
+++ b/controller/src/main/java/org/landingridge/controller/history/History.java
@@ -40,7 +40,7 @@
      * @param segment the segment that was read; null if it could not be read
      * @param version version of the segment's key, or 0 if it does not exist
      */
-    public record Found(Outcome outcome, TerminatedJob ended, Segment segment, long version) {}
+    public record LookupResult(Outcome outcome, TerminatedJob ended, Segment segment, long version) {}
 
     /** State of the first read, which loads one page of segments. */
     private enum FirstReadState {
@@ -54,9 +54,9 @@
     /** Number of segments in the first read, which loads a short history completely. */
     private static final int FIRST_PAGE_SEGMENTS = 32;
 
-    static final Found UNAVAILABLE = new Found(Outcome.UNAVAILABLE, null, null, 0);
+    static final LookupResult UNAVAILABLE = new LookupResult(Outcome.UNAVAILABLE, null, null, 0);
     /** Result of a lookup whose segment does not exist. */
-    private static final Found ABSENT = new Found(Outcome.READ, null, Segment.EMPTY, 0);
+    private static final LookupResult ABSENT = new LookupResult(Outcome.READ, null, Segment.EMPTY, 0);
 
     private final StateClient client;
     private final WatchCache watchCache;
@@ -122,7 +122,7 @@
      * @param callback receives the result, possibly before this method returns; an absence holds as of the watch cache's revision
      *                 or a later one
      */
-    public void find(String id, Consumer<Found> callback) {
+    public void find(String id, Consumer<LookupResult> callback) {
         SegmentAddress address = SegmentAddress.of(id);
         CachedSegment segment = segments.get(address.key());
         if (segment != null && !segment.isLoading()) {
@@ -138,7 +138,7 @@
         }
     }
 
-    private void findAfterFirstRead(String id, Consumer<Found> callback) {
+    private void findAfterFirstRead(String id, Consumer<LookupResult> callback) {
         lookupsAwaitingFirstRead.add(() -> {
             if (firstReadState == FirstReadState.DONE) {
                 find(id, callback);
@@ -151,7 +151,7 @@
         }
     }
 
-    private void readSegment(SegmentAddress address, Consumer<Found> callback) {
+    private void readSegment(SegmentAddress address, Consumer<LookupResult> callback) {
         // Added to the cache before the request, so that changes arriving through the watch meanwhile are not missed.
         CachedSegment segment = add(address.key());
         segment.addWaiting(() -> callback.accept(segment.lookupResult(address.offset())));
--- a/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveBatch.java
@@ -29,7 +29,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(MoveBatch.class);
     private final Map<String, List<MoveCandidate>> candidatesBySegment = new LinkedHashMap<>();
-    private final Map<String, History.Found> contentsBySegment = new HashMap<>();
+    private final Map<String, History.LookupResult> contentsBySegment = new HashMap<>();
     private int remainingOperations;
 
     /** @param maxOperations maximum number of puts and deletes in a transaction */
@@ -76,7 +76,7 @@
         return candidatesBySegment.get(segment).get(0).id();
     }
 
-    void setContents(String segment, History.Found found) {
+    void setContents(String segment, History.LookupResult found) {
         contentsBySegment.put(segment, found);
     }
 
@@ -99,7 +99,7 @@
     }
 
     private void appendSegment(Transaction transaction, String key, List<MoveCandidate> candidates) {
-        History.Found contents = contentsBySegment.get(key);
+        History.LookupResult contents = contentsBySegment.get(key);
         Map<Integer, TerminatedJob> ends = new LinkedHashMap<>();
         for (MoveCandidate candidate : candidates) {
             int offset = candidate.address().offset();
