--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -26,12 +26,12 @@
  */
 public final class Segment {
     /** Number of job ids per segment. */
-    public static final int JOBS = 512;
+    public static final int JOBS_PER_SEGMENT = 512;
     /** Upper limit on the size of any segment's stored value, in bytes. */
     public static final int MAX_BYTES = 2_300;
 
     /** A segment without jobs. */
-    public static final Segment EMPTY = new Segment(new byte[JOBS / 4], new byte[0]);
+    public static final Segment EMPTY = new Segment(new byte[JOBS_PER_SEGMENT / 4], new byte[0]);
 
     private static final int FORMAT = 1;
     private static final int DONE = 1;
@@ -74,7 +74,7 @@
             taskCounts[offset] = ended.tasks();
         });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int offset = 0; offset < JOBS; offset++) {
+        for (int offset = 0; offset < JOBS_PER_SEGMENT; offset++) {
             if ((newStates[offset / 4] >> (offset % 4 * 2) & 3) == DONE) {
                 writeVarint(out, taskCounts[offset]);
             }
@@ -94,7 +94,7 @@
     /** Returns the number of jobs in this segment. */
     public int size() {
         int size = 0;
-        for (int offset = 0; offset < JOBS; offset++) {
+        for (int offset = 0; offset < JOBS_PER_SEGMENT; offset++) {
             size += state(offset) == 0 ? 0 : 1;
         }
         return size;
@@ -105,9 +105,9 @@
     }
 
     private int[] taskCounts() {
-        int[] taskCounts = new int[JOBS];
+        int[] taskCounts = new int[JOBS_PER_SEGMENT];
         int position = 0;
-        for (int offset = 0; offset < JOBS; offset++) {
+        for (int offset = 0; offset < JOBS_PER_SEGMENT; offset++) {
             if (state(offset) == DONE) {
                 int shift = 0;
                 int encodedByte;
@@ -152,12 +152,12 @@
             throw new InvalidMessageException("field " + ENDED_FIELD + " is not valid base64");
         }
         int bodyLength = bytes.length - Integer.BYTES;
-        if (bodyLength < 1 + JOBS / 4) {
+        if (bodyLength < 1 + JOBS_PER_SEGMENT / 4) {
             throw new InvalidMessageException("segment has only " + bytes.length + " bytes");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int format = in.readUnsignedByte();
-            byte[] states = in.readNBytes(JOBS / 4);
+            byte[] states = in.readNBytes(JOBS_PER_SEGMENT / 4);
             byte[] encodedTaskCounts = in.readNBytes(bodyLength - 1 - states.length);
             if (in.readInt() != crc(bytes, bodyLength)) {
                 throw new InvalidMessageException("segment checksum does not match");
@@ -175,7 +175,7 @@
 
     private void validate() throws InvalidMessageException {
         int done = 0;
-        for (int offset = 0; offset < JOBS; offset++) {
+        for (int offset = 0; offset < JOBS_PER_SEGMENT; offset++) {
             if (state(offset) > CANCELLED) {
                 throw new InvalidMessageException("offset " + offset + ": unknown job state " + state(offset));
             }
--- a/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
+++ b/controller/src/test/java/org/landingridge/controller/history/SegmentTest.java
@@ -34,7 +34,7 @@
         Map<Integer, TerminatedJob> model = new HashMap<>();
         Segment segment = Segment.EMPTY;
         for (int i = 0; i < 700; i++) {
-            int offset = random.nextInt(Segment.JOBS);
+            int offset = random.nextInt(Segment.JOBS_PER_SEGMENT);
             TerminatedJob ended = random.nextInt(4) == 0
                     ? new TerminatedJob(Job.Status.CANCELLED, 0)
                     : new TerminatedJob(Job.Status.DONE, 1 + random.nextInt(1 << random.nextInt(17)));
@@ -44,7 +44,7 @@
                 segment = Segment.read(segment.json());
             }
         }
-        for (int offset = 0; offset < Segment.JOBS; offset++) {
+        for (int offset = 0; offset < Segment.JOBS_PER_SEGMENT; offset++) {
             assertEquals(model.get(offset), segment.get(offset), "offset " + offset);
         }
         assertEquals(model.size(), segment.size());
@@ -53,7 +53,7 @@
     @Test
     void segmentOfLargestJobsFitsMaxBytes() {
         Segment segment = Segment.EMPTY;
-        for (int i = 0; i < Segment.JOBS; i++) {
+        for (int i = 0; i < Segment.JOBS_PER_SEGMENT; i++) {
             segment = segment.with(Map.of(i, new TerminatedJob(Job.Status.DONE, JobSpec.MAX_TASKS)));
         }
         assertTrue(
--- a/experiment/src/main/java/org/landingridge/experiment/HistorySeeds.java
+++ b/experiment/src/main/java/org/landingridge/experiment/HistorySeeds.java
@@ -52,7 +52,7 @@
                     i % 7 == 0
                             ? new TerminatedJob(Job.Status.CANCELLED, 0)
                             : new TerminatedJob(Job.Status.DONE, 1 + i % 100));
-            if (i == count - 1 || place.offset() == Segment.JOBS - 1) {
+            if (i == count - 1 || place.offset() == Segment.JOBS_PER_SEGMENT - 1) {
                 state.seed(place.key(), Segment.EMPTY.with(jobs).json());
                 jobs.clear();
             }
