--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -185,7 +185,7 @@
 
     /** Handles a message of another controller. */
     public void received(PeerMessage message) {
-        if (message instanceof PeerMessage.Ask ask) {
+        if (message instanceof PeerMessage.PromiseRequest ask) {
             leadership.answerPromiseRequest(ask);
         } else if (message instanceof PeerMessage.Grant grant) {
             leadership.applyPromise(grant);
--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -73,16 +73,16 @@
      * @param number        number of the request
      * @param knownRevision this controller knows everything that was stored up to this revision
      */
-    PeerMessage.Ask createRequest(String otherHost, String ownHost, long token, long number, long knownRevision) {
+    PeerMessage.PromiseRequest createRequest(String otherHost, String ownHost, long token, long number, long knownRevision) {
         PeerLogProgress progress = progressByHost.computeIfAbsent(otherHost, newHost -> new PeerLogProgress());
-        return new PeerMessage.Ask(ownHost, token, number, knownRevision, progress.incarnation, progress.position);
+        return new PeerMessage.PromiseRequest(ownHost, token, number, knownRevision, progress.incarnation, progress.position);
     }
 
     /**
      * Returns this controller's report for a request; null if this process has not read the complete state yet, or if its log
      * may have overwritten entries that the requesting leader lacks.
      */
-    PeerMessage.CancellationReport createReport(PeerMessage.Ask request) {
+    PeerMessage.CancellationReport createReport(PeerMessage.PromiseRequest request) {
         if (!stateLoaded.getAsBoolean()) {
             return null;
         }
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -293,7 +293,7 @@
     }
 
     /** Answers another controller's request for a promise; a controller that leads or is claiming gives none. */
-    public void answerPromiseRequest(PeerMessage.Ask ask) {
+    public void answerPromiseRequest(PeerMessage.PromiseRequest ask) {
         promises.answerRequest(ask, () -> leads() || state.is(State.CLAIMING));
     }
 
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -75,7 +75,7 @@
      *
      * @param leadsOrClaims whether this controller leads or is claiming leadership
      */
-    void answerRequest(PeerMessage.Ask request, BooleanSupplier leadsOrClaims) {
+    void answerRequest(PeerMessage.PromiseRequest request, BooleanSupplier leadsOrClaims) {
         if (leadsOrClaims.getAsBoolean()) {
             refuse(request);
         } else if (loop.now() - probeFailedAt < PROBE_TIMEOUT_MS) {
@@ -86,7 +86,7 @@
     }
 
     /** Probes the state service and refuses the promise if it answers: a controller that can use it should lead. */
-    private void probe(PeerMessage.Ask request, BooleanSupplier leadsOrClaims) {
+    private void probe(PeerMessage.PromiseRequest request, BooleanSupplier leadsOrClaims) {
         probePending = true;
         client.probe(leaderKey, PROBE_TIMEOUT_MS, answer -> {
             probePending = false;
@@ -101,12 +101,12 @@
         });
     }
 
-    private void refuse(PeerMessage.Ask request) {
+    private void refuse(PeerMessage.PromiseRequest request) {
         peers.send(request.host(), new PeerMessage.Refuse(peers.host(), request.token(), request.number()));
     }
 
     /** Gives a promise. By its own clock, this controller makes no claim for longer than the leader relies on the promise. */
-    private void promise(PeerMessage.Ask request) {
+    private void promise(PeerMessage.PromiseRequest request) {
         boundUntil = loop.now() + (long) (DURATION_MS * (1 + ClockDrift.RATE));
         peers.send(
                 request.host(),
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -21,7 +21,7 @@
      * @param incarnation   the receiver's incarnation as last known to the leader; 0 if unknown
      * @param position      position up to which the leader knows the cancellation log of that incarnation
      */
-    record Ask(String host, long token, long number, long knownRevision, long incarnation, long position)
+    record PromiseRequest(String host, long token, long number, long knownRevision, long incarnation, long position)
             implements PeerMessage {
         @Override
         public PeerRecordType type() {
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -34,7 +34,7 @@
 
     private static void writeFields(DataOutputStream out, PeerMessage message) throws IOException {
         switch (message.type()) {
-            case ASK -> write(out, (PeerMessage.Ask) message);
+            case ASK -> write(out, (PeerMessage.PromiseRequest) message);
             case GRANT -> write(out, (PeerMessage.Grant) message);
             case REFUSE -> write(out, (PeerMessage.Refuse) message);
             case HAND_OVER -> out.writeLong(((PeerMessage.HandOver) message).token());
@@ -44,7 +44,7 @@
         }
     }
 
-    private static void write(DataOutputStream out, PeerMessage.Ask ask) throws IOException {
+    private static void write(DataOutputStream out, PeerMessage.PromiseRequest ask) throws IOException {
         out.writeLong(ask.token());
         out.writeLong(ask.number());
         out.writeLong(ask.knownRevision());
@@ -120,7 +120,7 @@
 
     /** In requests of earlier versions, which do not ask for cancellations, the last three fields are missing. */
     private static PeerMessage readAsk(String host, DataInputStream in) throws IOException {
-        return new PeerMessage.Ask(
+        return new PeerMessage.PromiseRequest(
                 host,
                 in.readLong(),
                 in.readLong(),
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -234,7 +234,7 @@
             othersByHost
                     .get(recipientHost)
                     .promises
-                    .answerRequest((PeerMessage.Ask) encodeAndDecode(message), () -> false);
+                    .answerRequest((PeerMessage.PromiseRequest) encodeAndDecode(message), () -> false);
             return message;
         }
     }
