--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -187,7 +187,7 @@
     public void received(PeerMessage message) {
         if (message instanceof PeerMessage.PromiseRequest ask) {
             leadership.answerPromiseRequest(ask);
-        } else if (message instanceof PeerMessage.Grant grant) {
+        } else if (message instanceof PeerMessage.Promise grant) {
             leadership.applyPromise(grant);
         } else if (message instanceof PeerMessage.Refuse refusal) {
             leadership.handleRefusal(refusal);
--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -99,7 +99,7 @@
      * @param requestSentAt  time at which the answered request was sent, by the loop's clock; null if no longer known
      * @param onCancellation receives each reported cancellation
      */
-    void applyReport(PeerMessage.Grant grant, Long requestSentAt, Consumer<CancellationLog.Cancellation> onCancellation) {
+    void applyReport(PeerMessage.Promise grant, Long requestSentAt, Consumer<CancellationLog.Cancellation> onCancellation) {
         PeerMessage.CancellationReport report = grant.report();
         PeerLogProgress progress = progressByHost.get(grant.host());
         if (report == null || progress == null) {
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -298,7 +298,7 @@
     }
 
     /** Applies a promise of another controller and the cancellations reported with it. */
-    public void applyPromise(PeerMessage.Grant grant) {
+    public void applyPromise(PeerMessage.Promise grant) {
         promises.applyReport(grant, cancellation -> listener.cancellationReported(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
             return;
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -110,11 +110,11 @@
         boundUntil = loop.now() + (long) (DURATION_MS * (1 + ClockDrift.RATE));
         peers.send(
                 request.host(),
-                new PeerMessage.Grant(peers.host(), request.token(), request.number(), reports.createReport(request)));
+                new PeerMessage.Promise(peers.host(), request.token(), request.number(), reports.createReport(request)));
     }
 
     /** Applies the report that came with a promise, even if this controller no longer leads. */
-    void applyReport(PeerMessage.Grant grant, Consumer<CancellationLog.Cancellation> onCancellation) {
+    void applyReport(PeerMessage.Promise grant, Consumer<CancellationLog.Cancellation> onCancellation) {
         reports.applyReport(grant, sentAtByRequestNumber.get(grant.number()), onCancellation);
     }
 
@@ -127,7 +127,7 @@
      * Records a promise and returns the time, by the loop's clock, until which no other controller will lead; {@link
      * Long#MIN_VALUE} if the promise is not usable or another controller's promise is missing.
      */
-    long recordPromise(PeerMessage.Grant grant) {
+    long recordPromise(PeerMessage.Promise grant) {
         Long sentAt = sentAtByRequestNumber.get(grant.number());
         if (sentAt == null || !peers.others().contains(grant.host())) {
             return Long.MIN_VALUE;
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -36,7 +36,7 @@
      * @param number number of the request
      * @param report the cancellations that the sender knows; null if it cannot report them or runs an earlier version
      */
-    record Grant(String host, long token, long number, CancellationReport report) implements PeerMessage {
+    record Promise(String host, long token, long number, CancellationReport report) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.GRANT;
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -35,7 +35,7 @@
     private static void writeFields(DataOutputStream out, PeerMessage message) throws IOException {
         switch (message.type()) {
             case ASK -> write(out, (PeerMessage.PromiseRequest) message);
-            case GRANT -> write(out, (PeerMessage.Grant) message);
+            case GRANT -> write(out, (PeerMessage.Promise) message);
             case REFUSE -> write(out, (PeerMessage.Refuse) message);
             case HAND_OVER -> out.writeLong(((PeerMessage.HandOver) message).token());
             case RUNNING_COUNTS -> write(out, (PeerMessage.RunningCounts) message);
@@ -52,7 +52,7 @@
         out.writeLong(ask.position());
     }
 
-    private static void write(DataOutputStream out, PeerMessage.Grant grant) throws IOException {
+    private static void write(DataOutputStream out, PeerMessage.Promise grant) throws IOException {
         out.writeLong(grant.token());
         out.writeLong(grant.number());
         out.writeBoolean(grant.report() != null);
@@ -134,7 +134,7 @@
         long token = in.readLong();
         long number = in.readLong();
         boolean hasReport = in.available() > 0 && in.readBoolean();
-        return new PeerMessage.Grant(host, token, number, hasReport ? readReport(in) : null);
+        return new PeerMessage.Promise(host, token, number, hasReport ? readReport(in) : null);
     }
 
     private static PeerMessage.CancellationReport readReport(DataInputStream in) throws IOException {
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -195,7 +195,7 @@
                 int index = random.nextInt(answersInTransit.size());
                 PeerMessage message =
                         random.nextInt(5) == 0 ? answersInTransit.get(index) : answersInTransit.remove(index);
-                if (random.nextInt(4) > 0 && message instanceof PeerMessage.Grant grant) {
+                if (random.nextInt(4) > 0 && message instanceof PeerMessage.Promise grant) {
                     requester.applyReport(grant, cancellation -> reportedRevisions.add(cancellation.revision()));
                 }
                 if (answersInTransit.size() > 30) {
@@ -251,12 +251,12 @@
     @DisplayName(
             "a grant of an earlier version is decoded without a report and proves nothing; a truncated grant is rejected")
     void grantWithoutReportIsDecodedAndTruncatedGrantIsRejected() throws IOException {
-        byte[] grant = new PeerMessage.Grant("rig-1", 3, 4, null).encode();
+        byte[] grant = new PeerMessage.Promise("rig-1", 3, 4, null).encode();
         byte[] withoutReport = java.util.Arrays.copyOf(grant, grant.length - 1);
         assertEquals(
-                new PeerMessage.Grant("rig-1", 3, 4, null),
+                new PeerMessage.Promise("rig-1", 3, 4, null),
                 PeerMessage.decode(new DataInputStream(new ByteArrayInputStream(withoutReport))));
-        PeerMessage.Grant grantWithReport = new PeerMessage.Grant(
+        PeerMessage.Promise grantWithReport = new PeerMessage.Promise(
                 "rig-1",
                 3,
                 4,
