--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -189,7 +189,7 @@
             leadership.answerPromiseRequest(ask);
         } else if (message instanceof PeerMessage.Promise grant) {
             leadership.applyPromise(grant);
-        } else if (message instanceof PeerMessage.Refuse refusal) {
+        } else if (message instanceof PeerMessage.PromiseRefusal refusal) {
             leadership.handleRefusal(refusal);
         } else if (message instanceof PeerMessage.HandOver handOver) {
             leadership.handleHandOver(handOver);
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -309,7 +309,7 @@
     }
 
     /** Handles a refused promise: the other controller leads, is claiming, or can reach the state service. */
-    public void handleRefusal(PeerMessage.Refuse refusal) {
+    public void handleRefusal(PeerMessage.PromiseRefusal refusal) {
         // Ignore a late refusal, which is about an earlier failure: during an outage it would end a leader term that
         // the other controllers have promised to respect.
         if (!leads()
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -102,7 +102,7 @@
     }
 
     private void refuse(PeerMessage.PromiseRequest request) {
-        peers.send(request.host(), new PeerMessage.Refuse(peers.host(), request.token(), request.number()));
+        peers.send(request.host(), new PeerMessage.PromiseRefusal(peers.host(), request.token(), request.number()));
     }
 
     /** Gives a promise. By its own clock, this controller makes no claim for longer than the leader relies on the promise. */
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -56,7 +56,7 @@
             long incarnation, long from, long to, boolean complete, List<CancellationLog.Cancellation> cancellations) {}
 
     /** Refusal of a promise: the sender can use the state service itself, or leads. */
-    record Refuse(String host, long token, long number) implements PeerMessage {
+    record PromiseRefusal(String host, long token, long number) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.REFUSE;
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -36,7 +36,7 @@
         switch (message.type()) {
             case ASK -> write(out, (PeerMessage.PromiseRequest) message);
             case GRANT -> write(out, (PeerMessage.Promise) message);
-            case REFUSE -> write(out, (PeerMessage.Refuse) message);
+            case REFUSE -> write(out, (PeerMessage.PromiseRefusal) message);
             case HAND_OVER -> out.writeLong(((PeerMessage.HandOver) message).token());
             case RUNNING_COUNTS -> write(out, (PeerMessage.RunningCounts) message);
             case FORWARDED_HEARTBEAT -> write(out, (PeerMessage.ForwardedHeartbeat) message);
@@ -73,7 +73,7 @@
         }
     }
 
-    private static void write(DataOutputStream out, PeerMessage.Refuse refusal) throws IOException {
+    private static void write(DataOutputStream out, PeerMessage.PromiseRefusal refusal) throws IOException {
         out.writeLong(refusal.token());
         out.writeLong(refusal.number());
     }
@@ -110,7 +110,7 @@
         return switch (PeerRecordType.forCode(code)) {
             case ASK -> readAsk(host, in);
             case GRANT -> readGrant(host, in);
-            case REFUSE -> new PeerMessage.Refuse(host, in.readLong(), in.readLong());
+            case REFUSE -> new PeerMessage.PromiseRefusal(host, in.readLong(), in.readLong());
             case HAND_OVER -> new PeerMessage.HandOver(host, in.readLong());
             case RUNNING_COUNTS -> readRunningCounts(host, in);
             case FORWARDED_HEARTBEAT -> new PeerMessage.ForwardedHeartbeat(host, in.readLong(), readBody(in));
