--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -184,7 +184,7 @@
     }
 
     /** Handles a message of another controller. */
-    public void received(PeerMessage message) {
+    public void handleMessage(PeerMessage message) {
         if (message instanceof PeerMessage.PromiseRequest ask) {
             leadership.answerPromiseRequest(ask);
         } else if (message instanceof PeerMessage.Promise grant) {
--- a/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
+++ b/controller/src/main/java/org/landingridge/controller/cli/RunCommand.java
@@ -75,7 +75,7 @@
                     // lost, as any may be.
                     Controller ready = started.get();
                     if (ready != null) {
-                        ready.received(message);
+                        ready.handleMessage(message);
                     }
                 });
         Controller controller =
--- a/experiment/src/main/java/org/landingridge/experiment/ControllerNode.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ControllerNode.java
@@ -111,7 +111,7 @@
         }
         sim.deliver(host, peer.host, () -> {
             if (peer.host.life == process) {
-                peer.controller.received(decode(bytes));
+                peer.controller.handleMessage(decode(bytes));
             }
         });
     }
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -187,7 +187,7 @@
         String other = w.nodes.get((leader.index + 1) % 3).host.name;
         w.at(
                 40_000,
-                () -> leader.controller.received(new PeerMessage.PromiseRefusal(
+                () -> leader.controller.handleMessage(new PeerMessage.PromiseRefusal(
                         other, w.status(leader).path("token").asLong(), 1)));
         w.at(30_000 + 3 * LEASE_MS, () -> w.state.outage(false));
         w.sim.run(60_000 + 3 * LEASE_MS);
@@ -214,7 +214,7 @@
                     Map.of(),
                     false);
             for (long t = 30_000; t < 30_000 + 2 * LEASE_MS; t += 50) {
-                w.at(t, () -> n.controller.received(late));
+                w.at(t, () -> n.controller.handleMessage(late));
             }
         });
         w.sim.run(30_000 + 2 * LEASE_MS);
