--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -35,7 +35,7 @@
          * asks for them again, from the known position.
          */
         private boolean canAppend(PeerMessage.CancellationReport report) {
-            return report.incarnation() == incarnation ? report.from() <= position : report.from() == 0;
+            return report.incarnation() == incarnation ? report.fromPosition() <= position : report.fromPosition() == 0;
         }
 
         private void advance(PeerMessage.CancellationReport report) {
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -63,7 +63,7 @@
 
     private static void write(DataOutputStream out, PeerMessage.CancellationReport report) throws IOException {
         out.writeLong(report.incarnation());
-        out.writeLong(report.from());
+        out.writeLong(report.fromPosition());
         out.writeLong(report.to());
         out.writeBoolean(report.complete());
         out.writeInt(report.cancellations().size());
