--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -39,7 +39,7 @@
         }
 
         private void advance(PeerMessage.CancellationReport report) {
-            position = report.incarnation() == incarnation ? Math.max(position, report.to()) : report.to();
+            position = report.incarnation() == incarnation ? Math.max(position, report.toPosition()) : report.toPosition();
             incarnation = report.incarnation();
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -64,7 +64,7 @@
     private static void write(DataOutputStream out, PeerMessage.CancellationReport report) throws IOException {
         out.writeLong(report.incarnation());
         out.writeLong(report.fromPosition());
-        out.writeLong(report.to());
+        out.writeLong(report.toPosition());
         out.writeBoolean(report.complete());
         out.writeInt(report.cancellations().size());
         for (CancellationLog.Cancellation cancellation : report.cancellations()) {
