--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -204,8 +204,8 @@
 
     private void receiveRunningCounts(PeerMessage.RunningCounts message) {
         // A delayed message of an earlier leader must not replace the current leader, whose messages arrive.
-        if (!leaderView.hasReachableLeaderOtherThan(message.host())) {
-            forwarder.recordLeaderMessage(message.host());
+        if (!leaderView.hasReachableLeaderOtherThan(message.sender())) {
+            forwarder.recordLeaderMessage(message.sender());
             jobService.handleLeaderHeartbeat(message.writesStarved());
             metrics.busy.during(Part.STATUS, () -> runningCounts.display(message.counts()));
         }
--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -101,7 +101,7 @@
      */
     void applyReport(PeerMessage.Promise grant, Long requestSentAt, Consumer<CancellationLog.Cancellation> onCancellation) {
         PeerMessage.CancellationReport report = grant.report();
-        PeerLogProgress progress = progressByHost.get(grant.host());
+        PeerLogProgress progress = progressByHost.get(grant.sender());
         if (report == null || progress == null) {
             return;
         }
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -322,7 +322,7 @@
         lease.tryRenewal(
                 Promises.PROBE_TIMEOUT_MS,
                 this::resumeLeading,
-                () -> handOverLeadership(refusal.host() + " can use the state service and this controller cannot"));
+                () -> handOverLeadership(refusal.sender() + " can use the state service and this controller cannot"));
     }
 
     /** Ends this leader term and tells the other controllers that the leader key may be replaced. */
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -102,14 +102,14 @@
     }
 
     private void refuse(PeerMessage.PromiseRequest request) {
-        peers.send(request.host(), new PeerMessage.PromiseRefusal(peers.host(), request.token(), request.number()));
+        peers.send(request.sender(), new PeerMessage.PromiseRefusal(peers.host(), request.token(), request.number()));
     }
 
     /** Gives a promise. By its own clock, this controller makes no claim for longer than the leader relies on the promise. */
     private void promise(PeerMessage.PromiseRequest request) {
         boundUntil = loop.now() + (long) (DURATION_MS * (1 + ClockDrift.RATE));
         peers.send(
-                request.host(),
+                request.sender(),
                 new PeerMessage.Promise(peers.host(), request.token(), request.number(), reports.createReport(request)));
     }
 
@@ -129,10 +129,10 @@
      */
     long recordPromise(PeerMessage.Promise grant) {
         Long sentAt = sentAtByRequestNumber.get(grant.number());
-        if (sentAt == null || !peers.others().contains(grant.host())) {
+        if (sentAt == null || !peers.others().contains(grant.sender())) {
             return Long.MIN_VALUE;
         }
-        grantedRequestSentAtByHost.merge(grant.host(), sentAt, Math::max);
+        grantedRequestSentAtByHost.merge(grant.sender(), sentAt, Math::max);
         if (grantedRequestSentAtByHost.size() < peers.others().size()) {
             return Long.MIN_VALUE;
         }
--- a/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/HeartbeatForwarder.java
@@ -121,7 +121,7 @@
             @Override
             public void answer(int status, byte[] json, int retryAfterS) {
                 transport.send(
-                        heartbeat.host(), new PeerMessage.HeartbeatAnswer(ownHost, heartbeat.number(), status, json));
+                        heartbeat.sender(), new PeerMessage.HeartbeatAnswer(ownHost, heartbeat.number(), status, json));
             }
         };
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerFrameReader.java
@@ -87,7 +87,7 @@
         try {
             receiver.accept(message);
         } catch (RuntimeException e) {
-            LOG.error("handling a peer message failed, sender={}", message.host(), e);
+            LOG.error("handling a peer message failed, sender={}", message.sender(), e);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -21,7 +21,7 @@
      * @param incarnation   the receiver's incarnation as last known to the leader; 0 if unknown
      * @param position      position up to which the leader knows the cancellation log of that incarnation
      */
-    record PromiseRequest(String host, long token, long number, long knownRevision, long incarnation, long position)
+    record PromiseRequest(String sender, long token, long number, long knownRevision, long incarnation, long position)
             implements PeerMessage {
         @Override
         public PeerRecordType type() {
@@ -36,7 +36,7 @@
      * @param number number of the request
      * @param report the cancellations that the sender knows; null if it cannot report them or runs an earlier version
      */
-    record Promise(String host, long token, long number, CancellationReport report) implements PeerMessage {
+    record Promise(String sender, long token, long number, CancellationReport report) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.GRANT;
@@ -56,7 +56,7 @@
             long incarnation, long fromPosition, long toPosition, boolean complete, List<CancellationLog.Cancellation> cancellations) {}
 
     /** Refusal of a promise: the sender can use the state service itself, or leads. */
-    record PromiseRefusal(String host, long token, long number) implements PeerMessage {
+    record PromiseRefusal(String sender, long token, long number) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.REFUSE;
@@ -64,7 +64,7 @@
     }
 
     /** Announces that the leader with this fencing token has ended its term: its key may be replaced. */
-    record HandOver(String host, long token) implements PeerMessage {
+    record HandOver(String sender, long token) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.HAND_OVER;
@@ -77,7 +77,7 @@
      * @param counts        number of running tasks by job id, for display
      * @param writesStarved true if the state service limits the leader's writes and documents still wait to be written
      */
-    record RunningCounts(String host, Map<String, Integer> counts, boolean writesStarved) implements PeerMessage {
+    record RunningCounts(String sender, Map<String, Integer> counts, boolean writesStarved) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.RUNNING_COUNTS;
@@ -90,7 +90,7 @@
      * @param number identifies the heartbeat among those of the sender
      * @param body   body of the worker's HTTP request
      */
-    record ForwardedHeartbeat(String host, long number, byte[] body) implements PeerMessage {
+    record ForwardedHeartbeat(String sender, long number, byte[] body) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.FORWARDED_HEARTBEAT;
@@ -104,7 +104,7 @@
      * @param status HTTP status for the worker
      * @param body   body of the HTTP response for the worker
      */
-    record HeartbeatAnswer(String host, long number, int status, byte[] body) implements PeerMessage {
+    record HeartbeatAnswer(String sender, long number, int status, byte[] body) implements PeerMessage {
         @Override
         public PeerRecordType type() {
             return PeerRecordType.ANSWER;
@@ -112,7 +112,7 @@
     }
 
     /** Returns the host of the controller that sent the message. */
-    String host();
+    String sender();
 
     /** Returns the type of the record on the wire. */
     PeerRecordType type();
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -24,7 +24,7 @@
         DataOutputStream out = new DataOutputStream(buffer);
         try {
             out.writeByte(message.type().code());
-            out.writeUTF(message.host());
+            out.writeUTF(message.sender());
             writeFields(out, message);
         } catch (IOException e) {
             throw new UncheckedIOException("writing a peer record to a byte array failed", e);
