--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -110,7 +110,7 @@
             return;
         }
         progress.advance(report);
-        if (report.complete() && requestSentAt != null) {
+        if (report.isComplete() && requestSentAt != null) {
             progress.completeBefore = Math.max(progress.completeBefore, requestSentAt);
         }
     }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -49,11 +49,11 @@
      * @param incarnation   the incarnation that keeps the log
      * @param fromPosition          log position after which the section starts
      * @param toPosition            log position at which the section ends
-     * @param complete      true if the log has no entries after the section
+     * @param isComplete      true if the log has no entries after the section
      * @param cancellations the entries, in the order of the log
      */
     record CancellationReport(
-            long incarnation, long fromPosition, long toPosition, boolean complete, List<CancellationLog.Cancellation> cancellations) {}
+            long incarnation, long fromPosition, long toPosition, boolean isComplete, List<CancellationLog.Cancellation> cancellations) {}
 
     /** Refusal of a promise: the sender can use the state service itself, or leads. */
     record PromiseRefusal(String sender, long token, long number) implements PeerMessage {
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessageCodec.java
@@ -65,7 +65,7 @@
         out.writeLong(report.incarnation());
         out.writeLong(report.fromPosition());
         out.writeLong(report.toPosition());
-        out.writeBoolean(report.complete());
+        out.writeBoolean(report.isComplete());
         out.writeInt(report.cancellations().size());
         for (CancellationLog.Cancellation cancellation : report.cancellations()) {
             out.writeLong(cancellation.revision());
