--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -96,7 +96,7 @@
                 store,
                 random,
                 settings,
-                new LeaderRecord(peers.host(), incarnation, 0),
+                new LeaderRecord(peers.ownHost(), incarnation, 0),
                 state,
                 promises::isBound,
                 this::beginTerm);
@@ -329,7 +329,7 @@
     private void handOverLeadership(String reason) {
         long endedToken = token.value();
         stepDown(reason);
-        peers.sendToOthers(new PeerMessage.HandOver(peers.host(), endedToken));
+        peers.sendToOthers(new PeerMessage.HandOver(peers.ownHost(), endedToken));
     }
 
     /** Handles the announcement of a leader that it has stepped down and sends no more commands. */
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -65,7 +65,7 @@
                     sentAtByRequestNumber.keySet().iterator().next());
         }
         for (String otherHost : peers.others()) {
-            peers.send(otherHost, reports.createRequest(otherHost, peers.host(), token, number, knownRevision));
+            peers.send(otherHost, reports.createRequest(otherHost, peers.ownHost(), token, number, knownRevision));
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     private void refuse(PeerMessage.PromiseRequest request) {
-        peers.send(request.sender(), new PeerMessage.PromiseRefusal(peers.host(), request.token(), request.number()));
+        peers.send(request.sender(), new PeerMessage.PromiseRefusal(peers.ownHost(), request.token(), request.number()));
     }
 
     /** Gives a promise. By its own clock, this controller makes no claim for longer than the leader relies on the promise. */
@@ -110,7 +110,7 @@
         boundUntil = loop.now() + (long) (DURATION_MS * (1 + ClockDrift.RATE));
         peers.send(
                 request.sender(),
-                new PeerMessage.Promise(peers.host(), request.token(), request.number(), reports.createReport(request)));
+                new PeerMessage.Promise(peers.ownHost(), request.token(), request.number(), reports.createReport(request)));
     }
 
     /** Applies the report that came with a promise, even if this controller no longer leads. */
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerGroup.java
@@ -5,11 +5,11 @@
 /**
  * The controllers of the deployment, as seen by one of them.
  *
- * @param host      host of this controller
+ * @param ownHost      host of this controller
  * @param others    hosts of the other controllers, in the order of the settings file
  * @param transport sends messages to the other controllers
  */
-public record PeerGroup(String host, List<String> others, PeerTransport transport) {
+public record PeerGroup(String ownHost, List<String> others, PeerTransport transport) {
     /** Copies the list of hosts. */
     public PeerGroup {
         others = List.copyOf(others);
