--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -88,7 +88,7 @@
         this.listener = listener;
         this.incarnation = Long.toUnsignedString(random.nextLong(), 36);
         CancellationReports reports =
-                new CancellationReports(loop, peers.others(), random.nextLong(), cancellationLog, watchCache::isLoaded);
+                new CancellationReports(loop, peers.otherHosts(), random.nextLong(), cancellationLog, watchCache::isLoaded);
         this.promises = new Promises(store.client(), loop, peers, settings.leaderKey(), reports);
         this.lease = new LeaderLease(store.client(), loop, settings.leaseMs());
         this.token = new FencingToken(store, settings.leaderKey(), lease);
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -64,7 +64,7 @@
             sentAtByRequestNumber.remove(
                     sentAtByRequestNumber.keySet().iterator().next());
         }
-        for (String otherHost : peers.others()) {
+        for (String otherHost : peers.otherHosts()) {
             peers.send(otherHost, reports.createRequest(otherHost, peers.ownHost(), token, number, knownRevision));
         }
     }
@@ -129,11 +129,11 @@
      */
     long recordPromise(PeerMessage.Promise grant) {
         Long sentAt = sentAtByRequestNumber.get(grant.number());
-        if (sentAt == null || !peers.others().contains(grant.sender())) {
+        if (sentAt == null || !peers.otherHosts().contains(grant.sender())) {
             return Long.MIN_VALUE;
         }
         grantedRequestSentAtByHost.merge(grant.sender(), sentAt, Math::max);
-        if (grantedRequestSentAtByHost.size() < peers.others().size()) {
+        if (grantedRequestSentAtByHost.size() < peers.otherHosts().size()) {
             return Long.MIN_VALUE;
         }
         long oldestSentAt = grantedRequestSentAtByHost.values().stream()
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerGroup.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerGroup.java
@@ -6,13 +6,13 @@
  * The controllers of the deployment, as seen by one of them.
  *
  * @param ownHost      host of this controller
- * @param others    hosts of the other controllers, in the order of the settings file
+ * @param otherHosts    hosts of the other controllers, in the order of the settings file
  * @param transport sends messages to the other controllers
  */
-public record PeerGroup(String ownHost, List<String> others, PeerTransport transport) {
+public record PeerGroup(String ownHost, List<String> otherHosts, PeerTransport transport) {
     /** Copies the list of hosts. */
     public PeerGroup {
-        others = List.copyOf(others);
+        otherHosts = List.copyOf(otherHosts);
     }
 
     /** Sends a message to one other controller; the message may be lost. */
@@ -22,7 +22,7 @@
 
     /** Sends a message to every other controller, in the order of the list. */
     public void sendToOthers(PeerMessage message) {
-        for (String other : others) {
+        for (String other : otherHosts) {
             transport.send(other, message);
         }
     }
--- a/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
+++ b/controller/src/test/java/org/landingridge/controller/election/PromisesTest.java
@@ -71,7 +71,7 @@
 
     private Promises createPromises(
             PeerGroup peers, long incarnation, CancellationLog log, BooleanSupplier stateLoaded) {
-        CancellationReports reports = new CancellationReports(loop, peers.others(), incarnation, log, stateLoaded);
+        CancellationReports reports = new CancellationReports(loop, peers.otherHosts(), incarnation, log, stateLoaded);
         return new Promises(client, loop, peers, "leader", reports);
     }
 
