--- a/controller/src/main/java/org/landingridge/controller/Controller.java
+++ b/controller/src/main/java/org/landingridge/controller/Controller.java
@@ -116,7 +116,12 @@
         ElectionSettings electionSettings = new ElectionSettings(Keys.LEADER, holdMs, freshnessMs);
         leadership = new Leadership(storeAccess, random, peerGroup, electionSettings, jobTable.cancellations(), this);
         BatchWriter writer = new BatchWriter(
-                storeAccess, settings.stateLimits(), DOCUMENT_WRITE_SHARE, Keys.LEADER, leadership::writeGuard, metrics.busy);
+                storeAccess,
+                settings.stateLimits(),
+                DOCUMENT_WRITE_SHARE,
+                Keys.LEADER,
+                leadership::writeGuard,
+                metrics.busy);
         cloudClient = new CloudClient(
                 http, loop, settings.cloud(), settings.cloudLimits().rps());
         JobLookup jobLookup = new JobLookup(stateClient, watchCache, jobTable, history);
--- a/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
+++ b/controller/src/main/java/org/landingridge/controller/api/JobLookup.java
@@ -144,7 +144,10 @@
 
     /** Looks the job up in the history; calls {@code onTerminated}, {@code onAbsent} or {@link Callback#unavailable}. */
     void findInHistory(
-            String id, Callback callback, Consumer<History.LookupResult> onTerminated, Consumer<History.LookupResult> onAbsent) {
+            String id,
+            Callback callback,
+            Consumer<History.LookupResult> onTerminated,
+            Consumer<History.LookupResult> onAbsent) {
         history.find(id, found -> {
             switch (found.outcome()) {
                 case UNAVAILABLE -> callback.unavailable(STATE_SERVICE_UNAVAILABLE);
--- a/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
+++ b/controller/src/main/java/org/landingridge/controller/cloud/Operations.java
@@ -78,7 +78,12 @@
 
     /** Creates an empty set; operations of earlier leaders are added by {@link #takeOver}. */
     public Operations(
-            EventLoop loop, RandomGenerator random, CloudClient cloud, BatchWriter writer, TermParameters scope, Events events) {
+            EventLoop loop,
+            RandomGenerator random,
+            CloudClient cloud,
+            BatchWriter writer,
+            TermParameters scope,
+            Events events) {
         this.loop = loop;
         this.random = random;
         this.cloud = cloud;
--- a/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
+++ b/controller/src/main/java/org/landingridge/controller/election/CancellationReports.java
@@ -39,7 +39,8 @@
         }
 
         private void advance(PeerMessage.CancellationReport report) {
-            position = report.incarnation() == incarnation ? Math.max(position, report.toPosition()) : report.toPosition();
+            position =
+                    report.incarnation() == incarnation ? Math.max(position, report.toPosition()) : report.toPosition();
             incarnation = report.incarnation();
         }
     }
@@ -73,9 +74,11 @@
      * @param number        number of the request
      * @param knownRevision this controller knows everything that was stored up to this revision
      */
-    PeerMessage.PromiseRequest createRequest(String otherHost, String ownHost, long token, long number, long knownRevision) {
+    PeerMessage.PromiseRequest createRequest(
+            String otherHost, String ownHost, long token, long number, long knownRevision) {
         PeerLogProgress progress = progressByHost.computeIfAbsent(otherHost, newHost -> new PeerLogProgress());
-        return new PeerMessage.PromiseRequest(ownHost, token, number, knownRevision, progress.incarnation, progress.position);
+        return new PeerMessage.PromiseRequest(
+                ownHost, token, number, knownRevision, progress.incarnation, progress.position);
     }
 
     /**
@@ -90,7 +93,8 @@
         CancellationLog.Page page = ownLog.pageAfter(from, request.knownRevision());
         return page == null
                 ? null
-                : new PeerMessage.CancellationReport(incarnation, from, page.endPosition(), page.complete(), page.cancellations());
+                : new PeerMessage.CancellationReport(
+                        incarnation, from, page.endPosition(), page.complete(), page.cancellations());
     }
 
     /**
@@ -99,7 +103,8 @@
      * @param requestSentAt  time at which the answered request was sent, by the loop's clock; null if no longer known
      * @param onCancellation receives each reported cancellation
      */
-    void applyReport(PeerMessage.Promise grant, Long requestSentAt, Consumer<CancellationLog.Cancellation> onCancellation) {
+    void applyReport(
+            PeerMessage.Promise grant, Long requestSentAt, Consumer<CancellationLog.Cancellation> onCancellation) {
         PeerMessage.CancellationReport report = grant.report();
         PeerLogProgress progress = progressByHost.get(grant.sender());
         if (report == null || progress == null) {
--- a/controller/src/main/java/org/landingridge/controller/election/Leadership.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Leadership.java
@@ -87,8 +87,8 @@
         this.settings = settings;
         this.listener = listener;
         this.incarnation = Long.toUnsignedString(random.nextLong(), 36);
-        CancellationReports reports =
-                new CancellationReports(loop, peers.otherHosts(), random.nextLong(), cancellationLog, watchCache::isLoaded);
+        CancellationReports reports = new CancellationReports(
+                loop, peers.otherHosts(), random.nextLong(), cancellationLog, watchCache::isLoaded);
         this.promises = new Promises(store.client(), loop, peers, settings.leaderKey(), reports);
         this.lease = new LeaderLease(store.client(), loop, settings.leaseMs());
         this.token = new FencingToken(store, settings.leaderKey(), lease);
@@ -299,7 +299,8 @@
 
     /** Applies a promise of another controller and the cancellations reported with it. */
     public void applyPromise(PeerMessage.Promise grant) {
-        promises.applyReport(grant, cancellation -> listener.cancellationReported(cancellation.id(), cancellation.revision()));
+        promises.applyReport(
+                grant, cancellation -> listener.cancellationReported(cancellation.id(), cancellation.revision()));
         if (!leads() || grant.token() != token.value()) {
             return;
         }
--- a/controller/src/main/java/org/landingridge/controller/election/Promises.java
+++ b/controller/src/main/java/org/landingridge/controller/election/Promises.java
@@ -102,7 +102,8 @@
     }
 
     private void refuse(PeerMessage.PromiseRequest request) {
-        peers.send(request.sender(), new PeerMessage.PromiseRefusal(peers.ownHost(), request.token(), request.number()));
+        peers.send(
+                request.sender(), new PeerMessage.PromiseRefusal(peers.ownHost(), request.token(), request.number()));
     }
 
     /** Gives a promise. By its own clock, this controller makes no claim for longer than the leader relies on the promise. */
@@ -110,7 +111,8 @@
         boundUntil = loop.now() + (long) (DURATION_MS * (1 + ClockDrift.RATE));
         peers.send(
                 request.sender(),
-                new PeerMessage.Promise(peers.ownHost(), request.token(), request.number(), reports.createReport(request)));
+                new PeerMessage.Promise(
+                        peers.ownHost(), request.token(), request.number(), reports.createReport(request)));
     }
 
     /** Applies the report that came with a promise, even if this controller no longer leads. */
--- a/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/FleetCycle.java
@@ -94,7 +94,8 @@
         tokenRaiser.observe(machine, now);
         // A machine whose lease expired is not probed until a heartbeat arrives: it may be gone for good.
         Incarnation incarnation = machine.incarnation();
-        if (incarnation.restarted() && (machine.state() != Machine.State.LAPSED || incarnation.consecutiveOutdated() > 0)) {
+        if (incarnation.restarted()
+                && (machine.state() != Machine.State.LAPSED || incarnation.consecutiveOutdated() > 0)) {
             tokenRaiser.observeRestarted(machine);
             parts.probe.probe(machine);
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/HeartbeatHandler.java
@@ -65,7 +65,14 @@
             context.incidents()
                     .record("the worker of " + machine.id() + " was restarted; the tasks that it ran before are lost");
             context.eventLog()
-                    .emit("begun_anew", "machine", machine.id(), "zone", machine.zone(), "held", machine.liveAttempts());
+                    .emit(
+                            "begun_anew",
+                            "machine",
+                            machine.id(),
+                            "zone",
+                            machine.zone(),
+                            "held",
+                            machine.liveAttempts());
             machine.incarnation().markRestarted(context.leadership().token());
             machine.unfence();
         }
--- a/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
+++ b/controller/src/main/java/org/landingridge/controller/fleet/MachineTable.java
@@ -60,7 +60,9 @@
         Machine machine = new Machine(id, address, typeByName.apply(type), zone, spot, context.now());
         if (address != null) {
             machine.markRegistered();
-            machine.lease().setEarlierLeaderAnswer(Math.min(silentSince, context.leadership().quiescentSince()));
+            machine.lease()
+                    .setEarlierLeaderAnswer(
+                            Math.min(silentSince, context.leadership().quiescentSince()));
             unverifiedMachines.add(machine);
         }
         machines.put(id, machine);
--- a/controller/src/main/java/org/landingridge/controller/history/Segment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/Segment.java
@@ -70,7 +70,8 @@
                 throw new IllegalStateException(
                         "offset " + offset + ": recorded end " + recordedEnd + " cannot change to " + ended);
             }
-            newStates[offset / 4] |= (byte) ((ended.status() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
+            newStates[offset / 4] |=
+                    (byte) ((ended.status() == Job.Status.DONE ? DONE : CANCELLED) << (offset % 4 * 2));
             taskCounts[offset] = ended.tasks();
         });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/controller/src/main/java/org/landingridge/controller/history/SegmentAddress.java
+++ b/controller/src/main/java/org/landingridge/controller/history/SegmentAddress.java
@@ -18,7 +18,8 @@
         long number = parseNumber(id);
         return number < 0
                 ? new SegmentAddress(ROOT + id, 0)
-                : new SegmentAddress(ROOT + number / Segment.JOBS_PER_SEGMENT, (int) (number % Segment.JOBS_PER_SEGMENT));
+                : new SegmentAddress(
+                        ROOT + number / Segment.JOBS_PER_SEGMENT, (int) (number % Segment.JOBS_PER_SEGMENT));
     }
 
     /** Returns the number of an id of the usual form, otherwise -1: {@code job-0000412} is not {@code job-000412}. */
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -241,8 +241,11 @@
         List<Termination> derived = new ArrayList<>();
         for (Job dependent : dependencies.removeEdgesTo(id)) {
             if (status == Job.Status.CANCELLED) {
-                derived.add(Termination.derivedCancellation(dependent, Math.max(revision, dependent.firstSeenRevision()), true));
-            } else if (dependent.isActive() && dependent.markAwaitedDone(id, clock.getAsLong()) && setListener != null) {
+                derived.add(Termination.derivedCancellation(
+                        dependent, Math.max(revision, dependent.firstSeenRevision()), true));
+            } else if (dependent.isActive()
+                    && dependent.markAwaitedDone(id, clock.getAsLong())
+                    && setListener != null) {
                 setListener.jobReady(dependent);
             }
         }
--- a/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/TerminatedJob.java
@@ -10,8 +10,8 @@
     /** @throws IllegalArgumentException if the status is neither done nor cancelled, or the number of tasks is negative */
     public TerminatedJob {
         if ((status != Job.Status.DONE && status != Job.Status.CANCELLED) || tasks < 0) {
-            throw new IllegalArgumentException(
-                    "terminated job: expected DONE or CANCELLED and at least 0 tasks, found " + status + " and " + tasks);
+            throw new IllegalArgumentException("terminated job: expected DONE or CANCELLED and at least 0 tasks, found "
+                    + status + " and " + tasks);
         }
         tasks = status == Job.Status.DONE ? tasks : 0;
     }
--- a/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CandidateNodeBuilder.java
@@ -64,10 +64,11 @@
         if (fleet.unverified(machine)) {
             // The machine may run unreported tasks of any team, up to its full size, so its size counts against every
             // team's limit.
-            addUnverifiedToAllTeams(machine.machineType().cpus(), machine.machineType().gpus());
+            addUnverifiedToAllTeams(
+                    machine.machineType().cpus(), machine.machineType().gpus());
         }
-        CandidateNode node =
-                new CandidateNode(machine.machineType(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
+        CandidateNode node = new CandidateNode(
+                machine.machineType(), machine.zone(), machine.spot(), machine, isUsable, machine.images());
         node.draining = fleet.draining(machine, now);
         node.awaitingHeartbeat = fleet.awaitsFirstHeartbeat(machine, now);
         boolean isIdle = addAttempts(machine, node);
@@ -91,7 +92,8 @@
             if (attempt.spec() == null && !hasUnknownJob) {
                 // The job is not known, so neither are its team and its resource needs.
                 hasUnknownJob = true;
-                addUnverifiedToAllTeams(machine.machineType().cpus(), machine.machineType().gpus());
+                addUnverifiedToAllTeams(
+                        machine.machineType().cpus(), machine.machineType().gpus());
             }
         }
         return isIdle;
--- a/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/CompactionOwner.java
@@ -30,7 +30,9 @@
         JobTable table = context.jobTable();
         Set<String> ids = fleet.jobsOnMachines();
         table.activeJobs().forEach(job -> ids.addAll(job.spec().awaits()));
-        table.terminatedJobs().unpersisted().forEach(job -> ids.addAll(job.spec().awaits()));
+        table.terminatedJobs()
+                .unpersisted()
+                .forEach(job -> ids.addAll(job.spec().awaits()));
         return ids;
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/LeaderTerm.java
@@ -66,9 +66,9 @@
      * Loads the stored documents and starts the term.
      *
      * @param documents   the documents that earlier leaders stored, by key
-     * @param seenAtByKey when this process first saw the current version of each document, by key and the event loop's clock
+     * @param seenAt when this process first saw the current version of each document, by key and the event loop's clock
      */
-    public LeaderTerm(LeaderContext context, Map<String, JsonNode> documents, Map<String, Long> seenAtByKey) {
+    public LeaderTerm(LeaderContext context, Map<String, JsonNode> documents, Map<String, Long> seenAt) {
         this.context = context;
         this.loop = context.loop();
         this.leadership = context.leadership();
@@ -90,14 +90,18 @@
         OperationEvents operationEvents =
                 new OperationEvents(context, fleet, machineRegistry, poolCapacity, listedMachines, trigger);
         operations = createOperations(operationEvents);
-        new StoredDocumentLoader(context, fleet, machineRegistry, completionStore, operations)
-                .load(documents, seenAtByKey);
+        new StoredDocumentLoader(context, fleet, machineRegistry, completionStore, operations).load(documents, seenAt);
         compactor = createCompactor();
         observationWindow = createObservationWindow();
         failoverProgress = new FailoverProgress(fleet, observationWindow, context.eventLog(), loop.now());
         schedulingCycle = new SchedulingCycle(context, fleet, operations, forecast, poolCapacity, observationWindow);
         instanceReconciler = new InstanceReconciler(
-                context, fleet, operations, listedMachines, operationEvents::machinesReturned, observationWindow::recordMachineList);
+                context,
+                fleet,
+                operations,
+                listedMachines,
+                operationEvents::machinesReturned,
+                observationWindow::recordMachineList);
         leaderStatus = new LeaderStatus(fleet, operations, failoverProgress);
         reportStart();
         fleet.start();
--- a/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/RuntimeForecast.java
@@ -202,8 +202,9 @@
             // An objective sets the start of such jobs, so they get a due time and need not wait for cheap machines.
             group.latestStartMs = countedFrom + Math.round(group.startTargetS * 1000);
             group.deadlineMs = group.latestStartMs + Math.round(group.expectedLongestRunS * 1000);
-            group.finalDeadlineMs =
-                    now - countedFrom < STARVATION_FACTOR * group.startTargetS * 1000 ? group.deadlineMs : Long.MAX_VALUE;
+            group.finalDeadlineMs = now - countedFrom < STARVATION_FACTOR * group.startTargetS * 1000
+                    ? group.deadlineMs
+                    : Long.MAX_VALUE;
             return;
         }
         if (allowedS == null) {
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingCycle.java
@@ -151,7 +151,8 @@
             hasLapsedMachines |= machine.state() == Machine.State.LAPSED;
             // If all machines of a pool boot late, new ones would be late too; other pools are tried first.
             if (fleet.isLateWithPool(machine, now)) {
-                closedUntilByPool.put(Scheduler.poolKey(machine.machineType().name(), machine.zone(), machine.spot()), now + 1);
+                closedUntilByPool.put(
+                        Scheduler.poolKey(machine.machineType().name(), machine.zone(), machine.spot()), now + 1);
             }
         }
         if (hasLapsedMachines) {
--- a/controller/src/main/java/org/landingridge/controller/leader/SchedulingSnapshot.java
+++ b/controller/src/main/java/org/landingridge/controller/leader/SchedulingSnapshot.java
@@ -14,4 +14,5 @@
  * @param groupsByJob the waiting tasks by job id, in the order in which the jobs were accepted
  * @param nodes       machines that can take tasks now or soon, followed by machines that pending rent operations may provide
  */
-record SchedulingSnapshot(long now, List<TeamQuota> teams, Map<String, TaskGroup> groupsByJob, List<CandidateNode> nodes) {}
+record SchedulingSnapshot(
+        long now, List<TeamQuota> teams, Map<String, TaskGroup> groupsByJob, List<CandidateNode> nodes) {}
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerMessage.java
@@ -53,7 +53,11 @@
      * @param cancellations the entries, in the order of the log
      */
     record CancellationReport(
-            long incarnation, long fromPosition, long toPosition, boolean isComplete, List<CancellationLog.Cancellation> cancellations) {}
+            long incarnation,
+            long fromPosition,
+            long toPosition,
+            boolean isComplete,
+            List<CancellationLog.Cancellation> cancellations) {}
 
     /** Refusal of a promise: the sender can use the state service itself, or leads. */
     record PromiseRefusal(String sender, long token, long number) implements PeerMessage {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/GroupOrder.java
@@ -112,7 +112,8 @@
                 cpuSeconds += group.deferralLevel == round ? waitingCpuSeconds(group) : 0;
                 continue;
             }
-            double availableMs = (round == 0 ? group.deadlineMs : group.finalDeadlineMs) - now - 1000 * group.expectedLongestRunS;
+            double availableMs =
+                    (round == 0 ? group.deadlineMs : group.finalDeadlineMs) - now - 1000 * group.expectedLongestRunS;
             largestFirst.add(group);
             cpuSeconds += waitingCpuSeconds(group);
             while (group.deferralLevel == round && cpuSeconds * millisPerCpuSecond > availableMs) {
--- a/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/Preemption.java
@@ -122,7 +122,11 @@
         if (priorityOrder < 0) {
             return withinGuarantee || teamCanSpare;
         }
-        return priorityOrder == 0 && withinGuarantee && teamCanSpare && task.teamIndex != group.teamIndex && !task.spec.service();
+        return priorityOrder == 0
+                && withinGuarantee
+                && teamCanSpare
+                && task.teamIndex != group.teamIndex
+                && !task.spec.service();
     }
 
     /**
--- a/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/QueueDemand.java
@@ -88,7 +88,9 @@
             return Math.max(bootS + NO_DEADLINE_START_TARGET_S / 2, untilStartS + NO_DEADLINE_START_TARGET_S);
         }
         if (untilStartS < bootS) {
-            return Math.max(bootS + LATE_START_TARGET_S, (group.finalDeadlineMs - input.now()) / 1000.0 - group.expectedLongestRunS);
+            return Math.max(
+                    bootS + LATE_START_TARGET_S,
+                    (group.finalDeadlineMs - input.now()) / 1000.0 - group.expectedLongestRunS);
         }
         return untilStartS;
     }
--- a/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
+++ b/controller/src/main/java/org/landingridge/controller/scheduling/ScaleIn.java
@@ -162,8 +162,8 @@
         double occupiedS = 0;
         for (CandidateNode.RunningTask task : node.runningTasks) {
             if (!isMovable(task)) {
-                occupiedS =
-                        Math.max(occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.remainingS);
+                occupiedS = Math.max(
+                        occupiedS, task.spec == null || task.spec.service() ? Double.MAX_VALUE : task.remainingS);
             }
         }
         List<CandidateNode.RunningTask> tasksToMove = new ArrayList<>();
--- a/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
+++ b/controller/src/test/java/org/landingridge/controller/fleet/IncarnationTest.java
@@ -57,7 +57,8 @@
         assertEquals(-1, incarnation.session());
         assertEquals(0, incarnation.token());
         assertTrue(incarnation.isOlderThan(heartbeat(1, 1, 6)));
-        assertTrue(incarnation.isLaterThan(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
+        assertTrue(
+                incarnation.isLaterThan(heartbeat(9, 99, 5)), "late heartbeats of the earlier incarnation never count");
     }
 
     @Test
--- a/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
+++ b/controller/src/test/java/org/landingridge/controller/scheduling/SchedulerTest.java
@@ -58,7 +58,8 @@
     /** Returns a random input; the same seed gives the same input. */
     private static Scheduler.Input randomInput(long seed) {
         Random random = new Random(seed);
-        List<TeamQuota> teams = List.of(new TeamQuota(8, random.nextBoolean() ? 16 : 0, 0, 0), new TeamQuota(4, 12, 0, 0));
+        List<TeamQuota> teams =
+                List.of(new TeamQuota(8, random.nextBoolean() ? 16 : 0, 0, 0), new TeamQuota(4, 12, 0, 0));
         List<CandidateNode> nodes = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(8); i++) {
             CandidateNode node = new CandidateNode(
@@ -159,8 +160,8 @@
                 TaskGroup group = consumed.groups().get(i);
                 int waitingTasks = original.groups().get(i).waitingTasks - placedTasksByGroup.getOrDefault(group, 0);
                 double cpuLimit = consumed.teams().get(group.teamIndex).cpuLimit;
-                boolean limitReached =
-                        cpuLimit > 0 && consumed.teams().get(group.teamIndex).usedCpus + group.spec.cpus() > cpuLimit + 1e-6;
+                boolean limitReached = cpuLimit > 0
+                        && consumed.teams().get(group.teamIndex).usedCpus + group.spec.cpus() > cpuLimit + 1e-6;
                 if (waitingTasks == 0 || limitReached || group.spec.oneZone() || group.spec.spread()) {
                     continue;
                 }
@@ -180,7 +181,8 @@
             boolean allowed = false;
             for (TaskGroup group : consumed.groups()) {
                 allowed |= task.spec.priority().compareTo(group.spec.priority()) < 0
-                        || task.teamIndex != group.teamIndex && task.spec.priority().compareTo(group.spec.priority()) == 0;
+                        || task.teamIndex != group.teamIndex
+                                && task.spec.priority().compareTo(group.spec.priority()) == 0;
             }
             assertTrue(allowed, "tasks are stopped only for higher priority or another team's guarantee");
         }
@@ -253,7 +255,8 @@
                 spec(9, false, Priority.NORMAL, 1, 4, false, false, false), 0, "victim", 5, false));
         SchedulingPlan plan = Scheduler.plan(inputWithGroup(group, List.of(empty, full)));
         assertEquals(
-                List.of("victim"), plan.tasksToStop.stream().map(task -> task.attempt).toList());
+                List.of("victim"),
+                plan.tasksToStop.stream().map(task -> task.attempt).toList());
         assertTrue(plan.placements.isEmpty());
     }
 
@@ -354,7 +357,8 @@
                 canSave ? 15 : 0,
                 canSave ? 3 : 0,
                 null);
-        CandidateNode.RunningTask task = new CandidateNode.RunningTask(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
+        CandidateNode.RunningTask task =
+                new CandidateNode.RunningTask(specWithCheckpoints, 0, "a" + jobNumber, 0, false);
         task.elapsedS = ranS;
         task.remainingS = leftS;
         return task;
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -224,7 +224,9 @@
         cluster.sim.run(1_200_000);
         assertNoJobLostOrDuplicated(cluster);
         int keysLeft = cluster.state.keys(Keys.JOBS).size();
-        assertTrue(keysLeft >= Segment.JOBS_PER_SEGMENT && keysLeft < Segment.JOBS_PER_SEGMENT + 400, keysLeft + " job keys left");
+        assertTrue(
+                keysLeft >= Segment.JOBS_PER_SEGMENT && keysLeft < Segment.JOBS_PER_SEGMENT + 400,
+                keysLeft + " job keys left");
     }
 
     /**
