--- a/controller/src/main/java/org/landingridge/controller/LeaderDocuments.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderDocuments.java
@@ -7,37 +7,37 @@
 import org.landingridge.net.EventLoop;
 
 /**
- * The leader's documents as the state service has them: machine registry, completed tasks, operations. Every controller
- * follows them, so that a new leader takes over from what is here already.
+ * Cache of the leader's documents in the state service: machine registry, completed tasks, operations. Every controller
+ * keeps it up to date from the watch, so that a new leader need not read the documents first.
  */
 final class LeaderDocuments {
     private final EventLoop loop;
-    private final Map<String, JsonNode> values = new TreeMap<>();
-    /** By key: loop time at which the present value came to be known here. */
-    private final Map<String, Long> seenAt = new TreeMap<>();
+    private final Map<String, JsonNode> valuesByKey = new TreeMap<>();
+    /** Loop time at which this controller received the current value, by key. */
+    private final Map<String, Long> receivedAtByKey = new TreeMap<>();
 
     LeaderDocuments(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Takes a new value over; null removes the key. */
-    void changed(String key, JsonNode value) {
+    /** Stores the new value of a key; null removes the key. */
+    void update(String key, JsonNode value) {
         if (value == null) {
-            values.remove(key);
-            seenAt.remove(key);
+            valuesByKey.remove(key);
+            receivedAtByKey.remove(key);
         } else {
-            values.put(key, value);
-            seenAt.put(key, loop.now());
+            valuesByKey.put(key, value);
+            receivedAtByKey.put(key, loop.now());
         }
     }
 
-    /** The values by key, in the order of the keys. */
-    Map<String, JsonNode> values() {
-        return Collections.unmodifiableMap(values);
+    /** Returns the values by key, in the order of the keys. */
+    Map<String, JsonNode> valuesByKey() {
+        return Collections.unmodifiableMap(valuesByKey);
     }
 
-    /** By key: loop time at which the present value came to be known here. */
-    Map<String, Long> seenAt() {
-        return Collections.unmodifiableMap(seenAt);
+    /** Returns the loop time at which this controller received the current value, by key. */
+    Map<String, Long> receivedAtByKey() {
+        return Collections.unmodifiableMap(receivedAtByKey);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/LeaderView.java
+++ b/controller/src/main/java/org/landingridge/controller/LeaderView.java
@@ -6,19 +6,20 @@
 import org.landingridge.controller.store.WatchCache;
 import org.landingridge.net.EventLoop;
 
-/** Which controller this one takes for the leader, and whether workers' heartbeats can be forwarded or sent there. */
+/** Determines which controller currently leads, and whether workers' heartbeats can be forwarded or redirected to it. */
 final class LeaderView {
-    /** Without an answer of the state service for so long, the stored leader may be one of the past. */
-    private static final long STALE_MS = 2_500;
-    /** A new leader is heard over the peer connections within this time, or it cannot be reached over them. */
-    static final long HEARD_WITHIN_MS = 1_000;
+    /** Time without an answer from the state service after which the stored leader may be outdated. */
+    private static final long STATE_SERVICE_TIMEOUT_MS = 2_500;
+    /** Time within which a new leader's first message must arrive; otherwise it cannot be reached over the peer connections. */
+    static final long FIRST_MESSAGE_TIMEOUT_MS = 1_000;
 
     private final EventLoop loop;
     private final Leadership leadership;
     private final WatchCache watchCache;
     private final HeartbeatForwarder forwarder;
     private final String ownHost;
-    private long leaderSince = Long.MIN_VALUE / 2;
+    /** Loop time of the last change of the stored leader. */
+    private long leaderChangedAt = Long.MIN_VALUE / 2;
 
     LeaderView(
             EventLoop loop,
@@ -33,35 +34,37 @@
         this.ownHost = ownHost;
     }
 
-    /** Notes when the stored leader became another one; {@code before} is the host that was stored until now. */
-    void leaderKeyChanged(String before) {
-        if (!Objects.equals(before, leadership.leaderHost())) {
-            leaderSince = loop.now();
+    /** Records the time of a change of the stored leader; {@code previousLeader} is the previously stored host. */
+    void leaderKeyChanged(String previousLeader) {
+        if (!Objects.equals(previousLeader, leadership.leaderHost())) {
+            leaderChangedAt = loop.now();
         }
     }
 
     /**
-     * The leader's host, or null. A process that began in an outage of the state service knows the leader by its
-     * messages alone. Where the state service has not answered lately, as one that refuses this controller, the stored
-     * leader may be one of the past, to which workers would be redirected in a circle.
+     * Returns the leader's host, or null if no leader is known. A process that started during an outage of the state
+     * service knows the leader only by its messages. If the state service has not answered recently, for instance because
+     * it refuses this controller's requests, the stored leader may be outdated, and redirected workers would go in a circle.
      */
-    String leader() {
-        String heard = forwarder.heard();
-        boolean current = watchCache.following() && loop.now() - watchCache.lastAnswer() < STALE_MS;
-        return !current && heard != null ? heard : leadership.leaderHost();
+    String leaderHost() {
+        String reachableLeader = forwarder.reachableLeader();
+        boolean isStoredLeaderCurrent =
+                watchCache.following() && loop.now() - watchCache.lastAnswer() < STATE_SERVICE_TIMEOUT_MS;
+        return !isStoredLeaderCurrent && reachableLeader != null ? reachableLeader : leadership.leaderHost();
     }
 
-    /** True if another controller leads and heartbeats can be forwarded to it, or workers redirected. */
-    boolean otherLeads() {
-        String leader = leader();
-        return leader != null
-                && !leader.equals(ownHost)
-                && (leader.equals(forwarder.heard()) || loop.now() - leaderSince > HEARD_WITHIN_MS);
+    /** Returns true if another controller leads and heartbeats can be forwarded or workers redirected to it. */
+    boolean hasOtherLeader() {
+        String leaderHost = leaderHost();
+        return leaderHost != null
+                && !leaderHost.equals(ownHost)
+                && (leaderHost.equals(forwarder.reachableLeader())
+                        || loop.now() - leaderChangedAt > FIRST_MESSAGE_TIMEOUT_MS);
     }
 
-    /** True if the leader is another controller than {@code host}, and is heard over the peer connections. */
-    boolean otherIsHeard(String host) {
-        String leader = leader();
-        return leader != null && !leader.equals(host) && leader.equals(forwarder.heard());
+    /** Returns true if a controller other than {@code host} leads, and its messages arrive over the peer connections. */
+    boolean hasReachableLeaderOtherThan(String host) {
+        String leaderHost = leaderHost();
+        return leaderHost != null && !leaderHost.equals(host) && leaderHost.equals(forwarder.reachableLeader());
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
+++ b/controller/src/main/java/org/landingridge/controller/history/CachedSegment.java
@@ -8,14 +8,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A segment as it was read last, and the lookups that wait for its first read. */
+/** The cached contents of one segment, and the lookups that wait for its first read. */
 final class CachedSegment {
     private enum State {
-        /** Asked for, the answer is not here yet. */
+        /** The first read is in progress. */
         LOADING,
-        /** Known as of its version. */
+        /** The contents are known as of {@link #version}. */
         READ,
-        /** What is stored makes no sense. */
+        /** The stored value cannot be decoded. */
         UNREADABLE
     }
 
@@ -24,23 +24,23 @@
     private State state = State.LOADING;
     private Segment segment;
     private long version = -1;
-    private List<Runnable> waiting = new ArrayList<>();
+    private List<Runnable> waitingLookups = new ArrayList<>();
 
     CachedSegment(String key) {
         this.key = key;
     }
 
-    boolean loading() {
+    boolean isLoading() {
         return state == State.LOADING;
     }
 
-    /** How the job ended; null says nothing. */
-    TerminatedJob known(int offset) {
+    /** Returns how the job at this offset ended, or null if that is not known; null does not prove its absence. */
+    TerminatedJob terminatedJob(int offset) {
         return state == State.READ ? segment.get(offset) : null;
     }
 
-    /** What is known of the job now. */
-    History.Found found(int offset) {
+    /** Returns the present result of a lookup of the job at this offset. */
+    History.Found lookupResult(int offset) {
         return switch (state) {
             case LOADING -> History.UNAVAILABLE;
             case UNREADABLE -> new History.Found(History.Outcome.UNREADABLE, null, null, version);
@@ -48,34 +48,39 @@
         };
     }
 
-    /** @param value null where the segment does not exist */
-    void read(JsonNode value, long newVersion) {
+    /**
+     * Takes over a stored value, unless this version or a newer one is known already.
+     *
+     * @param value the stored value, or null if the segment does not exist
+     */
+    void update(JsonNode value, long newVersion) {
         if (newVersion <= version) {
             return;
         }
         try {
-            to(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
+            transitionTo(State.READ, value == null ? Segment.EMPTY : Segment.read(value), newVersion);
         } catch (InvalidMessageException e) {
-            // Never taken for empty, never overwritten: its jobs are answered 503 until an operator has mended it.
-            LOG.error("segment unreadable: segment={} error={}", key, e.getMessage());
-            to(State.UNREADABLE, null, newVersion);
+            // Neither treated as empty nor overwritten: its jobs get HTTP 503 until an operator repairs the segment.
+            LOG.error("segment unreadable, segment={} error={}", key, e.getMessage());
+            transitionTo(State.UNREADABLE, null, newVersion);
         }
     }
 
-    private void to(State next, Segment read, long newVersion) {
+    private void transitionTo(State next, Segment contents, long newVersion) {
         state = next;
-        segment = read;
+        segment = contents;
         version = newVersion;
     }
 
-    /** Runs the lookup with the next call of {@link #answerWaiting}. */
-    void await(Runnable lookup) {
-        waiting.add(lookup);
+    /** Runs the lookup at the next call of {@link #answerWaiting}. */
+    void addWaiting(Runnable lookup) {
+        waitingLookups.add(lookup);
     }
 
+    /** Runs all waiting lookups. */
     void answerWaiting() {
-        List<Runnable> lookups = waiting;
-        waiting = new ArrayList<>();
+        List<Runnable> lookups = waitingLookups;
+        waitingLookups = new ArrayList<>();
         lookups.forEach(Runnable::run);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
+++ b/controller/src/main/java/org/landingridge/controller/history/MoveConditions.java
@@ -5,19 +5,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Whether jobs may be moved now: everything else that the leader and its users have to write comes first. */
+/** Decides whether jobs may be moved now. All other writes of the leader and its users take precedence. */
 final class MoveConditions {
     private static final Logger LOG = LoggerFactory.getLogger(MoveConditions.class);
-    /** While users' changes take more than this share of the change rate, nothing is moved. */
-    private static final double CROWDED = 0.5;
+    /** Nothing is moved while users' writes take more than this share of the write rate limit. */
+    private static final double USER_WRITE_SHARE_LIMIT = 0.5;
 
     private final Compactor.Owner owner;
     private final UserWriteRate userWrites;
     private final Capabilities capabilities;
     private final double writeRps;
-    private boolean waitsForUpgrade;
+    private boolean isWaitingForUpgrade;
 
-    /** @param writeRps changes a second that the state service takes */
+    /** @param writeRps write rate limit of the state service, per second */
     MoveConditions(Compactor.Owner owner, UserWriteRate userWrites, Capabilities capabilities, double writeRps) {
         this.owner = owner;
         this.userWrites = userWrites;
@@ -25,19 +25,22 @@
         this.writeRps = writeRps;
     }
 
-    boolean hold() {
-        return owner.mayAct() && !owner.busy() && userWrites.perSecond() <= CROWDED * writeRps && allReadHistory();
+    boolean areMet() {
+        return owner.mayAct()
+                && !owner.busy()
+                && userWrites.perSecond() <= USER_WRITE_SHARE_LIMIT * writeRps
+                && allControllersReadHistory();
     }
 
-    /** True if every controller runs a version that looks for terminated jobs in the history. */
-    private boolean allReadHistory() {
-        List<String> unaware = capabilities.unaware(Capabilities.Feature.HISTORY);
-        if (unaware.isEmpty() == waitsForUpgrade) {
-            waitsForUpgrade = !waitsForUpgrade;
-            if (waitsForUpgrade) {
-                LOG.info("history waits for upgrade: controllers={}", unaware);
+    /** Returns whether every controller runs a version that looks terminated jobs up in the history. */
+    private boolean allControllersReadHistory() {
+        List<String> outdatedControllers = capabilities.unaware(Capabilities.Feature.HISTORY);
+        if (outdatedControllers.isEmpty() == isWaitingForUpgrade) {
+            isWaitingForUpgrade = !isWaitingForUpgrade;
+            if (isWaitingForUpgrade) {
+                LOG.info("compaction waits for upgrade, controllers={}", outdatedControllers);
             }
         }
-        return unaware.isEmpty();
+        return outdatedControllers.isEmpty();
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/CancellationLog.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * The cancellations that this process has come to know, in that order: what it can vouch for towards a leader that has lost
- * the state service. A cancellation is in the log before any user is told of it. Bounded: of the overwritten entries the
- * newest revision is kept, and for a leader that lacks it this process cannot vouch.
+ * The cancellations known to this process, in the order in which it learned of them. The process reports them to a leader that
+ * has lost the state service. A cancellation is logged before any user is informed of it. The log is bounded: it keeps the
+ * newest revision among the overwritten entries, and cannot give a complete report to a leader whose view is older than that.
  */
 public final class CancellationLog {
-    /** A job that is cancelled, and the revision at which that was stored. */
+    /** A cancelled job, and the revision at which the cancellation was stored. */
     public record Ending(long revision, String id) {}
 
     /**
-     * The entries that follow a position.
+     * A page of entries that follow a given position.
      *
-     * @param to       the position after the last entry considered
-     * @param complete nothing is known beyond it
+     * @param to       the position after the last entry examined
+     * @param complete whether the page reaches the newest entry of the log
      */
     public record Page(long to, boolean complete, List<Ending> endings) {}
 
@@ -25,40 +25,40 @@
 
     private final Ending[] ring = new Ending[CAPACITY];
     private long count;
-    /** The newest revision of an entry that has been overwritten. */
-    private long overwritten;
+    /** The newest revision among the overwritten entries. */
+    private long newestOverwrittenRevision;
 
-    void note(long revision, String id) {
+    void add(long revision, String jobId) {
         int slot = (int) (count++ % CAPACITY);
         if (ring[slot] != null) {
-            overwritten = Math.max(overwritten, ring[slot].revision);
+            newestOverwrittenRevision = Math.max(newestOverwrittenRevision, ring[slot].revision);
         }
-        ring[slot] = new Ending(revision, id);
+        ring[slot] = new Ending(revision, jobId);
     }
 
-    /** How many cancellations came to be known so far: the position after the newest. */
+    /** Returns the number of cancellations added so far, which is the position after the newest entry. */
     public long count() {
         return count;
     }
 
     /**
-     * A page of what came to be known here after the position, as far as it was stored after the revision; null where some of
-     * that may have been overwritten.
+     * Returns a page of the entries after the position that were stored after the revision; null if some of them may have been
+     * overwritten.
      */
     public Page after(long position, long revision) {
-        long oldest = Math.max(0, count - CAPACITY);
-        // Otherwise a leader would take a part of the entries that it lacks for all of them.
-        if (position < oldest && overwritten > revision) {
+        long oldestPosition = Math.max(0, count - CAPACITY);
+        // A page without the overwritten entries would look complete to a leader that lacks them.
+        if (position < oldestPosition && newestOverwrittenRevision > revision) {
             return null;
         }
-        List<Ending> endings = new ArrayList<>();
-        long to = Math.min(count, Math.max(oldest, position));
-        while (to < count && endings.size() < PAGE_SIZE) {
-            Ending ending = ring[(int) (to++ % CAPACITY)];
-            if (ending.revision > revision) {
-                endings.add(ending);
+        List<Ending> cancellations = new ArrayList<>();
+        long endPosition = Math.min(count, Math.max(oldestPosition, position));
+        while (endPosition < count && cancellations.size() < PAGE_SIZE) {
+            Ending cancellation = ring[(int) (endPosition++ % CAPACITY)];
+            if (cancellation.revision > revision) {
+                cancellations.add(cancellation);
             }
         }
-        return new Page(to, to == count, endings);
+        return new Page(endPosition, endPosition == count, cancellations);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
+++ b/controller/src/main/java/org/landingridge/controller/jobs/JobTable.java
@@ -18,266 +18,267 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The active jobs, and a bounded number of those that terminated lately, as the watch on their keys shows them. Jobs that have
- * no key any more are in the history.
+ * The active jobs and a bounded number of recently terminated jobs, kept up to date by the watch on their keys. Jobs without a
+ * key have moved to the history.
  */
 public final class JobTable {
-    /** Notified of changes of jobs, after the table shows them. */
+    /** Receives changes of jobs after the table has applied them. */
     public interface Listener {
-        /** An active job has become known. */
+        /** Called when this controller has first seen an active job. */
         void jobAccepted(Job job);
 
-        /** A job that was active has ended. */
+        /** Called when an active job has ended. */
         void jobEnded(Job job);
 
-        /** The last job that this one awaits is done. */
+        /** Called when the last awaited job of this job is done. */
         void jobReady(Job job);
     }
 
     /**
-     * The end of a job, to be applied.
+     * The end of a job, to be applied to the table.
      *
-     * @param revision  at which it was stored, or at which that of the job was from which it follows
-     * @param notifies    whether the listener is notified
-     * @param persisted whether the job's own key states it
+     * @param revision       revision at which the end was stored; for a derived cancellation, that of its cause or of the job
+     * @param notifyListener whether to call the listener
+     * @param persisted      whether the job's own key records the end
      */
-    private record Termination(Job job, Job.Status how, int tasks, long revision, boolean notifies, boolean persisted) {
-        /** A cancellation that follows from other jobs, or that another controller vouches for. */
-        static Termination derived(Job job, long revision, boolean notifies) {
-            return new Termination(job, Job.Status.CANCELLED, job.tasks(), revision, notifies, false);
+    private record Termination(
+            Job job, Job.Status status, int tasks, long revision, boolean notifyListener, boolean persisted) {
+        /** Returns a cancellation that is caused by an awaited job or reported by another controller. */
+        static Termination derivedCancellation(Job job, long revision, boolean notifyListener) {
+            return new Termination(job, Job.Status.CANCELLED, job.tasks(), revision, notifyListener, false);
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
-    /** Half a kilobyte each, with the watch cache's part. */
-    private static final int RETAINED = 2_048;
+    /** Each retained job takes about 0.5 kB, including its entry in the watch cache. */
+    private static final int MAX_RETAINED_JOBS = 2_048;
 
-    private final Map<String, Job> byId = new HashMap<>();
-    private final List<Job> active = new ArrayList<>();
-    private final TerminatedJobs terminated;
-    private final JobDependencies dependencies = new JobDependencies(byId);
+    private final Map<String, Job> jobsById = new HashMap<>();
+    private final List<Job> activeJobs = new ArrayList<>();
+    private final TerminatedJobs terminatedJobs;
+    private final JobDependencies dependencies = new JobDependencies(jobsById);
     private final CancellationLog cancellations = new CancellationLog();
-    /** Revisions of cancellations that another controller vouched for before this one knew the job, by its id. */
+    /** Revisions of cancellations, by job id, that another controller reported before this one had seen the job. */
     private final Map<String, Long> earlyCancellations = new HashMap<>();
-    /** Ids whose stored value makes no sense. */
-    private final Set<String> unreadable = new HashSet<>();
+    /** Ids of the jobs whose stored value cannot be parsed. */
+    private final Set<String> unreadableIds = new HashSet<>();
 
     private final LongSupplier clock;
-    private final Consumer<String> evicted;
+    private final Consumer<String> evictionListener;
 
     private Listener listener;
     private int nextIndex;
 
     /**
-     * @param clock   milliseconds of the steady clock
-     * @param evicted called with the ids of terminated jobs that are no longer kept here although they have a key of their own
+     * @param clock            steady clock, in milliseconds
+     * @param evictionListener called with the id of each terminated job evicted from the table while its key still exists
      */
-    public JobTable(LongSupplier clock, Consumer<String> evicted) {
-        this(clock, evicted, RETAINED);
+    public JobTable(LongSupplier clock, Consumer<String> evictionListener) {
+        this(clock, evictionListener, MAX_RETAINED_JOBS);
     }
 
-    /** @param retained terminated jobs that are kept at most */
-    JobTable(LongSupplier clock, Consumer<String> evicted, int retained) {
+    /** @param maxRetainedJobs maximum number of terminated jobs in the table, apart from unpersisted ones */
+    JobTable(LongSupplier clock, Consumer<String> evictionListener, int maxRetainedJobs) {
         this.clock = clock;
-        this.evicted = evicted;
-        this.terminated = new TerminatedJobs(retained);
+        this.evictionListener = evictionListener;
+        this.terminatedJobs = new TerminatedJobs(maxRetainedJobs);
     }
 
-    /** Replaces the listener; null for none. */
+    /** Sets the listener; null for none. */
     public void listener(Listener newListener) {
         listener = newListener;
     }
 
-    /** The job, or null where it is not kept here. */
+    /** Returns the job, or null if the table does not hold it. */
     public Job get(String id) {
-        return byId.get(id);
+        return jobsById.get(id);
     }
 
-    /** The cancellations known here. */
+    /** Returns the log of the cancellations known to this process. */
     public CancellationLog endings() {
         return cancellations;
     }
 
-    /** Jobs that are neither done nor cancelled, in the order of their acceptance. */
+    /** Returns the jobs that have not ended, in the order of acceptance. */
     public List<Job> active() {
-        return active;
+        return activeJobs;
     }
 
-    /** Jobs that have ended and still have a key of their own. */
+    /** Returns the terminated jobs that still have their own key. */
     public TerminatedJobs terminated() {
-        return terminated;
+        return terminatedJobs;
     }
 
-    /** How many jobs are kept here. */
+    /** Returns the number of jobs in the table. */
     public int size() {
-        return byId.size();
+        return jobsById.size();
     }
 
-    /** True if what is stored under the job's id makes no sense: nothing can be said of the job. */
+    /** Returns true if the value stored under the job's key cannot be parsed, so that the job's status is unknown. */
     public boolean unreadable(String id) {
-        return unreadable.contains(id);
+        return unreadableIds.contains(id);
     }
 
-    /** True if the job awaits one that is not kept here: only its key or the history tells how that ended. */
+    /** Returns true if the job awaits a job that is not in the table; its outcome must be read from its key or the history. */
     public boolean unresolved(Job job) {
-        return dependencies.unresolved(job);
+        return dependencies.hasUnresolved(job);
     }
 
-    /** Ids of the jobs that are awaited and not kept here. */
+    /** Returns the ids of awaited jobs that are not in the table. */
     public List<String> unresolved() {
-        return dependencies.unresolved();
+        return dependencies.unresolvedIds();
     }
 
-    /** An awaited job that is not kept here has ended, by its key or the history. */
-    public void resolved(String id, Job.Status how, long revision) {
-        propagate(id, how, revision).forEach(this::terminate);
+    /** Applies the end of an awaited job that is not in the table, as read from its key or the history. */
+    public void resolved(String id, Job.Status status, long revision) {
+        propagate(id, status, revision).forEach(this::terminate);
     }
 
     /**
-     * A job's key has changed.
+     * Applies a change of a job's key.
      *
-     * @param value   null where the key was deleted
-     * @param version the revision of the change
+     * @param value    new value; null if the key was deleted
+     * @param revision revision of the change
      */
-    public void changed(String id, JsonNode value, long version) {
+    public void changed(String id, JsonNode value, long revision) {
         Long earlyCancellation = earlyCancellations.remove(id);
-        unreadable.remove(id);
+        unreadableIds.remove(id);
         if (value == null) {
-            keyDeleted(id, version);
+            keyDeleted(id, revision);
             return;
         }
         StoredJob stored;
         try {
             stored = StoredJobCodec.read(value);
         } catch (InvalidMessageException e) {
-            // Taken neither for an accepted job nor for an absent one: whoever asks is told to come back.
-            LOG.error("stored job unreadable: job={} error={}", id, e.getMessage());
-            unreadable.add(id);
+            // Treated as neither accepted nor absent: requests for this job get the answer "unavailable, retry".
+            LOG.error("stored job unreadable, job={} error={}", id, e.getMessage());
+            unreadableIds.add(id);
             return;
         }
-        Job job = byId.get(id);
+        Job job = jobsById.get(id);
         if (job == null) {
-            add(new Job(id, nextIndex++, version), stored, earlyCancellation);
-        } else if (stored.end() != null) {
-            terminated.persisted(job);
-            end(job, stored.end().how(), stored.end().tasks(), version, true);
+            add(new Job(id, nextIndex++, revision), stored, earlyCancellation);
+        } else if (stored.outcome() != null) {
+            terminatedJobs.persisted(job);
+            end(job, stored.outcome().how(), stored.outcome().tasks(), revision, true);
         }
     }
 
-    /** Only terminated jobs lose their key. One that was active here until now ended while the watch was lost. */
-    private void keyDeleted(String id, long version) {
-        Job job = byId.get(id);
+    /** Only keys of terminated jobs are deleted. A job that is still active in the table ended while the watch was lost. */
+    private void keyDeleted(String id, long revision) {
+        Job job = jobsById.get(id);
         if (job != null) {
-            end(job, Job.Status.MOVED, job.tasks(), version, true);
-            byId.remove(id);
-            terminated.remove(job);
+            end(job, Job.Status.MOVED, job.tasks(), revision, true);
+            jobsById.remove(id);
+            terminatedJobs.remove(job);
         }
     }
 
     private void add(Job job, StoredJob stored, Long earlyCancellation) {
-        byId.put(job.id(), job);
+        jobsById.put(job.id(), job);
         if (stored.spec() != null) {
-            job.accepted(stored.spec(), stored.submittedAt());
+            job.setSpec(stored.spec(), stored.submittedAt());
         }
-        if (stored.end() != null) {
-            end(job, stored.end().how(), stored.end().tasks(), job.created(), false);
+        if (stored.outcome() != null) {
+            end(job, stored.outcome().how(), stored.outcome().tasks(), job.created(), false);
         } else if (earlyCancellation != null && earlyCancellation > job.created()) {
-            terminate(Termination.derived(job, earlyCancellation, false));
+            terminate(Termination.derivedCancellation(job, earlyCancellation, false));
         } else {
             activate(job);
         }
     }
 
-    /** The job has not ended by its own key, but a job that it awaits may be cancelled. */
+    /** Adds a job whose own key records no end, and cancels it at once if an awaited job is cancelled. */
     private void activate(Job job) {
-        active.add(job);
-        if (dependencies.add(job)) {
-            terminate(Termination.derived(job, job.created(), false));
+        activeJobs.add(job);
+        if (dependencies.addEdges(job)) {
+            terminate(Termination.derivedCancellation(job, job.created(), false));
         } else if (listener != null) {
             listener.jobAccepted(job);
         }
     }
 
-    /** Another controller vouches for a cancellation: that is final, and holds before this one's own view shows it. */
+    /** Applies a cancellation reported by another controller. It is final, even if this controller's watch lags behind. */
     public void cancelled(String id, long revision) {
-        Job job = byId.get(id);
+        Job job = jobsById.get(id);
         if (job != null) {
-            terminate(Termination.derived(job, revision, true));
+            terminate(Termination.derivedCancellation(job, revision, true));
         } else {
             earlyCancellations.put(id, revision);
         }
     }
 
     /**
-     * Ends a job as its own key states: by the watch, or by the process that has just committed the end. Jobs that await a
-     * cancelled one are cancelled with it. Does nothing for a job that has ended already.
+     * Ends a job whose own key records the end, as seen by the watch or just committed by this process. Jobs that await a
+     * cancelled job are cancelled with it. Does nothing if the job has already ended.
      *
-     * @param revision at which the end was stored
-     * @param notifies   whether the listener is notified
+     * @param revision       revision at which the end was stored
+     * @param notifyListener whether to call the listener
      */
-    public void end(Job job, Job.Status how, int tasks, long revision, boolean notifies) {
-        terminate(new Termination(job, how, tasks, revision, notifies, true));
+    public void end(Job job, Job.Status status, int tasks, long revision, boolean notifyListener) {
+        terminate(new Termination(job, status, tasks, revision, notifyListener, true));
     }
 
-    /** Chains of dependants can be long: they are worked off by a queue, not by recursion. */
+    /** Applies an end and all ends derived from it. A queue replaces recursion, because chains of dependents can be long. */
     private void terminate(Termination first) {
-        Deque<Termination> due = new ArrayDeque<>();
-        due.add(first);
-        while (!due.isEmpty()) {
-            Termination next = due.poll();
+        Deque<Termination> pending = new ArrayDeque<>();
+        pending.add(first);
+        while (!pending.isEmpty()) {
+            Termination next = pending.poll();
             if (apply(next)) {
-                due.addAll(propagate(next.job.id(), next.how, next.revision));
+                pending.addAll(propagate(next.job.id(), next.status, next.revision));
             }
         }
     }
 
-    /** A job has ended: its dependants come a step nearer to being ready, or end with it. Returns the ends that follow. */
-    private List<Termination> propagate(String id, Job.Status how, long revision) {
-        if (how == Job.Status.MOVED) {
-            // Only the history tells how the job ended: its dependants wait until that is read.
+    /** Updates the dependents of an ended job, and returns the cancellations derived for them. */
+    private List<Termination> propagate(String id, Job.Status status, long revision) {
+        if (status == Job.Status.MOVED) {
+            // The outcome is recorded only in the history; the dependents wait until it has been read.
             return List.of();
         }
-        List<Termination> following = new ArrayList<>();
-        for (Job dependent : dependencies.remove(id)) {
-            if (how == Job.Status.CANCELLED) {
-                following.add(Termination.derived(dependent, Math.max(revision, dependent.created()), true));
-            } else if (dependent.active() && dependent.satisfied(id, clock.getAsLong()) && listener != null) {
+        List<Termination> derived = new ArrayList<>();
+        for (Job dependent : dependencies.removeEdgesTo(id)) {
+            if (status == Job.Status.CANCELLED) {
+                derived.add(Termination.derivedCancellation(dependent, Math.max(revision, dependent.created()), true));
+            } else if (dependent.active() && dependent.markAwaitedDone(id, clock.getAsLong()) && listener != null) {
                 listener.jobReady(dependent);
             }
         }
-        return following;
+        return derived;
     }
 
-    /** True if the job was active. */
-    private boolean apply(Termination end) {
-        Job job = end.job;
+    /** Ends one job and updates the table; returns false if the job had already ended. */
+    private boolean apply(Termination termination) {
+        Job job = termination.job;
         Set<String> awaited = Set.copyOf(job.awaited());
-        if (!job.end(end.how, end.tasks, clock.getAsLong())) {
+        if (!job.end(termination.status, termination.tasks, clock.getAsLong())) {
             return false;
         }
-        dependencies.removeDependent(job, awaited);
-        if (end.how == Job.Status.CANCELLED) {
-            cancellations.note(end.revision, job.id());
+        dependencies.removeEdgesFrom(job, awaited);
+        if (termination.status == Job.Status.CANCELLED) {
+            cancellations.add(termination.revision, job.id());
         }
-        active.remove(job);
-        terminated.add(job, end.persisted);
-        if (end.notifies && listener != null) {
+        activeJobs.remove(job);
+        terminatedJobs.add(job, termination.persisted);
+        if (termination.notifyListener && listener != null) {
             listener.jobEnded(job);
         }
-        terminated.evict().ifPresent(this::evicted);
+        terminatedJobs.evict().ifPresent(this::removeEvicted);
         return true;
     }
 
-    private void evicted(Job job) {
-        byId.remove(job.id());
-        evicted.accept(job.id());
+    private void removeEvicted(Job job) {
+        jobsById.remove(job.id());
+        evictionListener.accept(job.id());
     }
 
-    /** Records finished tasks that are stored: those at the set bits, counted from {@code firstTask}. */
+    /** Records tasks that are stored as finished: bit {@code i} stands for task {@code firstTask + i}. */
     public void done(String id, int firstTask, BitSet bits) {
-        Job job = byId.get(id);
+        Job job = jobsById.get(id);
         if (job != null && job.active()) {
-            job.finished(firstTask, bits);
+            job.markFinished(firstTask, bits);
         }
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/PeerRecordType.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The types of records between controllers, each with the byte that its record begins with. */
+/** The types of records between controllers, each with its code: the first byte of the record. */
 public enum PeerRecordType {
     ASK(1),
     GRANT(2),
@@ -12,7 +12,7 @@
     FORWARDED_HEARTBEAT(6),
     ANSWER(7);
 
-    private static final PeerRecordType[] ALL = values();
+    private static final PeerRecordType[] TYPES = values();
     private final int code;
 
     PeerRecordType(int code) {
@@ -23,12 +23,12 @@
         return code;
     }
 
-    static PeerRecordType of(int code) throws IOException {
-        for (PeerRecordType type : ALL) {
+    static PeerRecordType forCode(int code) throws IOException {
+        for (PeerRecordType type : TYPES) {
             if (type.code == code) {
                 return type;
             }
         }
-        throw new IOException("unknown record type " + code);
+        throw new IOException("peer record: unknown type " + code);
     }
 }
--- a/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
+++ b/controller/src/main/java/org/landingridge/controller/peer/XnioPeerTransport.java
@@ -17,48 +17,52 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** Frames over TCP on {@code back}: four bytes of length, then one record. Each controller dials every other. */
+/**
+ * Sends messages as frames over TCP on the peer network ({@code back}). A frame is a four-byte length followed by one record.
+ * Each controller connects to every other and sends on its own connections only.
+ */
 public final class XnioPeerTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     private final Consumer<PeerMessage> receiver;
     private final Map<String, PeerLink> links = new HashMap<>();
 
     /**
-     * Listens at once; connections to the others are made when there is something to send.
+     * Starts to listen at once; connects to another controller when there is something to send.
      *
-     * @param worker   its one thread runs the event loop
-     * @param peers    the other controllers
-     * @param receiver takes what the others send
-     * @throws IOException if the address cannot be listened on
+     * @param worker        I/O worker whose only thread runs the event loop
+     * @param peers         the other controllers
+     * @param listenAddress address to listen on
+     * @param receiver      called with each message that arrives
+     * @throws IOException if the server socket cannot be opened on the address
      */
     public XnioPeerTransport(
             XnioWorker worker,
             EventLoop loop,
             List<Settings.Peer> peers,
-            InetSocketAddress listen,
+            InetSocketAddress listenAddress,
             Consumer<PeerMessage> receiver)
             throws IOException {
         this.receiver = receiver;
         for (Settings.Peer peer : peers) {
-            HostAndPort addr = HostAndPort.fromString(peer.addr());
-            InetSocketAddress target = new InetSocketAddress(addr.getHost(), addr.getPort());
-            links.put(peer.host(), new PeerLink(worker, loop, target));
+            HostAndPort hostAndPort = HostAndPort.fromString(peer.addr());
+            InetSocketAddress address = new InetSocketAddress(hostAndPort.getHost(), hostAndPort.getPort());
+            links.put(peer.host(), new PeerLink(worker, loop, address));
         }
         worker.createStreamConnectionServer(
-                        listen,
-                        this::accept,
+                        listenAddress,
+                        this::acceptConnections,
                         OptionMap.create(Options.REUSE_ADDRESSES, true, Options.TCP_NODELAY, true))
                 .resumeAccepts();
     }
 
-    private void accept(AcceptingChannel<StreamConnection> channel) {
+    private void acceptConnections(AcceptingChannel<StreamConnection> server) {
         try {
             StreamConnection connection;
-            while ((connection = channel.accept()) != null) {
+            while ((connection = server.accept()) != null) {
                 new PeerFrameReader(connection, receiver).start();
             }
         } catch (IOException e) {
-            LOG.debug("accepting a controller failed: {}", e.toString());
+            LOG.debug("accepting a peer connection failed, error={}", e.toString());
         }
     }
 
