--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -14,13 +14,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.landingridge.emulator.EmulatedWorker;
 
-/** What the operators met when two troubles came together; {@code docs/meetings.md} tells of each. */
+/**
+ * Pairs of faults that operators met at the same time, each with the rule that must still hold; {@code docs/meetings.md}
+ * describes them. Most join a crash, a cut or refused requests of the leader with a lost, delayed or duplicated message.
+ */
 class FaultCombinationsTest {
     private static final int FIRST = 40;
     private static final int JOBS = 6;
     private static final int CANCELLED = 4;
 
-    /** Arrays that run for minutes, beside services; all are up when this returns. */
+    /** Returns a cluster on which four services and several array jobs of 300 s run. */
     private static SimulatedCluster busy(long seed, int controllers) {
         SimulatedCluster w = new SimulatedCluster(seed, 0, controllers);
         services(w, 4);
@@ -32,7 +35,7 @@
         return w;
     }
 
-    /** A user has the jobs cancelled through this controller, which the leader does not hear of. */
+    /** Schedules a user's requests to cancel consecutive jobs, 20 ms apart, sent to the given controller instead of the leader. */
     private static void cancelled(SimulatedCluster w, ControllerNode through, long atMs, int first, int count) {
         for (int i = 0; i < count; i++) {
             String id = SampleJobs.id(first + i);
@@ -46,7 +49,13 @@
                 .count();
     }
 
-    /** The leader is refused alone, another confirms cancellations, and after so many milliseconds all are refused for long. */
+    /**
+     * Schedules requests of the leader alone to be refused by the state service while another controller confirms
+     * cancellations, then an outage for all that lasts three times the limit for cancellations.
+     *
+     * @param after milliseconds from the first refusal to the outage
+     * @return the controller that confirms the cancellations
+     */
     private static ControllerNode gap(SimulatedCluster w, long after) {
         ControllerNode leader = w.leader();
         ControllerNode other = w.nodes.get((leader.index + 1) % w.nodes.size());
@@ -86,7 +95,7 @@
     void theCancellerBeginsAnew(long seed, long back) {
         SimulatedCluster w = busy(510 + seed, 3);
         ControllerNode other = gap(w, 900);
-        // Nobody else has heard of the cancellations: they would tell of them.
+        // The third controller must not learn of the cancellations, as it would pass them on to the leader.
         String third = w.nodes.get(3 - w.leader().index - other.index).host.name;
         w.at(46_000, () -> w.state.refuse(third, true));
         w.at(60_000, () -> w.state.refuse(third, false));
@@ -167,7 +176,7 @@
         w.at(46_000, () -> deaf.forEach(x -> w.sim.deaf.add(x.box().id)));
         w.at(46_300, () -> w.leader().crash(back));
         w.at(46_300 + 5 * ClusterSetup.LEASE_MS, w.sim.deaf::clear);
-        // A hold, a lease, a report that takes 5 s since it waits for its answer, and a boot.
+        // The leader's hold, a lease, a heartbeat that takes 5 s because it waits for its answer, and a boot.
         w.sim.run(46_300 + 3_500 + ClusterSetup.LEASE_MS + 5_500 + 4_500);
         kept(w);
         assertEquals(
@@ -185,7 +194,7 @@
         SimulatedCluster w = busy(520 + seed, 3);
         ControllerNode leader = w.leader();
         int starts = w.checker.starts;
-        // The others cannot claim: they are refused, and carry reports all the same.
+        // The others can't claim leadership, as their requests are refused too, but still forward heartbeats.
         w.at(46_000, () -> w.nodes.forEach(n -> w.state.refuse(n.host.name, true)));
         w.at(52_000, () -> w.state.refuse(leader.host.name, false));
         w.at(90_000, () -> w.nodes.forEach(n -> w.state.refuse(n.host.name, false)));
@@ -233,8 +242,8 @@
     }
 
     /**
-     * A machine's last reports are held up behind a cut; it is back under its old name, a new leader gives it work, and then the
-     * old life's words arrive, with a sequence or a session beyond what the new life has come to.
+     * A machine's last heartbeats are delayed behind a cut. It restarts under its old name and gets work from a new leader; then
+     * the heartbeats from before the restart arrive, with a higher sequence number or session than the new ones have reached.
      */
     @ParameterizedTest
     @CsvSource({"1, false", "2, false", "3, true", "4, true"})
@@ -246,8 +255,9 @@
         List<EmulatedWorker> lives =
                 w.workers.stream().filter(x -> x.running() != null).toList();
         List<String> names = lives.stream().map(x -> x.box().id).toList();
-        // The carrier cannot lead, and is the only one whom the machines reach; not at first where their leases are to
-        // run out.
+        // The third controller can't lead, and is the only one that the machines reach. Where their leases are to
+        // expire
+        // they don't reach it at first.
         w.at(45_900, () -> w.state.refuse(carrier.host.name, true));
         w.at(46_000, () -> names.forEach(x -> w.sim.cut(next.host.name, x)));
         w.at(46_100, () -> leader.crash(60_000));
@@ -273,7 +283,7 @@
             w.users.submit(SampleJobs.job(FIRST + 30 + i, "red", false, 2 + i % 2, 1, 30));
         }
         w.sim.run(55_000);
-        // The first task of each fails again and again, so that it ends long after the others.
+        // The first task of each job fails repeatedly, so that it ends long after the others.
         for (long t = 55_000; t < 105_000; t += 5_000) {
             w.at(
                     t,
@@ -292,7 +302,7 @@
             assertEquals("done", w.checker.told.get(SampleJobs.id(FIRST + 30 + i)));
         }
         if (back < ClusterSetup.LEASE_MS / 2) {
-            // Where a lease is over meanwhile its machine has forgotten results that nobody had stored.
+            // Where a lease expires meanwhile, its machine has discarded results that no controller had stored.
             assertEquals(0, w.checker.repeats, "what was done was not run again");
         }
     }
@@ -420,7 +430,10 @@
         kept(w);
     }
 
-    /** The same where the earlier life had been shown the leader's token, by calls whose answers got lost: the token tells nothing. */
+    /**
+     * Late heartbeats from before a restart where the earlier process had already seen the leader's token, through calls whose
+     * answers were lost: the token can't tell the two processes apart.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void theLastWordsUnderTheSameToken(long seed) {
