--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -13,9 +13,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.landingridge.emulator.EmulatedWorker;
 
-/** Whole histories of three controllers among stand-ins, every rule checked throughout. */
+/**
+ * Runs three controllers with an emulated cloud, state service and workers through one kind of fault each: crashes, outages,
+ * cuts, hanging machines and lost answers. Guards against lost, repeated and duplicate tasks; the invariants are checked throughout.
+ */
 class FailoverTest {
-    /** A mixed load: services that stay, batch jobs that end, some cancelled. */
+    /** Submits a mixed load: 4 services, and 16 batch jobs of which some are cancelled. */
     private static void load(SimulatedCluster w) {
         for (int i = 0; i < 4; i++) {
             w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
@@ -68,7 +71,7 @@
         allOver(w);
     }
 
-    /** A fresh process reads the finished tasks before their jobs: it started all of them again. */
+    /** Guards against a restarted controller that reads finished tasks before their jobs and starts all of them again. */
     @Test
     void aFreshLeaderKnowsWhatIsDone() {
         SimulatedCluster w = new SimulatedCluster(5, 10);
