--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -14,7 +14,10 @@
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.emulator.EmulatedWorker;
 
-/** Machines that fall silent: dead, hanging or cut off, alone or together, with and without a leader's death. */
+/**
+ * Machines whose heartbeats stop because they died, hang or are cut off, alone or a zone together, with and without a crash of the
+ * leader. Guards against tasks that run twice, and against tasks that wait for longer than a lease.
+ */
 class SilentMachineTest {
     private static final long LEASE_MS = 20_000;
     private SimulatedCluster w;
@@ -31,7 +34,7 @@
                 new Settings.State(200, 20, 4, 8)));
     }
 
-    /** Services of a whole machine each, so many that the zones have some each, running. */
+    /** Starts services that take a whole machine each; the counts used give every zone some of them. */
     private void services(int count) {
         ClusterAssertions.services(w, count);
     }
@@ -93,7 +96,10 @@
         kept();
     }
 
-    /** Guards {@code HealthMonitor.worth}: a give-back that waits for the state service is carried out on a machine that is back. */
+    /**
+     * A request to return a silent machine to the cloud that waits for the state service must not be carried out once the machine
+     * reports again. See {@code HealthMonitor}.
+     */
     @Test
     @DisplayName("a machine that hangs within an outage of the state service is not given back after both are over")
     void hangsWithinAnOutage() {
@@ -144,8 +150,8 @@
     }
 
     /**
-     * Guards {@code Fleet.report}: a machine whose silence is stored is answered only once its row is stored without it.
-     * Answered at once, it goes on by a lease that the next leader does not know of.
+     * A machine whose silence is stored must get no answer until its row is stored without the silence. If it were answered at
+     * once, it would keep working under a lease that the next leader does not know of. See {@code Fleet}.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -169,7 +175,7 @@
         kept();
     }
 
-    /** Guards {@code MachineRegistry.takeOver}: the word of a leader before the last one on silent machines counts for nothing. */
+    /** A new leader may use the stored silence of machines only if its direct predecessor stored it. See {@code MachineRegistry}. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("a silence that an earlier leader wrote down is forgotten by the leader after the next")
