--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -18,7 +18,10 @@
 import org.landingridge.emulator.GroundTruth.Order;
 import org.landingridge.wire.Json;
 
-/** All controllers go down, machines are lost meanwhile, and all come up at once. */
+/**
+ * All controllers crash, two machines die while none runs, and all controllers restart at once. Guards against lost tasks that
+ * wait for the lease, against a second start of tasks that still run, and against repeated orders.
+ */
 class TotalOutageTest {
     private static final long LEASE_MS = 20_000;
     private static final long DOWN_AT = 30_000;
@@ -58,7 +61,7 @@
                 .count();
     }
 
-    /** Two machines die, each in another zone, one of them with a service. */
+    /** Deletes one busy machine in each of the zones a and b. */
     private void lose() {
         for (String zone : List.of("a", "b")) {
             w.workers.stream()
@@ -73,7 +76,7 @@
         w.nodes.stream().filter(n -> n.host.up).forEach(n -> n.crash(forMs));
     }
 
-    /** Everything runs or is over, and no rule was broken on the way. */
+    /** Checks that all services run, all batch jobs are done and no invariant was violated. */
     private void settled() {
         settled(6);
     }
@@ -102,7 +105,7 @@
         return LongStream.rangeClosed(0, 20).map(i -> i * 350);
     }
 
-    /** The second crash hits the claim, the reading, the census, the questions, the give-backs and the placing. */
+    /** The second crash hits each step: claim, reading, census, questions to machines, returns to the cloud and placement. */
     @ParameterizedTest
     @MethodSource("moments")
     @DisplayName("a second crash of all, at any moment of the recovery, makes nothing worse")
@@ -134,7 +137,7 @@
         settled();
     }
 
-    /** Guards {@code MachineRegistry.takeOver}: a page that is taken for empty has what its machines hold started once more. */
+    /** If an unreadable page were taken for empty, the tasks of its machines would be started twice. See {@code MachineRegistry}. */
     @ParameterizedTest
     @CsvSource({"51,x", "52,[]", "53,row"})
     @DisplayName("a page of the roster that cannot be read is never taken for empty, and the rest goes on")
@@ -193,7 +196,7 @@
             int n = i;
             w.at(400, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 3, 0)));
         }
-        // The first reports come a little after the election, when the jobs are there already.
+        // The first heartbeats arrive shortly after the election, when the jobs are already submitted.
         w.at(50, () -> w.workers.forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
         w.at(1_200, w.sim::heal);
         w.sim.run(12_000);
