--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -19,322 +19,336 @@
  */
 class FailoverTest {
     /** Submits a mixed load: 4 services, and 16 batch jobs of which some are cancelled. */
-    private static void load(SimulatedCluster w) {
+    private static void submitMixedLoad(SimulatedCluster cluster) {
         for (int i = 0; i < 4; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
         for (int i = 10; i < 26; i++) {
-            int n = i;
-            w.at(
+            int jobNumber = i;
+            cluster.at(
                     500L + (i - 10) * 1_500,
-                    () -> w.users.submit(
-                            SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
+                    () -> cluster.users.submit(SampleJobs.job(
+                            jobNumber,
+                            jobNumber % 2 == 0 ? "red" : "blue",
+                            false,
+                            1 + jobNumber % 5,
+                            2,
+                            2 + jobNumber % 4)));
             if (i % 5 == 0) {
-                w.at(3_000L + (i - 10) * 1_500, () -> w.users.cancel(String.format("job-%06d", n)));
+                cluster.at(3_000L + (i - 10) * 1_500, () -> cluster.users.cancel(String.format("job-%06d", jobNumber)));
             }
         }
     }
 
-    private static void allOver(SimulatedCluster w) {
-        kept(w);
+    private static void assertAllJobsEndedAndServicesRun(SimulatedCluster cluster) {
+        kept(cluster);
         for (int i = 10; i < 26; i++) {
-            String told = w.checker.told.get(String.format("job-%06d", i));
-            assertTrue("done".equals(told) || "cancelled".equals(told), "job " + i + " is " + told);
+            String status = cluster.checker.told.get(String.format("job-%06d", i));
+            assertTrue("done".equals(status) || "cancelled".equals(status), "job " + i + " is " + status);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(w.running(String.format("job-%06d", i), 1), "service " + i + " runs");
+            assertTrue(cluster.running(String.format("job-%06d", i), 1), "service " + i + " runs");
         }
     }
 
     @Test
-    void quietDay() {
-        SimulatedCluster w = new SimulatedCluster(1, 10);
-        load(w);
-        w.sim.run(90_000);
-        allOver(w);
-        assertTrue(w.over("done") >= 12);
+    void allJobsEndAndServicesRunWithoutFaults() {
+        SimulatedCluster cluster = new SimulatedCluster(1, 10);
+        submitMixedLoad(cluster);
+        cluster.sim.run(90_000);
+        assertAllJobsEndedAndServicesRun(cluster);
+        assertTrue(cluster.over("done") >= 12);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void leaderCrashesAgainAndAgain(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        load(w);
+    void allJobsEndWhenLeaderCrashesRepeatedly(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        submitMixedLoad(cluster);
         for (int i = 1; i <= 4; i++) {
-            w.at(i * 9_000L + seed * 313, () -> {
-                if (w.leader() != null && w.leader().host.up) {
-                    w.leader().crash(2_500);
+            cluster.at(i * 9_000L + seed * 313, () -> {
+                if (cluster.leader() != null && cluster.leader().host.up) {
+                    cluster.leader().crash(2_500);
                 }
             });
         }
-        w.sim.run(150_000);
-        allOver(w);
+        cluster.sim.run(150_000);
+        assertAllJobsEndedAndServicesRun(cluster);
     }
 
     /** Guards against a restarted controller that reads finished tasks before their jobs and starts all of them again. */
     @Test
-    void aFreshLeaderKnowsWhatIsDone() {
-        SimulatedCluster w = new SimulatedCluster(5, 10);
-        w.cloud.capacity = 1;
-        w.users.submit(SampleJobs.job(50, "red", false, 10, 2, 4));
-        w.at(16_000, () -> w.nodes.forEach(n -> n.crash(4_000)));
-        w.at(15_900, () -> assertTrue(w.checker.completed.size() >= 4, w.checker.completed + " by now"));
-        w.sim.run(120_000);
-        kept(w);
-        assertEquals("done", w.checker.told.get("job-000050"));
-        assertEquals(0, w.checker.repeats, "finished tasks that were started again");
+    void finishedTasksAreNotStartedAgainWhenAllControllersRestart() {
+        SimulatedCluster cluster = new SimulatedCluster(5, 10);
+        cluster.cloud.capacity = 1;
+        cluster.users.submit(SampleJobs.job(50, "red", false, 10, 2, 4));
+        cluster.at(16_000, () -> cluster.nodes.forEach(node -> node.crash(4_000)));
+        cluster.at(
+                15_900, () -> assertTrue(cluster.checker.completed.size() >= 4, cluster.checker.completed + " by now"));
+        cluster.sim.run(120_000);
+        kept(cluster);
+        assertEquals("done", cluster.checker.told.get("job-000050"));
+        assertEquals(0, cluster.checker.repeats, "finished tasks that were started again");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void allControllersCrashWithinAnOutage(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        load(w);
-        w.at(15_000, () -> w.state.outage(true));
-        w.at(20_000 + seed * 100, () -> w.nodes.forEach(n -> n.crash(2_000)));
-        w.at(26_000, () -> w.state.outage(false));
-        w.sim.run(150_000);
-        allOver(w);
+    void allJobsEndWhenAllControllersCrashDuringStateOutage(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        submitMixedLoad(cluster);
+        cluster.at(15_000, () -> cluster.state.outage(true));
+        cluster.at(20_000 + seed * 100, () -> cluster.nodes.forEach(node -> node.crash(2_000)));
+        cluster.at(26_000, () -> cluster.state.outage(false));
+        cluster.sim.run(150_000);
+        assertAllJobsEndedAndServicesRun(cluster);
     }
 
     @Test
     @DisplayName("an outage of the state service longer than the lease loses no task")
-    void outageLongerThanTheLease() {
-        SimulatedCluster w = new SimulatedCluster(21, 0);
+    void noTaskIsLostWhenStateOutageOutlastsLease() {
+        SimulatedCluster cluster = new SimulatedCluster(21, 0);
         for (int i = 0; i < 4; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
-        w.sim.run(20_000);
-        int starts = w.checker.starts;
-        assertEquals(4, w.checker.places.size());
-        w.state.outage(true);
-        w.sim.run(20_000 + 3 * ClusterSetup.LEASE_MS);
-        w.state.outage(false);
-        w.sim.run(60_000 + 3 * ClusterSetup.LEASE_MS);
-        assertEquals(starts, w.checker.starts, "nothing was lost, so nothing was started again");
-        kept(w);
+        cluster.sim.run(20_000);
+        int starts = cluster.checker.starts;
+        assertEquals(4, cluster.checker.places.size());
+        cluster.state.outage(true);
+        cluster.sim.run(20_000 + 3 * ClusterSetup.LEASE_MS);
+        cluster.state.outage(false);
+        cluster.sim.run(60_000 + 3 * ClusterSetup.LEASE_MS);
+        assertEquals(starts, cluster.checker.starts, "nothing was lost, so nothing was started again");
+        kept(cluster);
     }
 
     @Test
     @DisplayName("a leader refused by the state service alone hands over, and no task is lost")
-    void refusedAlone() {
-        SimulatedCluster w = new SimulatedCluster(22, 0);
+    void leaderHandsOverWhenStateServiceRefusesItAlone() {
+        SimulatedCluster cluster = new SimulatedCluster(22, 0);
         for (int i = 0; i < 4; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
-        w.sim.run(20_000);
-        ControllerNode before = w.leader();
-        int starts = w.checker.starts;
-        w.state.refuse(before.host.name, true);
-        w.sim.run(26_000);
-        assertNotNull(w.leader());
-        assertNotEquals(before, w.leader());
-        w.sim.run(50_000);
-        assertEquals(starts, w.checker.starts);
-        kept(w);
+        cluster.sim.run(20_000);
+        ControllerNode formerLeader = cluster.leader();
+        int starts = cluster.checker.starts;
+        cluster.state.refuse(formerLeader.host.name, true);
+        cluster.sim.run(26_000);
+        assertNotNull(cluster.leader());
+        assertNotEquals(formerLeader, cluster.leader());
+        cluster.sim.run(50_000);
+        assertEquals(starts, cluster.checker.starts);
+        kept(cluster);
     }
 
     @Test
     @DisplayName("a leader that only the workers cannot reach keeps their leases through the others")
-    void cutFromWorkers() {
-        SimulatedCluster w = new SimulatedCluster(23, 0);
+    void leasesAreKeptWhenLeaderIsCutOffFromWorkers() {
+        SimulatedCluster cluster = new SimulatedCluster(23, 0);
         for (int i = 0; i < 4; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 1, 0));
         }
-        w.sim.run(20_000);
-        int starts = w.checker.starts;
-        w.workers.forEach(x -> w.sim.cut(w.leader().host.name, x.box().id));
-        w.sim.run(20_000 + 4 * ClusterSetup.LEASE_MS);
-        assertEquals(starts, w.checker.starts);
-        w.sim.heal();
-        w.sim.run(40_000 + 4 * ClusterSetup.LEASE_MS);
-        assertEquals(starts, w.checker.starts);
-        kept(w);
+        cluster.sim.run(20_000);
+        int starts = cluster.checker.starts;
+        cluster.workers.forEach(worker -> cluster.sim.cut(cluster.leader().host.name, worker.box().id));
+        cluster.sim.run(20_000 + 4 * ClusterSetup.LEASE_MS);
+        assertEquals(starts, cluster.checker.starts);
+        cluster.sim.heal();
+        cluster.sim.run(40_000 + 4 * ClusterSetup.LEASE_MS);
+        assertEquals(starts, cluster.checker.starts);
+        kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34})
-    void leaderIsCutOffAndItsMessagesArriveLate(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        load(w);
-        w.at(12_000 + seed * 97, () -> {
-            ControllerNode leader = w.leader();
+    void allJobsEndWhenLeaderIsCutOffAndItsMessagesArriveLate(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        submitMixedLoad(cluster);
+        cluster.at(12_000 + seed * 97, () -> {
+            ControllerNode leader = cluster.leader();
             if (leader != null) {
-                w.sim.cut(leader.host.name, "state");
-                w.nodes.forEach(n -> w.sim.cut(leader.host.name, n.host.name));
+                cluster.sim.cut(leader.host.name, "state");
+                cluster.nodes.forEach(node -> cluster.sim.cut(leader.host.name, node.host.name));
                 if (seed % 2 == 0) {
-                    w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id));
+                    cluster.workers.forEach(worker -> cluster.sim.cut(leader.host.name, worker.box().id));
                 }
             }
         });
-        w.at(34_000, w.sim::heal);
-        w.sim.run(150_000);
-        allOver(w);
+        cluster.at(34_000, cluster.sim::heal);
+        cluster.sim.run(150_000);
+        assertAllJobsEndedAndServicesRun(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43, 44})
-    void answersOfStateAndCloudGetLost(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        w.sim.lostAnswers.put("state", 0.1);
-        w.sim.lostAnswers.put("cloud", 0.4);
-        load(w);
-        w.at(60_000, w.sim.lostAnswers::clear);
-        w.sim.run(180_000);
-        allOver(w);
+    void allJobsEndWhenAnswersOfStateServiceAndCloudAreLost(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        cluster.sim.lostAnswers.put("state", 0.1);
+        cluster.sim.lostAnswers.put("cloud", 0.4);
+        submitMixedLoad(cluster);
+        cluster.at(60_000, cluster.sim.lostAnswers::clear);
+        cluster.sim.run(180_000);
+        assertAllJobsEndedAndServicesRun(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54})
-    void workersHangAndGoOn(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 10);
-        load(w);
+    void allJobsEndWhenWorkersHangAndResume(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 10);
+        submitMixedLoad(cluster);
         for (int i = 0; i < 5; i++) {
-            int n = i;
-            w.at(9_000 + i * 6_000L, () -> {
-                if (!w.workers.isEmpty()) {
-                    EmulatedWorker x = w.workers.get((int) ((seed + n) % w.workers.size()));
-                    x.hang(true);
-                    w.at(w.sim.now + 3_000 + n * 3_500L, () -> x.hang(false));
+            int hangNumber = i;
+            cluster.at(9_000 + i * 6_000L, () -> {
+                if (!cluster.workers.isEmpty()) {
+                    EmulatedWorker worker = cluster.workers.get((int) ((seed + hangNumber) % cluster.workers.size()));
+                    worker.hang(true);
+                    cluster.at(cluster.sim.now + 3_000 + hangNumber * 3_500L, () -> worker.hang(false));
                 }
             });
         }
-        w.sim.run(150_000);
-        allOver(w);
+        cluster.sim.run(150_000);
+        assertAllJobsEndedAndServicesRun(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {55, 56, 57})
     @DisplayName("what runs on a machine that hangs through a takeover is not started elsewhere")
-    void workerHangsThroughATakeover(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 0);
+    void tasksAreNotStartedElsewhereWhenTheirMachinesHangDuringTakeover(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 2, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 2, 0));
         }
-        w.at(20_000, () -> {
-            w.workers.stream()
-                    .filter(x -> w.checker.places.values().stream().anyMatch(p -> p.startsWith(x.box().id + "@")))
-                    .forEach(x -> x.hang(true));
-            w.leader().crash(20_000);
+        cluster.at(20_000, () -> {
+            cluster.workers.stream()
+                    .filter(worker -> cluster.checker.places.values().stream()
+                            .anyMatch(place -> place.startsWith(worker.box().id + "@")))
+                    .forEach(worker -> worker.hang(true));
+            cluster.leader().crash(20_000);
         });
-        w.at(26_500, () -> w.workers.forEach(x -> x.hang(false)));
-        w.sim.run(80_000);
-        kept(w);
-        assertEquals(6, w.checker.places.size());
+        cluster.at(26_500, () -> cluster.workers.forEach(worker -> worker.hang(false)));
+        cluster.sim.run(80_000);
+        kept(cluster);
+        assertEquals(6, cluster.checker.places.size());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {58, 59, 60})
     @DisplayName("what this leader has seen on a fenced machine is placed again while the census waits for another")
-    void censusWaitsOnlyForWhatItDoesNotKnow(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 24);
+    void failedTaskIsRestartedWhileCensusWaitsForAnotherMachine(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 24);
         for (int i = 0; i < 8; i++) {
-            w.users.submit(SampleJobs.job(i, "red", true, 1, 1, 0));
+            cluster.users.submit(SampleJobs.job(i, "red", true, 1, 1, 0));
         }
-        w.sim.run(20_000);
-        EmulatedWorker silent = w.workers.get(0);
-        EmulatedWorker failing = w.workers.stream()
-                .filter(x -> x != silent && x.running() != null)
+        cluster.sim.run(20_000);
+        EmulatedWorker silent = cluster.workers.get(0);
+        EmulatedWorker failing = cluster.workers.stream()
+                .filter(worker -> worker != silent && worker.running() != null)
                 .findFirst()
                 .orElseThrow();
         silent.hang(true);
-        w.leader().crash(2_000);
-        w.sim.run(24_500);
+        cluster.leader().crash(2_000);
+        cluster.sim.run(24_500);
         String task = failing.running();
         failing.fail(task);
-        w.sim.run(26_500);
-        assertTrue(w.running(task.substring(0, task.indexOf('/')), 1), task + " runs again before the lease is over");
+        cluster.sim.run(26_500);
+        assertTrue(
+                cluster.running(task.substring(0, task.indexOf('/')), 1),
+                task + " runs again before the lease is over");
         silent.hang(false);
-        w.sim.run(60_000);
-        kept(w);
+        cluster.sim.run(60_000);
+        kept(cluster);
     }
 
     @Test
-    void machinesAreTakenInAWaveWhileTheLeaderCrashes() {
-        SimulatedCluster w = new SimulatedCluster(61, 10);
-        load(w);
-        w.at(16_000, () -> {
-            List.copyOf(w.cloud.boxes.values()).stream().filter(b -> b.spot).forEach(b -> w.cloud.delete(b.id));
-            w.leader().crash(3_000);
+    void allJobsEndWhenSpotMachinesAreLostAsLeaderCrashes() {
+        SimulatedCluster cluster = new SimulatedCluster(61, 10);
+        submitMixedLoad(cluster);
+        cluster.at(16_000, () -> {
+            List.copyOf(cluster.cloud.boxes.values()).stream()
+                    .filter(machine -> machine.spot)
+                    .forEach(machine -> cluster.cloud.delete(machine.id));
+            cluster.leader().crash(3_000);
         });
-        w.sim.run(150_000);
-        allOver(w);
+        cluster.sim.run(150_000);
+        assertAllJobsEndedAndServicesRun(cluster);
     }
 
     @Test
     @DisplayName("a rent whose answer was lost when its leader crashed brings its machines once")
-    void crashBetweenRentAndRecord() {
-        SimulatedCluster w = new SimulatedCluster(71, 0);
-        w.at(3_000, () -> w.sim.lostAnswers.put("cloud", 1.0));
-        w.at(3_000, () -> w.users.submit(SampleJobs.job(1, "blue", false, 2, 4, 3)));
-        w.at(5_000, () -> {
-            w.leader().crash(2_000);
-            w.sim.lostAnswers.clear();
+    void machinesAreRentedOnceWhenLeaderCrashesBeforeItLearnsOfRent() {
+        SimulatedCluster cluster = new SimulatedCluster(71, 0);
+        cluster.at(3_000, () -> cluster.sim.lostAnswers.put("cloud", 1.0));
+        cluster.at(3_000, () -> cluster.users.submit(SampleJobs.job(1, "blue", false, 2, 4, 3)));
+        cluster.at(5_000, () -> {
+            cluster.leader().crash(2_000);
+            cluster.sim.lostAnswers.clear();
         });
-        w.sim.run(60_000);
-        assertEquals("done", w.checker.told.get("job-000001"));
-        assertEquals(2, w.cloud.boxes.size(), "one machine for each task, although the rent was sent twice");
-        kept(w);
+        cluster.sim.run(60_000);
+        assertEquals("done", cluster.checker.told.get("job-000001"));
+        assertEquals(2, cluster.cloud.boxes.size(), "one machine for each task, although the rent was sent twice");
+        kept(cluster);
     }
 
     @Test
     @DisplayName("a start that arrives minutes late, after its job was cancelled and cleared away, starts nothing")
-    void lateStartOfACancelledJob() {
-        SimulatedCluster w = new SimulatedCluster(73, 0);
-        w.users.submit(SampleJobs.job(1, "blue", true, 1, 1, 0));
-        w.sim.run(20_000);
-        w.workers.forEach(x -> w.sim.cut(w.leader().host.name, x.box().id));
-        w.users.submit(SampleJobs.job(2, "blue", true, 1, 1, 0));
-        w.sim.run(32_000);
-        assertTrue(w.running("job-000002", 1), "it was started by the answer to a carried report");
-        w.sim.dropping = true;
-        w.users.cancel("job-000002");
-        w.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
-        w.sim.heal();
-        w.sim.run(60_000 + 2 * ClusterSetup.CANCEL_MS);
-        kept(w);
+    void lateStartOfCancelledJobStartsNothing() {
+        SimulatedCluster cluster = new SimulatedCluster(73, 0);
+        cluster.users.submit(SampleJobs.job(1, "blue", true, 1, 1, 0));
+        cluster.sim.run(20_000);
+        cluster.workers.forEach(worker -> cluster.sim.cut(cluster.leader().host.name, worker.box().id));
+        cluster.users.submit(SampleJobs.job(2, "blue", true, 1, 1, 0));
+        cluster.sim.run(32_000);
+        assertTrue(cluster.running("job-000002", 1), "it was started by the answer to a carried report");
+        cluster.sim.dropping = true;
+        cluster.users.cancel("job-000002");
+        cluster.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
+        cluster.sim.heal();
+        cluster.sim.run(60_000 + 2 * ClusterSetup.CANCEL_MS);
+        kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {83, 84, 85})
     @DisplayName("a new leader starts a service where its image is, although nothing with that image runs there")
-    void imagesAreKnownAfterATakeover(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 0);
+    void newLeaderStartsServicesWhereTheirImageIsStored(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0);
         for (int i = 1; i <= 6; i++) {
-            int n = i;
-            w.at(100 + i * 10, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
+            int jobNumber = i;
+            cluster.at(100 + i * 10, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", true, 1, 4, 0)));
         }
-        w.at(15_000, () -> w.users.submit(SampleJobs.job(9, "blue", true, 1, 4, 0)));
-        w.at(24_000, () -> w.users.cancel("job-000001"));
-        w.at(24_000, () -> w.users.cancel("job-000002"));
-        w.at(25_000, () -> w.leader().crash(30_000));
-        w.sim.run(31_000);
-        int images = w.workers.stream().mapToInt(EmulatedWorker::images).sum();
-        w.users.submit(SampleJobs.job(10, "blue", true, 1, 4, 0));
-        w.users.submit(SampleJobs.job(11, "blue", true, 1, 4, 0));
-        w.sim.run(40_000);
-        assertTrue(w.running("job-000010", 1) && w.running("job-000011", 1));
-        assertEquals(images, w.workers.stream().mapToInt(EmulatedWorker::images).sum(), "no image was fetched again");
-        kept(w);
+        cluster.at(15_000, () -> cluster.users.submit(SampleJobs.job(9, "blue", true, 1, 4, 0)));
+        cluster.at(24_000, () -> cluster.users.cancel("job-000001"));
+        cluster.at(24_000, () -> cluster.users.cancel("job-000002"));
+        cluster.at(25_000, () -> cluster.leader().crash(30_000));
+        cluster.sim.run(31_000);
+        int images = cluster.workers.stream().mapToInt(EmulatedWorker::images).sum();
+        cluster.users.submit(SampleJobs.job(10, "blue", true, 1, 4, 0));
+        cluster.users.submit(SampleJobs.job(11, "blue", true, 1, 4, 0));
+        cluster.sim.run(40_000);
+        assertTrue(cluster.running("job-000010", 1) && cluster.running("job-000011", 1));
+        assertEquals(
+                images,
+                cluster.workers.stream().mapToInt(EmulatedWorker::images).sum(),
+                "no image was fetched again");
+        kept(cluster);
     }
 
     @Test
-    void idleMachinesGoBack() {
-        SimulatedCluster w = new SimulatedCluster(81, 0);
-        w.users.submit(SampleJobs.job(1, "blue", false, 4, 4, 2));
-        w.sim.run(150_000);
-        assertEquals("done", w.checker.told.get("job-000001"));
-        assertTrue(w.cloud.boxes.values().stream().allMatch(b -> b.deleted));
-        kept(w);
+    void idleMachinesAreReturnedToTheCloud() {
+        SimulatedCluster cluster = new SimulatedCluster(81, 0);
+        cluster.users.submit(SampleJobs.job(1, "blue", false, 4, 4, 2));
+        cluster.sim.run(150_000);
+        assertEquals("done", cluster.checker.told.get("job-000001"));
+        assertTrue(cluster.cloud.boxes.values().stream().allMatch(machine -> machine.deleted));
+        kept(cluster);
     }
 
     @Test
     @DisplayName("a job of many tasks fits the stored values and the write rate")
-    void manyTasks() {
-        SimulatedCluster w = new SimulatedCluster(91, 0);
-        w.users.submit(SampleJobs.job(1, "blue", false, 600, 0.1, 1));
-        w.sim.run(120_000);
-        assertEquals("done", w.checker.told.get("job-000001"));
-        kept(w);
+    void jobOf600TasksEndsWithinStorageAndWriteLimits() {
+        SimulatedCluster cluster = new SimulatedCluster(91, 0);
+        cluster.users.submit(SampleJobs.job(1, "blue", false, 600, 0.1, 1));
+        cluster.sim.run(120_000);
+        assertEquals("done", cluster.checker.told.get("job-000001"));
+        kept(cluster);
     }
 }
