--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -20,10 +20,10 @@
  */
 class SilentMachineTest {
     private static final long LEASE_MS = 20_000;
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
 
-    private void world(long seed) {
-        w = new SimulatedCluster(new ClusterSetup(
+    private void createCluster(long seed) {
+        cluster = new SimulatedCluster(new ClusterSetup(
                 seed,
                 3,
                 40,
@@ -35,65 +35,67 @@
     }
 
     /** Starts services that take a whole machine each; the counts used give every zone some of them. */
-    private void services(int count) {
-        ClusterAssertions.services(w, count);
+    private void startServices(int count) {
+        ClusterAssertions.services(cluster, count);
     }
 
-    private List<EmulatedWorker> busy() {
-        return w.workers.stream().filter(x -> x.running() != null).toList();
+    private List<EmulatedWorker> busyWorkers() {
+        return cluster.workers.stream()
+                .filter(worker -> worker.running() != null)
+                .toList();
     }
 
-    private void cut(EmulatedWorker x) {
-        w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id));
+    private void cutOff(EmulatedWorker worker) {
+        cluster.nodes.forEach(node -> cluster.sim.cut(node.host.name, worker.box().id));
     }
 
-    private static String job(String task) {
+    private static String jobOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 
-    private void kept() {
-        ClusterAssertions.kept(w);
+    private void assertInvariantsKept() {
+        ClusterAssertions.kept(cluster);
     }
 
     @BeforeEach
-    void world() {
-        world(301);
+    void createCluster() {
+        createCluster(301);
     }
 
     @Test
     @DisplayName("what a dead machine held runs again long before its lease is over")
-    void aDeadMachine() {
-        services(12);
-        EmulatedWorker dead = busy().get(0);
-        String job = job(dead.running());
-        w.cloud.delete(dead.box().id);
-        w.sim.run(30_000 + LEASE_MS / 2);
-        assertTrue(w.running(job, 1), "it runs again after half a lease");
-        assertEquals(1, w.metric(w.leader(), "landingridge_settled"));
-        w.sim.run(90_000);
-        kept();
+    void serviceOfDeadMachineRunsAgainBeforeItsLeaseExpires() {
+        startServices(12);
+        EmulatedWorker dead = busyWorkers().get(0);
+        String job = jobOf(dead.running());
+        cluster.cloud.delete(dead.box().id);
+        cluster.sim.run(30_000 + LEASE_MS / 2);
+        assertTrue(cluster.running(job, 1), "it runs again after half a lease");
+        assertEquals(1, cluster.metric(cluster.leader(), "landingridge_settled"));
+        cluster.sim.run(90_000);
+        assertInvariantsKept();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("a machine that is cut off and settled by its return never runs what was placed elsewhere since")
-    void cutOffAndSettled(long seed) {
-        world(seed);
-        services(12);
-        EmulatedWorker lost = busy().get(0);
-        cut(lost);
-        w.cloud.trouble = true;
-        w.at(30_000 + 10_500, () -> w.cloud.trouble = false);
-        w.sim.run(30_000 + 10_400);
+    void noTaskRunsTwiceWhenCutOffMachineIsReturnedToCloud(long seed) {
+        createCluster(seed);
+        startServices(12);
+        EmulatedWorker cutOffWorker = busyWorkers().get(0);
+        cutOff(cutOffWorker);
+        cluster.cloud.trouble = true;
+        cluster.at(30_000 + 10_500, () -> cluster.cloud.trouble = false);
+        cluster.sim.run(30_000 + 10_400);
         assertTrue(
-                w.checker.places.containsValue(lost.box().id + "@" + lost.box().zone),
+                cluster.checker.places.containsValue(cutOffWorker.box().id + "@" + cutOffWorker.box().zone),
                 "nothing settles it but the cloud");
-        w.sim.run(30_000 + 18_000);
-        assertTrue(lost.box().deleted, "the cloud answers again");
-        assertEquals(12, w.checker.places.size());
-        w.sim.heal();
-        w.sim.run(90_000);
-        kept();
+        cluster.sim.run(30_000 + 18_000);
+        assertTrue(cutOffWorker.box().deleted, "the cloud answers again");
+        assertEquals(12, cluster.checker.places.size());
+        cluster.sim.heal();
+        cluster.sim.run(90_000);
+        assertInvariantsKept();
     }
 
     /**
@@ -102,51 +104,52 @@
      */
     @Test
     @DisplayName("a machine that hangs within an outage of the state service is not given back after both are over")
-    void hangsWithinAnOutage() {
-        services(12);
-        EmulatedWorker hung = busy().get(0);
+    void hangingMachineIsKeptWhenStateOutageEndsAfterItResumes() {
+        startServices(12);
+        EmulatedWorker hung = busyWorkers().get(0);
         String task = hung.running();
-        w.state.outage(true);
+        cluster.state.outage(true);
         hung.hang(true);
-        w.sim.run(30_000 + 12_000);
+        cluster.sim.run(30_000 + 12_000);
         hung.hang(false);
-        w.at(30_000 + 14_000, () -> w.state.outage(false));
-        w.sim.run(30_000 + 25_000);
+        cluster.at(30_000 + 14_000, () -> cluster.state.outage(false));
+        cluster.sim.run(30_000 + 25_000);
         assertEquals(task, hung.running(), "it goes on");
-        assertEquals(0, w.metric(w.leader(), "landingridge_settled"));
-        kept();
+        assertEquals(0, cluster.metric(cluster.leader(), "landingridge_settled"));
+        assertInvariantsKept();
     }
 
     @Test
     @DisplayName("where a zone falls silent its machines are left to their leases: most of them go on working")
-    void aZoneCutOff() {
-        services(16);
-        List<EmulatedWorker> zone =
-                w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
-        zone.forEach(this::cut);
-        w.sim.run(30_000 + LEASE_MS - 3_000);
-        assertTrue(zone.stream().noneMatch(x -> x.box().deleted), "none is given back");
-        w.sim.heal();
-        w.sim.run(90_000);
-        assertEquals(16, w.checker.places.size());
-        kept();
+    void machinesOfCutOffZoneAreKept() {
+        startServices(16);
+        List<EmulatedWorker> zone = cluster.workers.stream()
+                .filter(worker -> worker.box().zone.equals("a"))
+                .toList();
+        zone.forEach(this::cutOff);
+        cluster.sim.run(30_000 + LEASE_MS - 3_000);
+        assertTrue(zone.stream().noneMatch(worker -> worker.box().deleted), "none is given back");
+        cluster.sim.heal();
+        cluster.sim.run(90_000);
+        assertEquals(16, cluster.checker.places.size());
+        assertInvariantsKept();
     }
 
     @Test
     @DisplayName("a leader's death does not begin the leases of silent machines anew")
-    void leasesGoOnThroughATakeover() {
-        services(16);
-        List<EmulatedWorker> zone = w.workers.stream()
-                .filter(x -> x.box().zone.equals("a") && x.running() != null)
+    void leasesOfSilentMachinesAreNotRenewedWhenLeaderCrashes() {
+        startServices(16);
+        List<EmulatedWorker> zone = cluster.workers.stream()
+                .filter(worker -> worker.box().zone.equals("a") && worker.running() != null)
                 .toList();
-        List<String> jobs = zone.stream().map(x -> job(x.running())).toList();
-        zone.forEach(this::cut);
-        w.at(30_000 + 12_000, () -> w.leader().crash(4_000));
-        w.sim.run(30_000 + LEASE_MS + 8_000);
-        long again = jobs.stream().filter(j -> w.running(j, 1)).count();
-        assertEquals(jobs.size(), again, "services that run again a lease after the cut");
-        w.sim.run(90_000);
-        kept();
+        List<String> jobs = zone.stream().map(worker -> jobOf(worker.running())).toList();
+        zone.forEach(this::cutOff);
+        cluster.at(30_000 + 12_000, () -> cluster.leader().crash(4_000));
+        cluster.sim.run(30_000 + LEASE_MS + 8_000);
+        long runningAgain = jobs.stream().filter(job -> cluster.running(job, 1)).count();
+        assertEquals(jobs.size(), runningAgain, "services that run again a lease after the cut");
+        cluster.sim.run(90_000);
+        assertInvariantsKept();
     }
 
     /**
@@ -156,57 +159,61 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("a silent machine that is heard again in an outage gets no lease that the next leader cannot know of")
-    void heardAgainInAnOutage(long seed) {
-        world(seed);
-        services(16);
-        List<EmulatedWorker> zone =
-                w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
-        zone.forEach(this::cut);
-        w.at(30_000 + 10_000, () -> w.state.outage(true));
-        w.at(30_000 + 11_000, w.sim::heal);
-        w.at(30_000 + 17_000, () -> zone.forEach(this::cut));
-        w.at(30_000 + 17_000, () -> w.nodes.forEach(n -> n.crash(1_000)));
-        w.at(30_000 + 18_500, () -> w.state.outage(false));
-        w.sim.run(100_000);
-        kept();
-        w.sim.heal();
-        w.sim.run(160_000);
-        assertEquals(16, w.checker.places.size());
-        kept();
+    void silentMachineGetsNoUnknownLeaseWhenItReportsDuringStateOutage(long seed) {
+        createCluster(seed);
+        startServices(16);
+        List<EmulatedWorker> zone = cluster.workers.stream()
+                .filter(worker -> worker.box().zone.equals("a"))
+                .toList();
+        zone.forEach(this::cutOff);
+        cluster.at(30_000 + 10_000, () -> cluster.state.outage(true));
+        cluster.at(30_000 + 11_000, cluster.sim::heal);
+        cluster.at(30_000 + 17_000, () -> zone.forEach(this::cutOff));
+        cluster.at(30_000 + 17_000, () -> cluster.nodes.forEach(node -> node.crash(1_000)));
+        cluster.at(30_000 + 18_500, () -> cluster.state.outage(false));
+        cluster.sim.run(100_000);
+        assertInvariantsKept();
+        cluster.sim.heal();
+        cluster.sim.run(160_000);
+        assertEquals(16, cluster.checker.places.size());
+        assertInvariantsKept();
     }
 
     /** A new leader may use the stored silence of machines only if its direct predecessor stored it. See {@code MachineRegistry}. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("a silence that an earlier leader wrote down is forgotten by the leader after the next")
-    void twoLeadersLater(long seed) {
-        world(seed);
-        services(16);
-        List<EmulatedWorker> zone =
-                w.workers.stream().filter(x -> x.box().zone.equals("a")).toList();
-        zone.forEach(this::cut);
-        w.at(30_000 + 8_500, () -> w.leader().crash(30_000));
-        w.at(30_000 + 9_000, w.sim::heal);
-        w.at(30_000 + 15_500, () -> {
-            zone.forEach(this::cut);
-            w.leader().crash(1_000);
+    void storedSilenceIsIgnoredByLeaderAfterNext(long seed) {
+        createCluster(seed);
+        startServices(16);
+        List<EmulatedWorker> zone = cluster.workers.stream()
+                .filter(worker -> worker.box().zone.equals("a"))
+                .toList();
+        zone.forEach(this::cutOff);
+        cluster.at(30_000 + 8_500, () -> cluster.leader().crash(30_000));
+        cluster.at(30_000 + 9_000, cluster.sim::heal);
+        cluster.at(30_000 + 15_500, () -> {
+            zone.forEach(this::cutOff);
+            cluster.leader().crash(1_000);
         });
-        w.sim.run(100_000);
-        kept();
+        cluster.sim.run(100_000);
+        assertInvariantsKept();
     }
 
     @Test
     @DisplayName("a worker that has seen a later leader's token is not held by an answer that it drops")
-    void aLaterToken() {
-        services(6);
-        ControllerNode leader = w.leader();
-        w.sim.cut(leader.host.name, "state");
-        w.nodes.stream().filter(n -> n != leader).forEach(n -> w.sim.cut(leader.host.name, n.host.name));
-        w.sim.run(70_000);
-        assertNotEquals(leader, w.leader());
-        assertEquals(6, w.checker.places.size(), "no lease ran out");
-        w.sim.heal();
-        w.sim.run(90_000);
-        kept();
+    void noLeaseExpiresWhenWorkersDropAnswersOfFormerLeader() {
+        startServices(6);
+        ControllerNode leader = cluster.leader();
+        cluster.sim.cut(leader.host.name, "state");
+        cluster.nodes.stream()
+                .filter(node -> node != leader)
+                .forEach(node -> cluster.sim.cut(leader.host.name, node.host.name));
+        cluster.sim.run(70_000);
+        assertNotEquals(leader, cluster.leader());
+        assertEquals(6, cluster.checker.places.size(), "no lease ran out");
+        cluster.sim.heal();
+        cluster.sim.run(90_000);
+        assertInvariantsKept();
     }
 }
