--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -69,18 +69,20 @@
 
     private static void runAndAssertCancelledWithinLimit(SimulatedCluster cluster) {
         cluster.sim.run(46_000 + ClusterSetup.CANCEL_MS);
-        assertEquals(CANCELLED_JOB_COUNT, cluster.over("cancelled"), "users were told so");
-        assertEquals(0, countTasksOfCancelledJobs(cluster), "tasks of cancelled jobs");
+        assertEquals(
+                CANCELLED_JOB_COUNT, cluster.over("cancelled"), "every cancelled job should be reported as cancelled");
+        assertEquals(0, countTasksOfCancelledJobs(cluster), "no task of a cancelled job should still run");
         cluster.sim.run(150_000);
         kept(cluster);
         assertTrue(
                 cluster.running(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2),
-                "the others run, or run again");
+                "tasks of jobs that were not cancelled should run");
     }
 
     @ParameterizedTest
     @CsvSource({"1, 3, 900, 60000", "2, 3, 1100, 46950", "3, 7, 900, 120000", "4, 3, 500, 49000", "5, 5, 1200, 48000"})
-    @DisplayName("refused alone, cancellations through another, then an outage for longer than a cancellation has")
+    @DisplayName(
+            "the leader alone is refused, jobs are cancelled through another controller, then an outage exceeds the cancel limit")
     void cancelledJobsStopAndLeaderStaysWhenItsRefusalIsFollowedByLongOutage(
             long seed, int controllers, long delayMs, long refusalEndMs) {
         SimulatedCluster cluster = clusterWithRunningJobs(500 + seed, controllers);
@@ -89,13 +91,16 @@
         refuseLeaderThenStartOutage(cluster, delayMs);
         cluster.at(refusalEndMs, () -> cluster.state.refuse(leader, false));
         runAndAssertCancelledWithinLimit(cluster);
-        assertEquals(starts, cluster.checker.starts, "with everybody's word the lead goes on, and nothing is lost");
+        assertEquals(
+                starts,
+                cluster.checker.starts,
+                "no task should start again: with confirmations of all controllers the leader keeps leading");
     }
 
     @ParameterizedTest
     @CsvSource({"1, 100", "2, 600", "3, 50", "4, 1500"})
     @DisplayName(
-            "who confirmed it dies right after and is back: its next life cannot vouch, so the lead ends by itself in time")
+            "the controller that confirmed a cancellation restarts and can't vouch for it, so the leader steps down in time")
     void cancelledJobsStopWhenConfirmingControllerRestarts(long seed, long restartDelayMs) {
         SimulatedCluster cluster = clusterWithRunningJobs(510 + seed, 3);
         ControllerNode other = refuseLeaderThenStartOutage(cluster, 900);
@@ -109,7 +114,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("told by a poll of a third controller, while the word of the canceller is late or comes twice")
+    @DisplayName("users poll a third controller while messages of the one that cancelled are delayed or duplicated")
     void cancelledJobsStopWhenPolledThroughThirdControllerWhileMessagesAreDelayed(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(530 + seed, 3);
         ControllerNode other = refuseLeaderThenStartOutage(cluster, 900);
@@ -127,7 +132,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 300", "2, 5000", "3, 30000"})
-    @DisplayName("the leader ends within the gap, and another, or nobody, follows it")
+    @DisplayName("the refused leader crashes during the outage, and another controller or none succeeds it")
     void cancelledJobsStopWhenRefusedLeaderCrashesDuringOutage(long seed, long restartDelayMs) {
         SimulatedCluster cluster = clusterWithRunningJobs(540 + seed, 3);
         refuseLeaderThenStartOutage(cluster, 900);
@@ -139,7 +144,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
-            "two of five are refused, a third confirms, and the answers of the state service get lost at the worst moment")
+            "two of five controllers are refused, a third confirms cancellations, and messages are duplicated during the outage")
     void cancelledJobsStopWhenTwoOfFiveControllersAreRefused(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(550 + seed, 5);
         ControllerNode other = refuseLeaderThenStartOutage(cluster, 900);
@@ -153,7 +158,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("a start that was sent straight is held up while its job is cancelled and the state service is down")
+    @DisplayName(
+            "a start sent directly to its machine is delayed while its job is cancelled and the state service is down")
     void cancelledJobStaysStoppedWhenItsStartIsDelayedDuringOutage(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(560 + seed, 3);
         ControllerNode leader = cluster.leader();
@@ -172,8 +178,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 100", "2, 3000", "3, 20000"})
-    @DisplayName(
-            "a leader ends while machines are deaf: they report, hear nothing, and what they held runs elsewhere a lease later")
+    @DisplayName("a leader crashes while machines send but receive nothing: their tasks run elsewhere one lease later")
     void tasksOfMachinesThatReceiveNothingRunElsewhereAfterOneLease(long seed, long restartDelayMs) {
         SimulatedCluster cluster = clusterWithRunningJobs(570 + seed, 3);
         List<EmulatedWorker> unreachable = cluster.workers.stream()
@@ -189,7 +194,7 @@
         assertEquals(
                 4 + 2 * ARRAY_JOB_COUNT,
                 cluster.checker.places.size(),
-                "everything runs again although the deaf machines still report");
+                "all tasks should run again although the machines that receive nothing still report");
         cluster.sim.run(150_000);
         kept(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
@@ -198,7 +203,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
-            "a leader whose hold ended takes the lead again: what it answered itself meanwhile counts as an answer")
+            "a leader whose leadership expired is elected again: heartbeats that it answered meanwhile count as answered")
     void noTaskIsLostWhenFormerLeaderIsElectedAgain(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(520 + seed, 3);
         ControllerNode leader = cluster.leader();
@@ -208,18 +213,20 @@
         cluster.at(52_000, () -> cluster.state.refuse(leader.host.name, false));
         cluster.at(90_000, () -> cluster.nodes.forEach(node -> cluster.state.refuse(node.host.name, false)));
         cluster.sim.run(80_000);
-        assertEquals(leader, cluster.leader(), "nobody else could claim");
+        assertEquals(leader, cluster.leader(), "no other controller could claim leadership");
         assertEquals(
-                0, cluster.metric(leader, "landingridge_lapses"), "machines that its own former reign has answered");
+                0,
+                cluster.metric(leader, "landingridge_lapses"),
+                "machines answered in its former term should not lose their leases");
         cluster.sim.run(150_000);
         kept(cluster);
-        assertEquals(starts, cluster.checker.starts, "nothing was lost");
+        assertEquals(starts, cluster.checker.starts, "no task should start again");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
-            "machines whose reports are lost begin a session, and get starts by calls: its lease counts, not the last one's")
+            "machines whose heartbeats are lost open a session and get starts by calls: the lease of the new session counts")
     void leaseOfNewSessionCountsWhenItsHeartbeatsAreLost(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(580 + seed, 3);
         cluster.at(
@@ -237,7 +244,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
-            "a leader stands still while another controller is refused: it carries reports to the new one, which it only hears")
+            "a leader is paused while another controller is refused, which must forward heartbeats to the new leader")
     void noTaskIsLostWhenRefusedControllerForwardsHeartbeatsDuringTakeover(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(590 + seed, 3);
         int starts = cluster.checker.starts;
@@ -248,7 +255,10 @@
         cluster.at(80_000, () -> cluster.state.refuse(refused.host.name, false));
         cluster.sim.run(120_000);
         kept(cluster);
-        assertEquals(starts, cluster.checker.starts, "nobody was sent around for a lease");
+        assertEquals(
+                starts,
+                cluster.checker.starts,
+                "no task should start again: the refused controller forwards to the new leader");
     }
 
     /**
@@ -289,8 +299,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0, 200", "2, 20, 200", "3, 120, 3000", "4, 600, 60", "5, 2500, 12000", "6, 60, 12000"})
-    @DisplayName(
-            "one task of each pair ends, the leader goes just then, the other ends under its successor: done when both are")
+    @DisplayName("tasks of one job end under different leaders: the job is done when all have ended")
     void jobIsDoneWhenItsTasksEndUnderDifferentLeaders(long seed, long delayMs, long restartDelayMs) {
         SimulatedCluster cluster = clusterWithRunningJobs(620 + seed, 3);
         for (int i = 0; i < 8; i++) {
@@ -317,13 +326,14 @@
         }
         if (restartDelayMs < ClusterSetup.LEASE_MS / 2) {
             // Where a lease expires meanwhile, its machine has discarded results that no controller had stored.
-            assertEquals(0, cluster.checker.repeats, "what was done was not run again");
+            assertEquals(0, cluster.checker.repeats, "no finished task should run again");
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("the lead goes to another and back, all end, one returns at once; words of former lives come late")
+    @DisplayName(
+            "leadership moves repeatedly, then all controllers crash and one restarts first, while old messages arrive late")
     void allTasksRunWhenLeadershipMovesRepeatedlyBeforeAllControllersRestart(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(630 + seed, 3);
         for (int i = 0; i < 3; i++) {
@@ -349,7 +359,7 @@
     @ParameterizedTest
     @CsvSource({"1, 0.3", "2, 0.6", "3, 0.9", "4, 0.5", "5, 0.8"})
     @DisplayName(
-            "transactions without an answer come true late, after newer ones: users cancel, tasks end, the leader changes")
+            "unanswered transactions are applied late, after newer ones, while users cancel, tasks end and leaders change")
     void jobsEndWhenUnansweredTransactionsAreAppliedLate(long seed, double share) {
         SimulatedCluster cluster = clusterWithRunningJobs(640 + seed, 3);
         cluster.at(46_000, () -> cluster.state.lateWrites(share, cluster.sim.random));
@@ -379,7 +389,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     @DisplayName(
-            "reports come again up to two leases late, through restarts of leaders and machines: they end, revive, place nothing")
+            "heartbeats are repeated up to two and a half leases late, through restarts: they end, revive and place no task")
     void jobsEndWhenHeartbeatsAreRepeatedLate(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(650 + seed, 3);
         cluster.heartbeatFaults.lateShare = 0.5;
@@ -402,8 +412,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 12000", "2, 25000", "3, 60000"})
-    @DisplayName(
-            "a leader reaches workers and users, not the state service nor the others; jobs are cancelled through the new one")
+    @DisplayName("a leader reaches only workers and users, and jobs are cancelled through the new leader")
     void cancelledJobsStopWhenLeaderReachesOnlyWorkersAndUsers(long seed, long forMs) {
         SimulatedCluster cluster = clusterWithRunningJobs(660 + seed, 3);
         ControllerNode leader = cluster.leader();
@@ -427,7 +436,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    @DisplayName("after any trouble every job finds its answer within seconds, at every controller, also one just back")
+    @DisplayName("after an outage and restarts every controller answers for every job within seconds")
     void everyControllerAnswersForEveryJobAfterOutageAndRestarts(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(670 + seed, 3);
         HistorySeeds.jobKeys(cluster, 2_000, 600, 1);
@@ -485,7 +494,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
-            "a leader renews its hold and can read nothing: it hands over before it is blind for too long, and nothing is lost")
+            "a leader that renews its leadership but can't read hands over before the cancel limit, and no task is lost")
     void leaderHandsOverWhenItsWatchesGetNoAnswer(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(690 + seed, 3);
         ControllerNode leader = cluster.leader();
@@ -499,7 +508,7 @@
         cluster.sim.run(46_000 + ClusterSetup.CANCEL_MS);
         assertEquals(CANCELLED_JOB_COUNT, cluster.over("cancelled"));
         assertEquals(0, countTasksOfCancelledJobs(cluster));
-        assertTrue(cluster.leader() != leader, "another leads");
+        assertTrue(cluster.leader() != leader, "another controller should lead");
         cluster.at(90_000, cluster.state::answerWatches);
         cluster.sim.run(120_000);
         kept(cluster);
@@ -508,7 +517,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("a claim is carried out and its answer is lost: who made it acts as soon as the others follow it")
+    @DisplayName(
+            "a claim is applied and its answer is lost: the claimant acts as leader as soon as the others follow it")
     void newLeaderActsWithin300MsWhenAnswerToItsClaimIsLost(long seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(700 + seed, 3);
         ControllerNode formerLeader = cluster.leader();
@@ -527,10 +537,10 @@
         }
         assertTrue(
                 cluster.sim.now - claimedAtMs <= 300,
-                "it takes " + (cluster.sim.now - claimedAtMs) + " ms to learn that it leads");
+                "the new leader should act as leader within 300 ms, took " + (cluster.sim.now - claimedAtMs) + " ms");
         cluster.at(cluster.sim.now + 4_000, () -> cluster.state.lostAnswers(0, null));
         cluster.sim.run(120_000);
         kept(cluster);
-        assertEquals(starts, cluster.checker.starts, "nothing is lost");
+        assertEquals(starts, cluster.checker.starts, "no task should start again");
     }
 }
