--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -44,10 +44,12 @@
         kept(cluster);
         for (int i = 10; i < 26; i++) {
             String status = cluster.checker.told.get(String.format("job-%06d", i));
-            assertTrue("done".equals(status) || "cancelled".equals(status), "job " + i + " is " + status);
+            assertTrue(
+                    "done".equals(status) || "cancelled".equals(status),
+                    "job " + i + " should be done or cancelled, status is " + status);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(cluster.running(String.format("job-%06d", i), 1), "service " + i + " runs");
+            assertTrue(cluster.running(String.format("job-%06d", i), 1), "service " + i + " should run");
         }
     }
 
@@ -84,11 +86,14 @@
         cluster.users.submit(SampleJobs.job(50, "red", false, 10, 2, 4));
         cluster.at(16_000, () -> cluster.nodes.forEach(node -> node.crash(4_000)));
         cluster.at(
-                15_900, () -> assertTrue(cluster.checker.completed.size() >= 4, cluster.checker.completed + " by now"));
+                15_900,
+                () -> assertTrue(
+                        cluster.checker.completed.size() >= 4,
+                        cluster.checker.completed + " should hold at least 4 finished tasks"));
         cluster.sim.run(120_000);
         kept(cluster);
         assertEquals("done", cluster.checker.told.get("job-000050"));
-        assertEquals(0, cluster.checker.repeats, "finished tasks that were started again");
+        assertEquals(0, cluster.checker.repeats, "no finished task should start again");
     }
 
     @ParameterizedTest
@@ -117,12 +122,12 @@
         cluster.sim.run(20_000 + 3 * ClusterSetup.LEASE_MS);
         cluster.state.outage(false);
         cluster.sim.run(60_000 + 3 * ClusterSetup.LEASE_MS);
-        assertEquals(starts, cluster.checker.starts, "nothing was lost, so nothing was started again");
+        assertEquals(starts, cluster.checker.starts, "no task should start again, as none was lost");
         kept(cluster);
     }
 
     @Test
-    @DisplayName("a leader refused by the state service alone hands over, and no task is lost")
+    @DisplayName("a leader that alone is refused by the state service hands over, and no task is lost")
     void leaderHandsOverWhenStateServiceRefusesItAlone() {
         SimulatedCluster cluster = new SimulatedCluster(22, 0);
         for (int i = 0; i < 4; i++) {
@@ -211,7 +216,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {55, 56, 57})
-    @DisplayName("what runs on a machine that hangs through a takeover is not started elsewhere")
+    @DisplayName("tasks on machines that hang during a takeover are not started elsewhere")
     void tasksAreNotStartedElsewhereWhenTheirMachinesHangDuringTakeover(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
@@ -232,7 +237,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {58, 59, 60})
-    @DisplayName("what this leader has seen on a fenced machine is placed again while the census waits for another")
+    @DisplayName(
+            "a task that failed on a fenced machine is placed again while the census still waits for another machine")
     void failedTaskIsRestartedWhileCensusWaitsForAnotherMachine(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 24);
         for (int i = 0; i < 8; i++) {
@@ -252,7 +258,7 @@
         cluster.sim.run(26_500);
         assertTrue(
                 cluster.running(task.substring(0, task.indexOf('/')), 1),
-                task + " runs again before the lease is over");
+                task + " should run again before the lease expires");
         silent.hang(false);
         cluster.sim.run(60_000);
         kept(cluster);
@@ -273,7 +279,7 @@
     }
 
     @Test
-    @DisplayName("a rent whose answer was lost when its leader crashed brings its machines once")
+    @DisplayName("a rent request whose answer is lost as the leader crashes creates its machines only once")
     void machinesAreRentedOnceWhenLeaderCrashesBeforeItLearnsOfRent() {
         SimulatedCluster cluster = new SimulatedCluster(71, 0);
         cluster.at(3_000, () -> cluster.sim.lostAnswers.put("cloud", 1.0));
@@ -284,12 +290,15 @@
         });
         cluster.sim.run(60_000);
         assertEquals("done", cluster.checker.told.get("job-000001"));
-        assertEquals(2, cluster.cloud.boxes.size(), "one machine for each task, although the rent was sent twice");
+        assertEquals(
+                2,
+                cluster.cloud.boxes.size(),
+                "there should be one machine per task although the rent request was sent twice");
         kept(cluster);
     }
 
     @Test
-    @DisplayName("a start that arrives minutes late, after its job was cancelled and cleared away, starts nothing")
+    @DisplayName("a start that arrives minutes late, after its job was cancelled and removed, starts nothing")
     void lateStartOfCancelledJobStartsNothing() {
         SimulatedCluster cluster = new SimulatedCluster(73, 0);
         cluster.users.submit(SampleJobs.job(1, "blue", true, 1, 1, 0));
@@ -297,7 +306,7 @@
         cluster.workers.forEach(worker -> cluster.sim.cut(cluster.leader().host.name, worker.box().id));
         cluster.users.submit(SampleJobs.job(2, "blue", true, 1, 1, 0));
         cluster.sim.run(32_000);
-        assertTrue(cluster.running("job-000002", 1), "it was started by the answer to a carried report");
+        assertTrue(cluster.running("job-000002", 1), "job 2 should be started by the answer to a forwarded heartbeat");
         cluster.sim.dropping = true;
         cluster.users.cancel("job-000002");
         cluster.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
@@ -308,7 +317,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {83, 84, 85})
-    @DisplayName("a new leader starts a service where its image is, although nothing with that image runs there")
+    @DisplayName(
+            "a new leader starts a service on a machine that stores its image although no task with that image runs there")
     void newLeaderStartsServicesWhereTheirImageIsStored(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0);
         for (int i = 1; i <= 6; i++) {
@@ -328,7 +338,7 @@
         assertEquals(
                 images,
                 cluster.workers.stream().mapToInt(EmulatedWorker::images).sum(),
-                "no image was fetched again");
+                "no image should be fetched again");
         kept(cluster);
     }
 
