--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -63,14 +63,14 @@
     }
 
     @Test
-    @DisplayName("what a dead machine held runs again long before its lease is over")
+    @DisplayName("the service of a dead machine runs again long before the machine's lease expires")
     void serviceOfDeadMachineRunsAgainBeforeItsLeaseExpires() {
         startServices(12);
         EmulatedWorker dead = busyWorkers().get(0);
         String job = jobOf(dead.running());
         cluster.cloud.delete(dead.box().id);
         cluster.sim.run(30_000 + LEASE_MS / 2);
-        assertTrue(cluster.running(job, 1), "it runs again after half a lease");
+        assertTrue(cluster.running(job, 1), "the service should run again after half a lease");
         assertEquals(1, cluster.metric(cluster.leader(), "landingridge_settled"));
         cluster.sim.run(90_000);
         assertInvariantsKept();
@@ -78,7 +78,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("a machine that is cut off and settled by its return never runs what was placed elsewhere since")
+    @DisplayName(
+            "a machine that is cut off and was returned to the cloud never runs tasks that were placed elsewhere since")
     void noTaskRunsTwiceWhenCutOffMachineIsReturnedToCloud(long seed) {
         createCluster(seed);
         startServices(12);
@@ -89,9 +90,9 @@
         cluster.sim.run(30_000 + 10_400);
         assertTrue(
                 cluster.checker.places.containsValue(cutOffWorker.box().id + "@" + cutOffWorker.box().zone),
-                "nothing settles it but the cloud");
+                "the task should stay placed until the cloud confirms the machine's return");
         cluster.sim.run(30_000 + 18_000);
-        assertTrue(cutOffWorker.box().deleted, "the cloud answers again");
+        assertTrue(cutOffWorker.box().deleted, "the machine should be deleted once the cloud answers again");
         assertEquals(12, cluster.checker.places.size());
         cluster.sim.heal();
         cluster.sim.run(90_000);
@@ -103,7 +104,8 @@
      * reports again. See {@code HealthMonitor}.
      */
     @Test
-    @DisplayName("a machine that hangs within an outage of the state service is not given back after both are over")
+    @DisplayName(
+            "a machine that hangs during an outage of the state service is not returned to the cloud after both have ended")
     void hangingMachineIsKeptWhenStateOutageEndsAfterItResumes() {
         startServices(12);
         EmulatedWorker hung = busyWorkers().get(0);
@@ -114,13 +116,13 @@
         hung.hang(false);
         cluster.at(30_000 + 14_000, () -> cluster.state.outage(false));
         cluster.sim.run(30_000 + 25_000);
-        assertEquals(task, hung.running(), "it goes on");
+        assertEquals(task, hung.running(), "the task should still run on the machine");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_settled"));
         assertInvariantsKept();
     }
 
     @Test
-    @DisplayName("where a zone falls silent its machines are left to their leases: most of them go on working")
+    @DisplayName("machines of a silent zone are not returned before their leases expire, as most of them still work")
     void machinesOfCutOffZoneAreKept() {
         startServices(16);
         List<EmulatedWorker> zone = cluster.workers.stream()
@@ -128,7 +130,9 @@
                 .toList();
         zone.forEach(this::cutOff);
         cluster.sim.run(30_000 + LEASE_MS - 3_000);
-        assertTrue(zone.stream().noneMatch(worker -> worker.box().deleted), "none is given back");
+        assertTrue(
+                zone.stream().noneMatch(worker -> worker.box().deleted),
+                "no machine of the zone should be returned to the cloud");
         cluster.sim.heal();
         cluster.sim.run(90_000);
         assertEquals(16, cluster.checker.places.size());
@@ -136,7 +140,7 @@
     }
 
     @Test
-    @DisplayName("a leader's death does not begin the leases of silent machines anew")
+    @DisplayName("a crash of the leader does not restart the leases of silent machines")
     void leasesOfSilentMachinesAreNotRenewedWhenLeaderCrashes() {
         startServices(16);
         List<EmulatedWorker> zone = cluster.workers.stream()
@@ -147,7 +151,7 @@
         cluster.at(30_000 + 12_000, () -> cluster.leader().crash(4_000));
         cluster.sim.run(30_000 + LEASE_MS + 8_000);
         long runningAgain = jobs.stream().filter(job -> cluster.running(job, 1)).count();
-        assertEquals(jobs.size(), runningAgain, "services that run again a lease after the cut");
+        assertEquals(jobs.size(), runningAgain, "all services of the zone should run again one lease after the cut");
         cluster.sim.run(90_000);
         assertInvariantsKept();
     }
@@ -158,7 +162,8 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("a silent machine that is heard again in an outage gets no lease that the next leader cannot know of")
+    @DisplayName(
+            "a silent machine that reports again during an outage gets no lease that the next leader can't know of")
     void silentMachineGetsNoUnknownLeaseWhenItReportsDuringStateOutage(long seed) {
         createCluster(seed);
         startServices(16);
@@ -182,7 +187,7 @@
     /** A new leader may use the stored silence of machines only if its direct predecessor stored it. See {@code MachineRegistry}. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    @DisplayName("a silence that an earlier leader wrote down is forgotten by the leader after the next")
+    @DisplayName("the leader after the next ignores a silence that an earlier leader stored")
     void storedSilenceIsIgnoredByLeaderAfterNext(long seed) {
         createCluster(seed);
         startServices(16);
@@ -201,7 +206,7 @@
     }
 
     @Test
-    @DisplayName("a worker that has seen a later leader's token is not held by an answer that it drops")
+    @DisplayName("a worker that has seen a higher token is not kept from the new leader by an old answer that it drops")
     void noLeaseExpiresWhenWorkersDropAnswersOfFormerLeader() {
         startServices(6);
         ControllerNode leader = cluster.leader();
@@ -211,7 +216,7 @@
                 .forEach(node -> cluster.sim.cut(leader.host.name, node.host.name));
         cluster.sim.run(70_000);
         assertNotEquals(leader, cluster.leader());
-        assertEquals(6, cluster.checker.places.size(), "no lease ran out");
+        assertEquals(6, cluster.checker.places.size(), "no lease should expire");
         cluster.sim.heal();
         cluster.sim.run(90_000);
         assertInvariantsKept();
