--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -96,7 +96,8 @@
 
     @ParameterizedTest
     @CsvSource({"1,6000", "2,6000", "3,6000", "1,25000", "2,25000", "3,25000"})
-    @DisplayName("what was lost while nobody led runs again within 8 s of the election, lease or not")
+    @DisplayName(
+            "services lost while there was no leader run again within 8 s of the election, even before their leases expire")
     void lostServicesRunAgainWithin8SecondsOfElection(long seed, long forMs) {
         createClusterUnderLoad(seed);
         crashAllControllers(forMs);
@@ -114,7 +115,7 @@
     /** The second crash hits each step: claim, reading, census, questions to machines, returns to the cloud and placement. */
     @ParameterizedTest
     @MethodSource("secondCrashDelaysMs")
-    @DisplayName("a second crash of all, at any moment of the recovery, makes nothing worse")
+    @DisplayName("recovery succeeds when all controllers crash a second time at any step of it")
     void recoverySucceedsWhenAllControllersCrashASecondTime(long afterMs) {
         createClusterUnderLoad(11 + afterMs);
         crashAllControllers(4_000);
@@ -128,7 +129,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23})
-    @DisplayName("a state service that comes back after the controllers, and refuses one of them at first")
+    @DisplayName(
+            "recovery succeeds when the state service returns after the controllers and refuses one of them at first")
     void recoverySucceedsWhenStateServiceReturnsAfterControllers(long seed) {
         createClusterUnderLoad(seed);
         cluster.state.outage(true);
@@ -146,7 +148,7 @@
     /** If an unreadable page were taken for empty, the tasks of its machines would be started twice. See {@code MachineRegistry}. */
     @ParameterizedTest
     @CsvSource({"51,x", "52,[]", "53,row"})
-    @DisplayName("a page of the roster that cannot be read is never taken for empty, and the rest goes on")
+    @DisplayName("an unreadable page of machines is never taken for empty, and other work continues")
     void noServiceIsStartedTwiceWhenMachinePageIsUnreadable(long seed, String form) {
         createClusterUnderLoad(seed);
         EmulatedWorker silent = cluster.workers.stream()
@@ -173,17 +175,17 @@
                                 })));
         cluster.at(DOWN_AT + 12_000, () -> cluster.users.submit(SampleJobs.job(200, "blue", false, 3, 1, 2)));
         cluster.sim.run(DOWN_AT + 20_000);
-        assertEquals("done", cluster.checker.told.get("job-000200"), "what is new goes on");
+        assertEquals("done", cluster.checker.told.get("job-000200"), "a job submitted meanwhile should be done");
         cluster.sim.run(120_000);
         assertAllServicesRunAndJobsAreDone(7);
         assertTrue(
                 cluster.state.keys("lr/fleet/").stream()
                         .allMatch(key -> cluster.state.value(key).isObject()),
-                "the page is gone");
+                "no page of machines should be left in an unreadable form");
     }
 
     @Test
-    @DisplayName("a first start rents nothing for work that machines up but in no list can take")
+    @DisplayName("a first start rents nothing for work that fits machines which are up but not yet listed")
     void nothingIsRentedOnFirstStartWhenUnlistedMachinesAreUp() {
         cluster = new SimulatedCluster(new ClusterSetup(
                 31,
@@ -213,13 +215,13 @@
         cluster.at(1_200, cluster.sim::heal);
         cluster.sim.run(12_000);
         assertEquals(24, cluster.checker.places.size());
-        assertEquals(0, commandAudit.counts().get(Order.RENT).sum(), "rents");
-        assertEquals(0, commandAudit.counts().get(Order.GIVE_BACK).sum(), "give-backs");
-        assertTrue(commandAudit.counts().get(Order.START).busiest() >= 10, "the orders are counted");
+        assertEquals(0, commandAudit.counts().get(Order.RENT).sum(), "no machine should be rented");
+        assertEquals(0, commandAudit.counts().get(Order.GIVE_BACK).sum(), "no machine should be returned to the cloud");
+        assertTrue(commandAudit.counts().get(Order.START).busiest() >= 10, "the audit should count start orders");
     }
 
     @Test
-    @DisplayName("after a recovery no order is repeated, and nothing that was started is stopped again")
+    @DisplayName("after a recovery no order is repeated, and no started task is stopped again")
     void noOrderIsRepeatedAfterRecovery() {
         createClusterUnderLoad(41);
         cluster.checker.orders = commandAudit;
@@ -227,10 +229,10 @@
         cluster.at(DOWN_AT + 1_000, this::deleteTwoBusyMachines);
         cluster.sim.run(DOWN_AT + 40_000);
         CommandAudit.Count starts = commandAudit.counts().get(Order.START);
-        assertTrue(starts.sum() >= SERVICES, "everything had died with its lease");
-        assertEquals(0, starts.needless(), "starts");
-        assertEquals(0, commandAudit.counts().get(Order.STOP).needless(), "stops");
-        assertEquals(0, commandAudit.counts().get(Order.RENT).needless(), "rents");
+        assertTrue(starts.sum() >= SERVICES, "all services should start again, as their leases had expired");
+        assertEquals(0, starts.needless(), "no start should be needless");
+        assertEquals(0, commandAudit.counts().get(Order.STOP).needless(), "no stop should be needless");
+        assertEquals(0, commandAudit.counts().get(Order.RENT).needless(), "no rent should be needless");
         cluster.sim.run(120_000);
         assertAllServicesRunAndJobsAreDone();
     }
