--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -15,7 +15,8 @@
 
 /**
  * Runs three controllers with an emulated cloud, state service and workers through one kind of fault each: crashes, outages,
- * cuts, hanging machines and lost answers. Guards against lost, repeated and duplicate tasks; the invariants are checked throughout.
+ * cuts, hanging machines and lost answers. Guards against lost, repeated and duplicate tasks; the invariants are checked
+ * throughout.
  */
 class FailoverTest {
     /** Submits a mixed load: 4 services, and 16 batch jobs of which some are cancelled. */
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -35,7 +35,7 @@
         return cluster;
     }
 
-    /** Schedules a user's requests to cancel consecutive jobs, 20 ms apart, sent to the given controller instead of the leader. */
+    /** Schedules cancel requests for consecutive jobs, 20 ms apart, through the given controller instead of the leader. */
     private static void cancelJobsThrough(
             SimulatedCluster cluster, ControllerNode controller, long atMs, int firstJob, int count) {
         for (int i = 0; i < count; i++) {
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -15,8 +15,8 @@
 import org.landingridge.emulator.EmulatedWorker;
 
 /**
- * Machines whose heartbeats stop because they died, hang or are cut off, alone or a zone together, with and without a crash of the
- * leader. Guards against tasks that run twice, and against tasks that wait for longer than a lease.
+ * Machines whose heartbeats stop because they died, hang or are cut off, alone or a zone together, with and without a crash
+ * of the leader. Guards against tasks that run twice, and against tasks that wait for longer than a lease.
  */
 class SilentMachineTest {
     private static final long LEASE_MS = 20_000;
@@ -100,8 +100,8 @@
     }
 
     /**
-     * A request to return a silent machine to the cloud that waits for the state service must not be carried out once the machine
-     * reports again. See {@code HealthMonitor}.
+     * A request to return a silent machine to the cloud that waits for the state service must not be carried out once the
+     * machine reports again. See {@code HealthMonitor}.
      */
     @Test
     @DisplayName(
@@ -184,7 +184,10 @@
         assertInvariantsKept();
     }
 
-    /** A new leader may use the stored silence of machines only if its direct predecessor stored it. See {@code MachineRegistry}. */
+    /**
+     * A new leader may use the stored silence of machines only if its direct predecessor stored it.
+     * See {@code MachineRegistry}.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName("the leader after the next ignores a silence that an earlier leader stored")
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -145,7 +145,7 @@
         assertAllServicesRunAndJobsAreDone();
     }
 
-    /** If an unreadable page were taken for empty, the tasks of its machines would be started twice. See {@code MachineRegistry}. */
+    /** Treating an unreadable page as empty would start the tasks of its machines twice. See {@code MachineRegistry}. */
     @ParameterizedTest
     @CsvSource({"51,x", "52,[]", "53,row"})
     @DisplayName("an unreadable page of machines is never taken for empty, and other work continues")
