--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -23,14 +23,20 @@
 
 /** Where work may be, and how much of it, when troubles meet that the operators named later; {@code docs/meetings.md}. */
 class PlacementUnderFaultsTest {
-    private static final int FIRST = 40;
+    private static final int FIRST_JOB = 40;
 
-    private static List<String> ids(int first, int count) {
+    private static List<String> jobIds(int first, int count) {
         return IntStream.range(first, first + count).mapToObj(SampleJobs::id).toList();
     }
 
-    private static JobSpec bound(
-            int number, int tasks, double cpus, double seconds, String zone, boolean oneZone, boolean spread) {
+    private static JobSpec constrainedJob(
+            int number,
+            int tasks,
+            double cpus,
+            double seconds,
+            String zone,
+            boolean oneZone,
+            boolean separateMachines) {
         return new JobSpec(
                 SampleJobs.id(number),
                 "bound",
@@ -46,7 +52,7 @@
                 null,
                 zone,
                 oneZone,
-                spread,
+                separateMachines,
                 true,
                 seconds,
                 0,
@@ -54,12 +60,12 @@
                 null);
     }
 
-    private static EmulatedWorker holder(SimulatedCluster w, String task) {
-        String place = w.checker.places.get(task);
-        return place == null
+    private static EmulatedWorker workerRunning(SimulatedCluster cluster, String task) {
+        String location = cluster.checker.places.get(task);
+        return location == null
                 ? null
-                : w.workers.stream()
-                        .filter(x -> place.startsWith(x.box().id + "@"))
+                : cluster.workers.stream()
+                        .filter(worker -> location.startsWith(worker.box().id + "@"))
                         .findFirst()
                         .orElse(null);
     }
@@ -68,33 +74,34 @@
     @CsvSource({"1, 0.3", "2, 0.6", "3, 1.0", "4, 1.0", "5, 0.5"})
     @DisplayName(
             "kept reports reach every controller as a leader begins, again and again: they move, end, stop nothing")
-    void keptReports(long seed, double share) {
-        SimulatedCluster w = new SimulatedCluster(1_020 + seed, 8);
-        services(w, 4);
+    void replayedHeartbeatsChangeNothingWhenLeadersChange(long seed, double faultShare) {
+        SimulatedCluster cluster = new SimulatedCluster(1_020 + seed, 8);
+        services(cluster, 4);
         for (int i = 0; i < 10; i++) {
-            int n = FIRST + i;
-            w.at(
+            int number = FIRST_JOB + i;
+            cluster.at(
                     31_000 + i * 2_500L,
-                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + n % 5 * 4)));
+                    () -> cluster.users.submit(
+                            SampleJobs.job(number, number % 2 == 0 ? "red" : "blue", false, 3, 1, 4 + number % 5 * 4)));
         }
-        w.heartbeatFaults.replayShare = share;
-        for (long t = 38_000; t < 75_000; t += 6_000) {
-            w.at(t, () -> crash(w.leader(), 300));
-            w.at(
-                    t - 2_500,
-                    () -> w.workers.stream()
-                            .filter(x -> x.running() != null)
+        cluster.heartbeatFaults.replayShare = faultShare;
+        for (long atMs = 38_000; atMs < 75_000; atMs += 6_000) {
+            cluster.at(atMs, () -> crash(cluster.leader(), 300));
+            cluster.at(
+                    atMs - 2_500,
+                    () -> cluster.workers.stream()
+                            .filter(worker -> worker.running() != null)
                             .limit(2)
-                            .forEach(x -> x.fail(x.running())));
+                            .forEach(worker -> worker.fail(worker.running())));
         }
-        w.at(50_000, () -> w.restart(w.workers.get(0), 150));
-        w.at(62_000, () -> w.workers.get(1).hang(true));
-        w.at(73_000, () -> w.workers.get(1).hang(false));
-        w.at(76_000, () -> w.heartbeatFaults.replayShare = 0);
-        w.sim.run(120_000);
-        kept(w);
-        assertEquals(10, w.over("done"));
-        settled(w, ids(FIRST, 10));
+        cluster.at(50_000, () -> cluster.restart(cluster.workers.get(0), 150));
+        cluster.at(62_000, () -> cluster.workers.get(1).hang(true));
+        cluster.at(73_000, () -> cluster.workers.get(1).hang(false));
+        cluster.at(76_000, () -> cluster.heartbeatFaults.replayShare = 0);
+        cluster.sim.run(120_000);
+        kept(cluster);
+        assertEquals(10, cluster.over("done"));
+        settled(cluster, jobIds(FIRST_JOB, 10));
     }
 
     /**
@@ -103,116 +110,128 @@
      */
     @ParameterizedTest
     @CsvSource({"1, true", "2, true", "3, false", "4, false", "5, true", "6, false"})
-    void boundJobsLoseMachines(long seed, boolean oneZone) {
-        SimulatedCluster w = new SimulatedCluster(1_040 + seed, 0);
-        services(w, 2);
+    void placementConstraintHoldsWhenReportedTaskIsLostBeforeOthersAreReported(long seed, boolean oneZone) {
+        SimulatedCluster cluster = new SimulatedCluster(1_040 + seed, 0);
+        services(cluster, 2);
         int tasks = oneZone ? 2 : 3;
         for (int i = 0; i < 4; i++) {
-            w.users.submit(bound(FIRST + i, tasks, 3, 300, null, oneZone, !oneZone));
+            cluster.users.submit(constrainedJob(FIRST_JOB + i, tasks, 3, 300, null, oneZone, !oneZone));
         }
         // Room in both zones, so that what is lost finds a place at once.
-        w.users.submit(bound(FIRST + 10, 6, 3, 12, "a", false, false));
-        w.users.submit(bound(FIRST + 11, 6, 3, 12, "b", false, false));
-        w.sim.run(47_000);
-        ControllerNode leader = w.leader();
-        List<EmulatedWorker> heard = new ArrayList<>();
-        w.at(47_000, () -> {
+        cluster.users.submit(constrainedJob(FIRST_JOB + 10, 6, 3, 12, "a", false, false));
+        cluster.users.submit(constrainedJob(FIRST_JOB + 11, 6, 3, 12, "b", false, false));
+        cluster.sim.run(47_000);
+        ControllerNode leader = cluster.leader();
+        List<EmulatedWorker> reportedWorkers = new ArrayList<>();
+        cluster.at(47_000, () -> {
             for (int i = 0; i < 4; i++) {
-                heard.add(holder(w, SampleJobs.id(FIRST + i) + "/0"));
-                for (int t = 1; t < tasks; t++) {
-                    EmulatedWorker other = holder(w, SampleJobs.id(FIRST + i) + "/" + t);
-                    w.nodes.forEach(n -> w.sim.cut(n.host.name, other.box().id));
+                reportedWorkers.add(workerRunning(cluster, SampleJobs.id(FIRST_JOB + i) + "/0"));
+                for (int taskIndex = 1; taskIndex < tasks; taskIndex++) {
+                    EmulatedWorker unreportedWorker =
+                            workerRunning(cluster, SampleJobs.id(FIRST_JOB + i) + "/" + taskIndex);
+                    cluster.nodes.forEach(node -> cluster.sim.cut(node.host.name, unreportedWorker.box().id));
                 }
             }
             leader.crash(60_000);
         });
         for (int i = 0; i < 4; i++) {
-            int of = i;
-            w.at(51_500 + i * 500L, () -> heard.get(of).fail(SampleJobs.id(FIRST + of) + "/0"));
+            int jobIndex = i;
+            cluster.at(
+                    51_500 + i * 500L,
+                    () -> reportedWorkers.get(jobIndex).fail(SampleJobs.id(FIRST_JOB + jobIndex) + "/0"));
         }
-        w.at(56_000, w.sim::heal);
-        w.sim.run(75_000);
-        kept(w);
-        settled(w, ids(FIRST, 4));
-        assertTrue(IntStream.range(0, 4).allMatch(i -> w.running(SampleJobs.id(FIRST + i), tasks)), "all of them run");
+        cluster.at(56_000, cluster.sim::heal);
+        cluster.sim.run(75_000);
+        kept(cluster);
+        settled(cluster, jobIds(FIRST_JOB, 4));
+        assertTrue(
+                IntStream.range(0, 4).allMatch(i -> cluster.running(SampleJobs.id(FIRST_JOB + i), tasks)),
+                "all of them run");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
             "machines that reach no controller while calls reach them hold nothing beyond their lease, and get no more")
-    void machinesAreMute(long seed) {
-        SimulatedCluster w = new SimulatedCluster(1_060 + seed, 0);
-        services(w, 4);
+    void machinesThatCannotReportHoldNothingAfterTheirLeaseAndGetNoTasks(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(1_060 + seed, 0);
+        services(cluster, 4);
         for (int i = 0; i < 6; i++) {
-            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 2, 1, 300));
+            cluster.users.submit(SampleJobs.job(FIRST_JOB + i, "blue", false, 2, 1, 300));
         }
-        w.sim.run(45_000);
-        List<EmulatedWorker> mute =
-                w.workers.stream().filter(x -> x.running() != null).limit(3).toList();
-        w.at(46_000, () -> mute.forEach(x -> w.heartbeatFaults.droppedMachines.add(x.box().id)));
+        cluster.sim.run(45_000);
+        List<EmulatedWorker> muteWorkers = cluster.workers.stream()
+                .filter(worker -> worker.running() != null)
+                .limit(3)
+                .toList();
+        cluster.at(
+                46_000,
+                () -> muteWorkers.forEach(worker -> cluster.heartbeatFaults.droppedMachines.add(worker.box().id)));
         if (seed == 2) {
-            w.at(47_000, () -> crash(w.leader(), 300));
+            cluster.at(47_000, () -> crash(cluster.leader(), 300));
         }
-        w.sim.run(46_000 + ClusterSetup.LEASE_MS + 8_000);
-        kept(w);
-        for (long t = w.sim.now; t < 110_000; t += 500) {
-            w.sim.run(t);
-            assertEquals(16, w.checker.places.size(), "everything runs, elsewhere, at " + t);
+        cluster.sim.run(46_000 + ClusterSetup.LEASE_MS + 8_000);
+        kept(cluster);
+        for (long atMs = cluster.sim.now; atMs < 110_000; atMs += 500) {
+            cluster.sim.run(atMs);
+            assertEquals(16, cluster.checker.places.size(), "everything runs, elsewhere, at " + atMs);
             assertTrue(
-                    mute.stream().allMatch(x -> x.running() == null),
+                    muteWorkers.stream().allMatch(worker -> worker.running() == null),
                     "nothing is given to a machine that cannot report");
         }
-        w.heartbeatFaults.droppedMachines.clear();
-        settled(w, ids(FIRST, 6));
+        cluster.heartbeatFaults.droppedMachines.clear();
+        settled(cluster, jobIds(FIRST_JOB, 6));
     }
 
     @ParameterizedTest
     @CsvSource({"1, 5000, false", "2, 12000, false", "3, 20000, true", "4, 7000, true", "5, 12000, true"})
     @DisplayName(
             "teams at their limits; users cancel, the machines concerned hang or are cut off, the leader goes: never above, not held up")
-    void atTheLimit(long seed, long forMs, boolean cut) {
-        SimulatedCluster w = new SimulatedCluster(limited(1_080 + seed));
+    void teamLimitHoldsWhenJobsAreCancelledDuringFaults(long seed, long faultMs, boolean cutOff) {
+        SimulatedCluster cluster = new SimulatedCluster(withTeamLimits(1_080 + seed));
         for (int i = 0; i < 24; i++) {
-            int n = FIRST + i;
-            w.at(
+            int number = FIRST_JOB + i;
+            cluster.at(
                     1_000 + i * 400L,
-                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 4, 1, 60)));
+                    () -> cluster.users.submit(
+                            SampleJobs.job(number, number % 2 == 0 ? "red" : "blue", false, 1 + number % 4, 1, 60)));
         }
-        w.sim.run(30_000);
+        cluster.sim.run(30_000);
         for (int round = 0; round < 2; round++) {
-            long at = 30_000 + round * 30_000L;
-            w.at(at, () -> w.users.cancelNow(5, cut ? 0 : forMs));
-            if (cut) {
-                w.at(
-                        at - 50,
-                        () -> w.workers.stream()
-                                .filter(x -> x.running() != null)
+            long roundStartMs = 30_000 + round * 30_000L;
+            cluster.at(roundStartMs, () -> cluster.users.cancelNow(5, cutOff ? 0 : faultMs));
+            if (cutOff) {
+                cluster.at(
+                        roundStartMs - 50,
+                        () -> cluster.workers.stream()
+                                .filter(worker -> worker.running() != null)
                                 .limit(4)
-                                .forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
-                w.at(at + forMs, w.sim::heal);
+                                .forEach(worker -> cluster.nodes.forEach(
+                                        node -> cluster.sim.cut(node.host.name, worker.box().id))));
+                cluster.at(roundStartMs + faultMs, cluster.sim::heal);
             }
-            w.at(at + 120, () -> crash(w.leader(), 400));
-            w.at(at + 5_000, () -> w.refuse(w.leader(), 4_000));
-            w.at(at + 9_000, () -> w.nodes.forEach(n -> crash(n, 200)));
+            cluster.at(roundStartMs + 120, () -> crash(cluster.leader(), 400));
+            cluster.at(roundStartMs + 5_000, () -> cluster.refuse(cluster.leader(), 4_000));
+            cluster.at(roundStartMs + 9_000, () -> cluster.nodes.forEach(node -> crash(node, 200)));
             // No earlier leader has started what comes now: only what others may hold keeps it back.
             for (int i = 0; i < 8; i++) {
-                int n = FIRST + 24 + 8 * round + i;
-                w.at(
-                        at + 500 + i * 1_500L,
-                        () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 2, 1, 20)));
+                int number = FIRST_JOB + 24 + 8 * round + i;
+                cluster.at(
+                        roundStartMs + 500 + i * 1_500L,
+                        () -> cluster.users.submit(
+                                SampleJobs.job(number, number % 2 == 0 ? "red" : "blue", false, 2, 1, 20)));
             }
         }
-        w.sim.run(100_000);
-        kept(w);
-        settled(w, ids(FIRST, 40));
-        w.sim.run(600_000);
-        kept(w);
-        assertEquals(40, w.over("done") + w.over("cancelled"));
+        cluster.sim.run(100_000);
+        kept(cluster);
+        settled(cluster, jobIds(FIRST_JOB, 40));
+        cluster.sim.run(600_000);
+        kept(cluster);
+        assertEquals(40, cluster.over("done") + cluster.over("cancelled"));
     }
 
     /** Both teams have limits, and there are more machines than they may use. */
-    private static ClusterSetup limited(long seed) {
+    private static ClusterSetup withTeamLimits(long seed) {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("red", new Settings.Team("red", 4, 8, 0, 0));
         teams.put("blue", new Settings.Team("blue", 4, 9, 0, 0));
@@ -231,8 +250,8 @@
     @CsvSource({"1, true, 0.5", "2, false, 0.5", "3, true, 0.9", "4, false, 0.8", "5, false, 0.9"})
     @DisplayName(
             "machines are up at once and get work, while writes lag and the leader ends: nothing runs twice, nothing is kept for nothing")
-    void upAtOnce(long seed, boolean atOnce, double share) {
-        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
+    void noTaskRunsTwiceWhenWritesGoUnansweredAndMachinesBootFast(long seed, boolean loseAnswers, double faultShare) {
+        SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 1_100 + seed,
                 3,
                 20,
@@ -241,186 +260,196 @@
                 ClusterSetup.LEASE_MS,
                 ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
-        services(w, 2);
+        services(cluster, 2);
         for (int round = 0; round < 4; round++) {
-            int first = FIRST + round * 8;
-            long at = 31_000 + round * 9_000L;
-            w.at(at - 300, () -> {
-                if (atOnce) {
-                    w.state.lostAnswers(share, w.sim.random);
+            int first = FIRST_JOB + round * 8;
+            long roundStartMs = 31_000 + round * 9_000L;
+            cluster.at(roundStartMs - 300, () -> {
+                if (loseAnswers) {
+                    cluster.state.lostAnswers(faultShare, cluster.sim.random);
                 } else {
-                    w.state.lateWrites(share, w.sim.random);
+                    cluster.state.lateWrites(faultShare, cluster.sim.random);
                 }
             });
             for (int i = 0; i < 8; i++) {
-                int n = first + i;
-                w.at(at + i * 60L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 2, 2, 5)));
+                int number = first + i;
+                cluster.at(
+                        roundStartMs + i * 60L,
+                        () -> cluster.users.submit(SampleJobs.job(number, "blue", false, 2, 2, 5)));
             }
-            w.at(at + 1_200 + 300 * round, () -> crash(w.leader(), 250));
-            w.at(at + 5_000, () -> w.state.lateWrites(0, null));
+            cluster.at(roundStartMs + 1_200 + 300 * round, () -> crash(cluster.leader(), 250));
+            cluster.at(roundStartMs + 5_000, () -> cluster.state.lateWrites(0, null));
         }
-        w.sim.run(100_000);
-        kept(w);
-        settled(w, ids(FIRST, 32));
-        assertEquals(32, w.over("done"));
-        w.sim.run(420_000);
-        assertTrue(w.workers.size() <= 6, w.workers.size() + " machines are kept for two services");
+        cluster.sim.run(100_000);
+        kept(cluster);
+        settled(cluster, jobIds(FIRST_JOB, 32));
+        assertEquals(32, cluster.over("done"));
+        cluster.sim.run(420_000);
+        assertTrue(cluster.workers.size() <= 6, cluster.workers.size() + " machines are kept for two services");
     }
 
     @ParameterizedTest
     @CsvSource({"1, 40", "2, 200", "3, 700", "4, 1500"})
     @DisplayName(
             "users call off while work changes hands, at the old leader, the new one and a third; the machines hang, the state service goes")
-    void cancelledInTheHandOver(long seed, long spread) {
-        SimulatedCluster w = new SimulatedCluster(1_120 + seed, 0);
-        services(w, 2);
+    void jobsCancelledDuringTakeoverAreCancelledAndOthersRun(long seed, long cancelIntervalMs) {
+        SimulatedCluster cluster = new SimulatedCluster(1_120 + seed, 0);
+        services(cluster, 2);
         for (int i = 0; i < 14; i++) {
-            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 2, 1, 300));
+            cluster.users.submit(SampleJobs.job(FIRST_JOB + i, "blue", false, 2, 1, 300));
         }
-        w.sim.run(45_000);
+        cluster.sim.run(45_000);
         for (int round = 0; round < 3; round++) {
-            long at = 46_000 + round * 36_000L;
-            int first = FIRST + round * 4;
-            w.at(at, () -> w.refuse(w.leader(), 9_000));
+            long roundStartMs = 46_000 + round * 36_000L;
+            int first = FIRST_JOB + round * 4;
+            cluster.at(roundStartMs, () -> cluster.refuse(cluster.leader(), 9_000));
             for (int i = 0; i < 4; i++) {
                 String id = SampleJobs.id(first + i);
-                w.at(at + i * spread, () -> w.users.cancel(id));
+                cluster.at(roundStartMs + i * cancelIntervalMs, () -> cluster.users.cancel(id));
             }
-            w.at(
-                    at + 300,
-                    () -> w.workers.stream()
-                            .filter(x -> x.running() != null)
+            cluster.at(
+                    roundStartMs + 300,
+                    () -> cluster.workers.stream()
+                            .filter(worker -> worker.running() != null)
                             .limit(4)
-                            .forEach(x -> {
-                                x.hang(true);
-                                w.at(at + 300 + ClusterSetup.LEASE_MS - 1_500, () -> x.hang(false));
+                            .forEach(worker -> {
+                                worker.hang(true);
+                                cluster.at(
+                                        roundStartMs + 300 + ClusterSetup.LEASE_MS - 1_500, () -> worker.hang(false));
                             }));
             if (round == 1) {
-                w.at(at + 1_000, () -> w.state.outage(true));
-                w.at(at + 1_000 + ClusterSetup.CANCEL_MS + 4_000, () -> w.state.outage(false));
+                cluster.at(roundStartMs + 1_000, () -> cluster.state.outage(true));
+                cluster.at(roundStartMs + 1_000 + ClusterSetup.CANCEL_MS + 4_000, () -> cluster.state.outage(false));
             }
             if (round == 2) {
-                w.at(at + 500, () -> crash(w.leader(), 200));
+                cluster.at(roundStartMs + 500, () -> crash(cluster.leader(), 200));
             }
         }
-        w.sim.run(160_000);
-        assertEquals(12, w.over("cancelled"));
-        kept(w);
-        settled(w, ids(FIRST, 14));
+        cluster.sim.run(160_000);
+        assertEquals(12, cluster.over("cancelled"));
+        kept(cluster);
+        settled(cluster, jobIds(FIRST_JOB, 14));
     }
 
     @ParameterizedTest
     @CsvSource({"1, false", "2, true", "3, true"})
     @DisplayName("leaders change ten times in two minutes, also within an outage; users look closely and cancel")
-    void tenLeaders(long seed, boolean outage) {
-        SimulatedCluster w = new SimulatedCluster(1_140 + seed, 8);
-        services(w, 3);
-        w.users.askEverywhereAtOnce = true;
+    void controllersAgreeOnAllJobsAfterTenLeaderChanges(long seed, boolean outage) {
+        SimulatedCluster cluster = new SimulatedCluster(1_140 + seed, 8);
+        services(cluster, 3);
+        cluster.users.askEverywhereAtOnce = true;
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            int n = FIRST + i;
-            ids.add(SampleJobs.id(n));
-            w.at(
+            int number = FIRST_JOB + i;
+            ids.add(SampleJobs.id(number));
+            cluster.at(
                     31_000 + i * 4_000L,
-                    () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 3, 1, 6)));
-            if (n % 4 == 0) {
-                w.at(34_000 + i * 4_000L, () -> w.users.cancel(SampleJobs.id(n)));
+                    () -> cluster.users.submit(
+                            SampleJobs.job(number, number % 2 == 0 ? "red" : "blue", false, 1 + number % 3, 1, 6)));
+            if (number % 4 == 0) {
+                cluster.at(34_000 + i * 4_000L, () -> cluster.users.cancel(SampleJobs.id(number)));
             }
         }
         for (int i = 0; i < 10; i++) {
-            int each = i;
-            w.at(35_000 + i * 12_000L, () -> {
-                if (each % 2 == 0) {
-                    crash(w.leader(), each % 4 == 0 ? 150 : 3_000);
+            int change = i;
+            cluster.at(35_000 + i * 12_000L, () -> {
+                if (change % 2 == 0) {
+                    crash(cluster.leader(), change % 4 == 0 ? 150 : 3_000);
                 } else {
-                    w.refuse(w.leader(), 4_000);
+                    cluster.refuse(cluster.leader(), 4_000);
                 }
             });
         }
         if (outage) {
-            w.at(70_000, () -> w.state.outage(true));
-            w.at(70_000 + ClusterSetup.CANCEL_MS + 3_000, () -> w.state.outage(false));
+            cluster.at(70_000, () -> cluster.state.outage(true));
+            cluster.at(70_000 + ClusterSetup.CANCEL_MS + 3_000, () -> cluster.state.outage(false));
         }
-        w.sim.run(200_000);
-        ClusterAssertions.everybodySaysTheSame(w, ids);
-        settled(w, ids);
+        cluster.sim.run(200_000);
+        ClusterAssertions.everybodySaysTheSame(cluster, ids);
+        settled(cluster, ids);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
             "a zone with machines and a controller is cut off for longer than a lease, the leader within or without; jobs are cancelled outside")
-    void aZoneWithAController(long seed) {
-        SimulatedCluster w = new SimulatedCluster(1_160 + seed, 0);
-        services(w, 4);
+    void jobsAreCancelledWhileZoneWithControllerIsCutOff(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(1_160 + seed, 0);
+        services(cluster, 4);
         for (int i = 0; i < 6; i++) {
-            w.users.submit(SampleJobs.job(FIRST + i, "blue", false, 3, 1, 200));
+            cluster.users.submit(SampleJobs.job(FIRST_JOB + i, "blue", false, 3, 1, 200));
         }
-        w.sim.run(45_000);
-        ControllerNode inside = seed == 1 ? w.leader() : w.nodes.get((w.leader().index + 1) % 3);
-        w.at(46_000, () -> {
-            w.workers.forEach(x -> w.nodes.forEach(n -> {
-                if (x.box().zone.equals("b") != (n == inside)) {
-                    w.sim.cut(n.host.name, x.box().id);
+        cluster.sim.run(45_000);
+        ControllerNode inside = seed == 1 ? cluster.leader() : cluster.nodes.get((cluster.leader().index + 1) % 3);
+        cluster.at(46_000, () -> {
+            cluster.workers.forEach(worker -> cluster.nodes.forEach(node -> {
+                if (worker.box().zone.equals("b") != (node == inside)) {
+                    cluster.sim.cut(node.host.name, worker.box().id);
                 }
             }));
-            w.nodes.stream().filter(n -> n != inside).forEach(n -> w.sim.cut(inside.host.name, n.host.name));
+            cluster.nodes.stream()
+                    .filter(node -> node != inside)
+                    .forEach(node -> cluster.sim.cut(inside.host.name, node.host.name));
             if (seed != 3) {
-                w.sim.cut(inside.host.name, "state");
+                cluster.sim.cut(inside.host.name, "state");
             }
         });
-        ControllerNode outside =
-                w.nodes.stream().filter(n -> n != inside).findFirst().orElseThrow();
+        ControllerNode outside = cluster.nodes.stream()
+                .filter(node -> node != inside)
+                .findFirst()
+                .orElseThrow();
         for (int i = 0; i < 3; i++) {
-            String id = SampleJobs.id(FIRST + i);
-            w.at(47_000 + i * 900L, () -> w.users.askOnce(id, "cancel", outside.index));
+            String id = SampleJobs.id(FIRST_JOB + i);
+            cluster.at(47_000 + i * 900L, () -> cluster.users.askOnce(id, "cancel", outside.index));
         }
-        w.at(46_000 + 2 * ClusterSetup.LEASE_MS, w.sim::heal);
-        w.sim.run(110_000);
-        assertEquals(3, w.over("cancelled"));
-        kept(w);
-        settled(w, ids(FIRST, 6));
+        cluster.at(46_000 + 2 * ClusterSetup.LEASE_MS, cluster.sim::heal);
+        cluster.sim.run(110_000);
+        assertEquals(3, cluster.over("cancelled"));
+        kept(cluster);
+        settled(cluster, jobIds(FIRST_JOB, 6));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName(
             "a cancelled job that a fresh leader has no room to remember still runs on machines that cannot report: its team's limit holds")
-    void nobodyRemembersTheJob(long seed) {
-        SimulatedCluster w = new SimulatedCluster(1_180 + seed, 8);
-        services(w, 2);
-        w.users.submit(SampleJobs.job(FIRST, "red", false, 8, 1, 300));
+    void teamLimitHoldsWhenNewLeaderHasNotCachedCancelledJob(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(1_180 + seed, 8);
+        services(cluster, 2);
+        cluster.users.submit(SampleJobs.job(FIRST_JOB, "red", false, 8, 1, 300));
         // Its machines are free when the limit is all that keeps the next job back.
-        w.users.submit(SampleJobs.job(FIRST + 2, "blue", false, 8, 1, 7));
-        w.sim.run(45_000);
-        w.users.submit(SampleJobs.job(FIRST + 1, "red", false, 8, 1, 5));
-        List<EmulatedWorker> mute = IntStream.range(0, 8)
-                .mapToObj(i -> holder(w, SampleJobs.id(FIRST) + "/" + i))
+        cluster.users.submit(SampleJobs.job(FIRST_JOB + 2, "blue", false, 8, 1, 7));
+        cluster.sim.run(45_000);
+        cluster.users.submit(SampleJobs.job(FIRST_JOB + 1, "red", false, 8, 1, 5));
+        List<EmulatedWorker> muteWorkers = IntStream.range(0, 8)
+                .mapToObj(i -> workerRunning(cluster, SampleJobs.id(FIRST_JOB) + "/" + i))
                 .distinct()
                 .toList();
-        w.at(46_000, () -> mute.forEach(x -> w.heartbeatFaults.droppedMachines.add(x.box().id)));
+        cluster.at(
+                46_000,
+                () -> muteWorkers.forEach(worker -> cluster.heartbeatFaults.droppedMachines.add(worker.box().id)));
         // The leader that could act on it has just ended.
-        ControllerNode other = w.nodes.get((w.leader().index + 1) % 3);
-        w.at(46_500, () -> w.leader().crash(300));
-        w.at(46_510, () -> w.users.askOnce(SampleJobs.id(FIRST), "cancel", other.index));
-        w.at(46_700, () -> {
-            assertEquals("cancelled", w.checker.told.get(SampleJobs.id(FIRST)));
-            HistorySeeds.jobKeys(w, 2_000, 2_300, 1);
-            w.nodes.forEach(n -> crash(n, 200));
+        ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
+        cluster.at(46_500, () -> cluster.leader().crash(300));
+        cluster.at(46_510, () -> cluster.users.askOnce(SampleJobs.id(FIRST_JOB), "cancel", follower.index));
+        cluster.at(46_700, () -> {
+            assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(FIRST_JOB)));
+            HistorySeeds.jobKeys(cluster, 2_000, 2_300, 1);
+            cluster.nodes.forEach(node -> crash(node, 200));
         });
-        w.at(60_000, w.heartbeatFaults.droppedMachines::clear);
-        w.sim.run(90_000);
-        kept(w);
-        settled(w, ids(FIRST, 2));
-        assertEquals("done", w.checker.told.get(SampleJobs.id(FIRST + 1)));
+        cluster.at(60_000, cluster.heartbeatFaults.droppedMachines::clear);
+        cluster.sim.run(90_000);
+        kept(cluster);
+        settled(cluster, jobIds(FIRST_JOB, 2));
+        assertEquals("done", cluster.checker.told.get(SampleJobs.id(FIRST_JOB + 1)));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     @DisplayName(
             "more work than room, urgent and not, over slow links, through a change of leader: the largest begin, all is served in the end")
-    void moreWorkThanRoom(long seed) {
-        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
+    void largeJobsStartInTimeWhenUrgentJobsExceedCapacity(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 1_200 + seed,
                 3,
                 3,
@@ -429,15 +458,15 @@
                 ClusterSetup.LEASE_MS,
                 ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
-        w.nodes.forEach(n -> w.sim.slow.put(n.host.name, 600L));
-        services(w, 2);
+        cluster.nodes.forEach(node -> cluster.sim.slow.put(node.host.name, 600L));
+        services(cluster, 2);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            JobSpec small = SampleJobs.job(FIRST + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
+            JobSpec small = SampleJobs.job(FIRST_JOB + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
             ids.add(small.id());
-            w.at(
+            cluster.at(
                     31_000 + i * 3_000L,
-                    () -> w.users.submit(new JobSpec(
+                    () -> cluster.users.submit(new JobSpec(
                             small.id(),
                             "urgent",
                             small.team(),
@@ -460,20 +489,20 @@
                             null)));
         }
         for (int i = 0; i < 3; i++) {
-            JobSpec large = SampleJobs.job(FIRST + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
+            JobSpec large = SampleJobs.job(FIRST_JOB + 100 + i, i == 1 ? "red" : "blue", false, 40, 1, 15);
             ids.add(large.id());
-            w.at(40_000 + i * 15_000L, () -> w.users.submit(large));
+            cluster.at(40_000 + i * 15_000L, () -> cluster.users.submit(large));
         }
-        w.at(80_000, () -> crash(w.leader(), 300));
-        w.at(120_000, () -> w.workers.stream().limit(2).forEach(x -> x.hang(true)));
-        w.at(132_000, () -> w.workers.stream().limit(2).forEach(x -> x.hang(false)));
-        w.sim.run(400_000);
-        kept(w);
+        cluster.at(80_000, () -> crash(cluster.leader(), 300));
+        cluster.at(120_000, () -> cluster.workers.stream().limit(2).forEach(worker -> worker.hang(true)));
+        cluster.at(132_000, () -> cluster.workers.stream().limit(2).forEach(worker -> worker.hang(false)));
+        cluster.sim.run(400_000);
+        kept(cluster);
         for (int i = 0; i < 3; i++) {
             assertTrue(
-                    w.checker.firstStart(SampleJobs.id(FIRST + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
+                    cluster.checker.firstStart(SampleJobs.id(FIRST_JOB + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
                     "a large one has begun in time");
         }
-        ClusterAssertions.everybodySaysTheSame(w, ids);
+        ClusterAssertions.everybodySaysTheSame(cluster, ids);
     }
 }
