--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -23,7 +23,7 @@
 class RapidRestartTest {
     private static final long LEASE_MS = 20_000;
 
-    private static SimulatedCluster world(long seed, int controllers) {
+    private static SimulatedCluster newCluster(long seed, int controllers) {
         return new SimulatedCluster(new ClusterSetup(
                 seed,
                 controllers,
@@ -36,15 +36,15 @@
     }
 
     /** Arrays that come, end, fail and are cancelled all the time, beside the services. */
-    private static void load(SimulatedCluster w) {
+    private static void scheduleLoad(SimulatedCluster cluster) {
         for (int i = 20; i < 60; i++) {
-            int n = i;
-            w.at(
+            int number = i;
+            cluster.at(
                     1_000L + (i - 20) * 2_000,
-                    () -> w.users.submit(
-                            SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", false, 1 + n % 5, 2, 2 + n % 4)));
+                    () -> cluster.users.submit(SampleJobs.job(
+                            number, number % 2 == 0 ? "red" : "blue", false, 1 + number % 5, 2, 2 + number % 4)));
             if (i % 4 == 0) {
-                w.at(4_000L + (i - 20) * 2_000, () -> w.users.cancel(SampleJobs.id(n)));
+                cluster.at(4_000L + (i - 20) * 2_000, () -> cluster.users.cancel(SampleJobs.id(number)));
             }
         }
     }
@@ -52,67 +52,71 @@
     @ParameterizedTest
     @ValueSource(longs = {50, 300, 2_500})
     @DisplayName("a machine that is back under its old name is not taken for the one that held the tasks")
-    void aMachineBeginsAnew(long back) {
-        SimulatedCluster w = world(401, 3);
-        services(w, 12);
-        EmulatedWorker lost =
-                w.workers.stream().filter(x -> x.running() != null).findFirst().orElseThrow();
-        w.restart(lost, back);
-        w.sim.run(30_000 + back + 8_000);
-        assertEquals(12, w.checker.places.size(), "everything runs again long before a lease is over");
-        assertEquals(0, w.metric(w.leader(), "landingridge_lapses"));
-        w.sim.run(90_000);
-        kept(w);
-        assertEquals(12, w.checker.places.size());
+    void tasksRunAgainBeforeLeaseExpiryWhenTheirMachineRestarts(long backAfterMs) {
+        SimulatedCluster cluster = newCluster(401, 3);
+        services(cluster, 12);
+        EmulatedWorker restartedWorker = cluster.workers.stream()
+                .filter(worker -> worker.running() != null)
+                .findFirst()
+                .orElseThrow();
+        cluster.restart(restartedWorker, backAfterMs);
+        cluster.sim.run(30_000 + backAfterMs + 8_000);
+        assertEquals(12, cluster.checker.places.size(), "everything runs again long before a lease is over");
+        assertEquals(0, cluster.metric(cluster.leader(), "landingridge_lapses"));
+        cluster.sim.run(90_000);
+        kept(cluster);
+        assertEquals(12, cluster.checker.places.size());
     }
 
     @Test
     @DisplayName("the same machine five times in a row, in the middle of a takeover too")
-    void aMachineAgainAndAgain() {
-        SimulatedCluster w = world(402, 3);
-        services(w, 12);
-        String id = w.workers.stream()
-                .filter(x -> x.running() != null)
+    void tasksRunAgainWhenMachineRestartsFiveTimesDuringTakeover() {
+        SimulatedCluster cluster = newCluster(402, 3);
+        services(cluster, 12);
+        String machineId = cluster.workers.stream()
+                .filter(worker -> worker.running() != null)
                 .findFirst()
                 .orElseThrow()
                 .box()
                 .id;
         for (int i = 0; i < 5; i++) {
-            w.at(
+            cluster.at(
                     31_000 + i * 700L,
-                    () -> w.workers.stream()
-                            .filter(x -> x.box().id.equals(id))
+                    () -> cluster.workers.stream()
+                            .filter(worker -> worker.box().id.equals(machineId))
                             .findFirst()
-                            .ifPresent(x -> w.restart(x, 100)));
+                            .ifPresent(worker -> cluster.restart(worker, 100)));
         }
-        w.at(32_500, () -> w.leader().crash(100));
-        w.sim.run(60_000);
-        kept(w);
-        assertEquals(12, w.checker.places.size());
+        cluster.at(32_500, () -> cluster.leader().crash(100));
+        cluster.sim.run(60_000);
+        kept(cluster);
+        assertEquals(12, cluster.checker.places.size());
     }
 
     @ParameterizedTest
     @CsvSource({"1, 3, 50", "2, 3, 300", "3, 7, 120", "4, 7, 500", "5, 3, 80", "6, 7, 50"})
     @DisplayName("controllers end and are back before anybody notices: one, the leader, all, in elections and outages")
-    void controllersAreBackAtOnce(long seed, int controllers, long back) {
-        SimulatedCluster w = world(410 + seed, controllers);
-        services(w, 8);
-        load(w);
+    void allJobsEndWhenControllersRestartWithinMilliseconds(long seed, int controllers, long backAfterMs) {
+        SimulatedCluster cluster = newCluster(410 + seed, controllers);
+        services(cluster, 8);
+        scheduleLoad(cluster);
         for (int i = 0; i < 5; i++) {
-            w.at(34_000 + i * 400L, () -> crash(w.leader(), back));
-            w.at(46_000 + i * 2_100L, () -> w.nodes.forEach(n -> crash(n, back + n.index * 30L)));
+            cluster.at(34_000 + i * 400L, () -> crash(cluster.leader(), backAfterMs));
+            cluster.at(
+                    46_000 + i * 2_100L,
+                    () -> cluster.nodes.forEach(node -> crash(node, backAfterMs + node.index * 30L)));
         }
-        w.at(62_000, () -> w.state.outage(true));
+        cluster.at(62_000, () -> cluster.state.outage(true));
         for (int i = 0; i < 3; i++) {
-            w.at(64_000 + i * 1_700L, () -> crash(w.nodes.get(1), back));
+            cluster.at(64_000 + i * 1_700L, () -> crash(cluster.nodes.get(1), backAfterMs));
         }
-        w.at(70_000, () -> crash(w.leader(), back));
-        w.at(74_000, () -> w.state.outage(false));
-        w.sim.run(180_000);
-        kept(w);
+        cluster.at(70_000, () -> crash(cluster.leader(), backAfterMs));
+        cluster.at(74_000, () -> cluster.state.outage(false));
+        cluster.sim.run(180_000);
+        kept(cluster);
         for (int i = 20; i < 60; i++) {
-            String told = w.checker.told.get(SampleJobs.id(i));
-            assertTrue("done".equals(told) || "cancelled".equals(told), "job " + i + " is " + told);
+            String status = cluster.checker.told.get(SampleJobs.id(i));
+            assertTrue("done".equals(status) || "cancelled".equals(status), "job " + i + " is " + status);
         }
     }
 
@@ -120,19 +124,19 @@
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName(
             "a third of all messages comes again late, between any two parties, with takeovers and lost machines beside")
-    void lateCopiesOfEverything(long seed) {
-        SimulatedCluster w = world(420 + seed, 3);
-        w.sim.copied.put("", 0.3);
-        w.sim.copied.put("users", 0.0);
-        services(w, 8);
-        load(w);
-        w.at(40_000, () -> crash(w.leader(), 200));
-        w.at(55_000, () -> w.restart(w.workers.get(0), 200));
-        w.at(60_000, () -> w.workers.get(1).hang(true));
-        w.at(70_000, () -> w.workers.get(1).hang(false));
-        w.at(80_000, () -> w.nodes.forEach(n -> crash(n, 1_000)));
-        w.sim.run(200_000);
-        kept(w);
+    void invariantsHoldWhenLateCopiesOfMessagesArrive(long seed) {
+        SimulatedCluster cluster = newCluster(420 + seed, 3);
+        cluster.sim.copied.put("", 0.3);
+        cluster.sim.copied.put("users", 0.0);
+        services(cluster, 8);
+        scheduleLoad(cluster);
+        cluster.at(40_000, () -> crash(cluster.leader(), 200));
+        cluster.at(55_000, () -> cluster.restart(cluster.workers.get(0), 200));
+        cluster.at(60_000, () -> cluster.workers.get(1).hang(true));
+        cluster.at(70_000, () -> cluster.workers.get(1).hang(false));
+        cluster.at(80_000, () -> cluster.nodes.forEach(node -> crash(node, 1_000)));
+        cluster.sim.run(200_000);
+        kept(cluster);
     }
 
     /**
@@ -141,118 +145,119 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aStartComesAgainAfterItsClear(long seed) {
-        SimulatedCluster w = world(430 + seed, 3);
-        services(w, 4);
-        w.workers.forEach(x -> w.sim.copied.put(x.box().id, 1.0));
-        w.sim.copiedWithinMs = 40_000;
+    void lateCopyOfStartDoesNotRunClearedTaskAgain(long seed) {
+        SimulatedCluster cluster = newCluster(430 + seed, 3);
+        services(cluster, 4);
+        cluster.workers.forEach(worker -> cluster.sim.copied.put(worker.box().id, 1.0));
+        cluster.sim.copiedWithinMs = 40_000;
         for (int i = 0; i < 16; i++) {
-            w.users.submit(SampleJobs.job(60 + i, "blue", false, 1, 1, 60));
+            cluster.users.submit(SampleJobs.job(60 + i, "blue", false, 1, 1, 60));
         }
         for (int i = 0; i < 16; i++) {
             String task = SampleJobs.id(60 + i) + "/0";
-            w.at(36_000 + i * 300L, () -> w.workers.forEach(x -> x.fail(task)));
+            cluster.at(36_000 + i * 300L, () -> cluster.workers.forEach(worker -> worker.fail(task)));
         }
-        w.sim.run(140_000);
-        kept(w);
+        cluster.sim.run(140_000);
+        kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     @DisplayName("late reports of a machine's earlier life say nothing of what its present life runs")
-    void lateReportsOfAnEarlierLife(long seed) {
-        SimulatedCluster w = world(440 + seed, 3);
-        services(w, 12);
-        w.nodes.forEach(n -> w.sim.copied.put(n.host.name, 1.0));
-        w.sim.copiedWithinMs = 12_000;
-        List<EmulatedWorker> busy =
-                w.workers.stream().filter(x -> x.running() != null).toList();
-        for (int i = 0; i < busy.size(); i++) {
-            EmulatedWorker x = busy.get(i);
-            w.at(42_000 + i * 1_500L, () -> w.restart(x, 100));
+    void lateHeartbeatsFromBeforeRestartAreIgnored(long seed) {
+        SimulatedCluster cluster = newCluster(440 + seed, 3);
+        services(cluster, 12);
+        cluster.nodes.forEach(node -> cluster.sim.copied.put(node.host.name, 1.0));
+        cluster.sim.copiedWithinMs = 12_000;
+        List<EmulatedWorker> busyWorkers = cluster.workers.stream()
+                .filter(worker -> worker.running() != null)
+                .toList();
+        for (int i = 0; i < busyWorkers.size(); i++) {
+            EmulatedWorker worker = busyWorkers.get(i);
+            cluster.at(42_000 + i * 1_500L, () -> cluster.restart(worker, 100));
         }
-        w.sim.run(120_000);
-        kept(w);
-        assertEquals(12, w.checker.places.size());
+        cluster.sim.run(120_000);
+        kept(cluster);
+        assertEquals(12, cluster.checker.places.size());
     }
 
     @Test
     @DisplayName("a refusal that comes late does not cost the lead in an outage that all have promised to wait out")
-    void aRefusalComesLate() {
-        SimulatedCluster w = world(445, 3);
-        services(w, 12);
-        int starts = w.checker.starts;
-        ControllerNode leader = w.leader();
-        w.state.outage(true);
-        String other = w.nodes.get((leader.index + 1) % 3).host.name;
-        w.at(
+    void leaderKeepsLeadershipWhenRefusalArrivesLateInOutage() {
+        SimulatedCluster cluster = newCluster(445, 3);
+        services(cluster, 12);
+        int startsBefore = cluster.checker.starts;
+        ControllerNode leader = cluster.leader();
+        cluster.state.outage(true);
+        String follower = cluster.nodes.get((leader.index + 1) % 3).host.name;
+        cluster.at(
                 40_000,
                 () -> leader.controller.received(new PeerMessage.Refuse(
-                        other, w.status(leader).path("token").asLong(), 1)));
-        w.at(30_000 + 3 * LEASE_MS, () -> w.state.outage(false));
-        w.sim.run(60_000 + 3 * LEASE_MS);
-        kept(w);
-        assertEquals(starts, w.checker.starts, "nothing was lost");
+                        follower, cluster.status(leader).path("token").asLong(), 1)));
+        cluster.at(30_000 + 3 * LEASE_MS, () -> cluster.state.outage(false));
+        cluster.sim.run(60_000 + 3 * LEASE_MS);
+        kept(cluster);
+        assertEquals(startsBefore, cluster.checker.starts, "nothing was lost");
     }
 
     @Test
     @DisplayName("signs of life of a leader of the past do not hide the present one: reports are still carried to it")
-    void aSignOfLifeOfThePast() {
-        SimulatedCluster w = world(446, 3);
-        services(w, 12);
-        int starts = w.checker.starts;
-        ControllerNode leader = w.leader();
-        w.workers.forEach(x -> w.sim.cut(leader.host.name, x.box().id));
-        w.nodes.stream().filter(n -> n != leader).forEach(n -> {
-            PeerMessage late = new PeerMessage.RunningCounts(
-                    w.nodes.stream()
-                            .filter(o -> o != n && o != leader)
+    void heartbeatsAreForwardedToLeaderWhenOldPeerMessagesArrive() {
+        SimulatedCluster cluster = newCluster(446, 3);
+        services(cluster, 12);
+        int startsBefore = cluster.checker.starts;
+        ControllerNode leader = cluster.leader();
+        cluster.workers.forEach(worker -> cluster.sim.cut(leader.host.name, worker.box().id));
+        cluster.nodes.stream().filter(node -> node != leader).forEach(node -> {
+            PeerMessage staleMessage = new PeerMessage.RunningCounts(
+                    cluster.nodes.stream()
+                            .filter(other -> other != node && other != leader)
                             .findFirst()
                             .orElseThrow()
                             .host
                             .name,
                     Map.of(),
                     false);
-            for (long t = 30_000; t < 30_000 + 2 * LEASE_MS; t += 50) {
-                w.at(t, () -> n.controller.received(late));
+            for (long atMs = 30_000; atMs < 30_000 + 2 * LEASE_MS; atMs += 50) {
+                cluster.at(atMs, () -> node.controller.received(staleMessage));
             }
         });
-        w.sim.run(30_000 + 2 * LEASE_MS);
-        kept(w);
-        assertEquals(starts, w.checker.starts, "no lease ran out");
+        cluster.sim.run(30_000 + 2 * LEASE_MS);
+        kept(cluster);
+        assertEquals(startsBefore, cluster.checker.starts, "no lease ran out");
     }
 
     @Test
     @DisplayName("a leader that stood still for less than its hold takes nobody for silent")
-    void aLeaderStandsStill() {
-        SimulatedCluster w = world(450, 3);
-        services(w, 12);
-        int starts = w.checker.starts;
-        int[] asked = new int[1];
-        w.checker.orders =
-                (order, machine, attempt, pool, repeated) -> asked[0] += order == GroundTruth.Order.CALL ? 1 : 0;
+    void machinesAreNotTreatedAsSilentWhenLeaderPausesForLessThanHold() {
+        SimulatedCluster cluster = newCluster(450, 3);
+        services(cluster, 12);
+        int startsBefore = cluster.checker.starts;
+        int[] calls = new int[1];
+        cluster.checker.orders =
+                (order, machine, attempt, pool, repeated) -> calls[0] += order == GroundTruth.Order.CALL ? 1 : 0;
         for (int i = 0; i < 6; i++) {
-            w.at(31_000 + i * 5_290L, () -> w.leader().host.freeze(2_300));
+            cluster.at(31_000 + i * 5_290L, () -> cluster.leader().host.freeze(2_300));
         }
-        w.sim.run(80_000);
-        assertEquals(0, asked[0], "machines that were asked for a silence that was the leader's own");
-        kept(w);
-        assertEquals(starts, w.checker.starts, "nothing was run again");
-        assertEquals(0, w.metric(w.leader(), "landingridge_settled"));
+        cluster.sim.run(80_000);
+        assertEquals(0, calls[0], "machines that were asked for a silence that was the leader's own");
+        kept(cluster);
+        assertEquals(startsBefore, cluster.checker.starts, "nothing was run again");
+        assertEquals(0, cluster.metric(cluster.leader(), "landingridge_settled"));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {4_000, 12_000, 30_000})
     @DisplayName(
             "a leader that stood still for longer than its hold, and others too, gives nothing from its former right")
-    void longerThanTheHold(long ms) {
-        SimulatedCluster w = world(451, 3);
-        services(w, 8);
-        load(w);
-        w.at(33_300, () -> w.leader().host.freeze(ms));
-        w.at(70_100, () -> w.nodes.forEach(n -> n.host.freeze(ms / 2)));
-        w.sim.run(180_000);
-        kept(w);
-        assertNotEquals(null, w.leader());
+    void invariantsHoldWhenLeaderPausesForLongerThanHold(long pauseMs) {
+        SimulatedCluster cluster = newCluster(451, 3);
+        services(cluster, 8);
+        scheduleLoad(cluster);
+        cluster.at(33_300, () -> cluster.leader().host.freeze(pauseMs));
+        cluster.at(70_100, () -> cluster.nodes.forEach(node -> node.host.freeze(pauseMs / 2)));
+        cluster.sim.run(180_000);
+        kept(cluster);
+        assertNotEquals(null, cluster.leader());
     }
 }
