--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -181,7 +181,7 @@
         for (ControllerNode node : cluster.nodes) {
             assertEquals(
                     node.index == 0 ? 201 : 200,
-                    submitStatus(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1))),
+                    submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1))),
                     "a lawful one is accepted");
         }
         int number = 2;
@@ -190,11 +190,11 @@
             for (ControllerNode node : cluster.nodes) {
                 assertEquals(
                         invalid.status(),
-                        submitStatus(cluster, node, invalid.body().deepCopy().put("id", id)),
+                        submit(cluster, node, invalid.body().deepCopy().put("id", id)),
                         invalid.what());
                 assertEquals(
                         200,
-                        submitStatus(cluster, node, invalid.body().deepCopy().put("id", SampleJobs.id(1))),
+                        submit(cluster, node, invalid.body().deepCopy().put("id", SampleJobs.id(1))),
                         invalid.what() + " of a known job");
             }
         }
@@ -204,7 +204,7 @@
         }
     }
 
-    private static int submitStatus(SimulatedCluster cluster, ControllerNode node, ObjectNode body) {
+    private static int submit(SimulatedCluster cluster, ControllerNode node, ObjectNode body) {
         return cluster.users.post(node, Json.bytes(body));
     }
 
@@ -266,16 +266,16 @@
     @DisplayName("stored values that cannot be read are named, never taken for empty, and the rest goes on")
     void unreadableStoredValuesAreReportedAndOtherJobsEnd() {
         SimulatedCluster cluster = new SimulatedCluster(920, 0);
-        List<String> storedValues = List.of(
+        List<String> values = List.of(
                 "{\"at\":1,\"spec\":{\"id\":\"job-000001\"}}",
                 "{\"ended\":\"LOST\",\"takes\":1}",
                 "\"x\"",
                 "[]",
                 "{\"ended\":\"ACCEPTED\"}");
-        for (int i = 0; i < storedValues.size(); i++) {
+        for (int i = 0; i < values.size(); i++) {
             cluster.state.seed(
                     "lr/job/" + SampleJobs.id(1 + i),
-                    Json.parse(storedValues.get(i).getBytes()));
+                    Json.parse(values.get(i).getBytes()));
         }
         cluster.state.seed(
                 "lr/op/r-1-1", Json.parse("{\"kind\":\"BUY\",\"state\":\"UNKNOWN\",\"request\":{}}".getBytes()));
@@ -286,11 +286,11 @@
         cluster.sim.run(60_000);
         everybodySaysTheSame(cluster, ids);
         for (ControllerNode node : cluster.nodes) {
-            for (int i = 0; i < storedValues.size(); i++) {
+            for (int i = 0; i < values.size(); i++) {
                 assertEquals(
                         503,
-                        submitStatus(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1 + i))),
-                        storedValues.get(i));
+                        submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1 + i))),
+                        values.get(i));
             }
         }
         assertEquals(
