--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -19,12 +19,15 @@
 import org.landingridge.controller.settings.Settings;
 import org.landingridge.wire.Json;
 
-/** What users are told when they look closely, call off at the worst moment, or ask for odd things; {@code docs/meetings.md}. */
+/**
+ * Guards against controllers that give users contradictory, older or wrong answers: right after a change, when a job is cancelled
+ * at the worst moment, or for invalid requests. The combinations of faults are listed in {@code docs/meetings.md}.
+ */
 class ApiConsistencyTest {
     private static final int FIRST_JOB = 100;
     private static final int JOB_COUNT = 40;
 
-    /** What befalls the service while users look. */
+    /** Fault that is injected while users query the service. */
     enum Fault {
         NONE,
         LEADER_CRASHES,
@@ -37,7 +40,7 @@
         STATE_SERVICE_SLOW
     }
 
-    /** Short jobs of one to three tasks, one each half second; a quarter is called off after a while. */
+    /** Schedules short jobs of one to three tasks, one every 500 ms; a quarter of them are cancelled 1.8 to 5.4 s later. */
     private static List<String> scheduleJobs(SimulatedCluster cluster, long fromMs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < JOB_COUNT; i++) {
@@ -78,7 +81,8 @@
                 cluster.at(25_000, () -> cluster.state.lateWrites(0, null));
             }
             case FULL_RELOAD -> {
-                // Few changes are kept, and one controller cannot read for a while: it reads everything again.
+                // The state service retains few changes, and one controller can't read for a while: it must reload
+                // everything.
                 cluster.state.keepChanges(10);
                 cluster.at(10_000, () -> cluster.state.refuse("rig-1", true));
                 cluster.at(22_000, () -> cluster.state.refuse("rig-1", false));
@@ -274,8 +278,7 @@
                 "{\"ended\":\"ACCEPTED\"}");
         for (int i = 0; i < values.size(); i++) {
             cluster.state.seed(
-                    "lr/job/" + SampleJobs.id(1 + i),
-                    Json.parse(values.get(i).getBytes()));
+                    "lr/job/" + SampleJobs.id(1 + i), Json.parse(values.get(i).getBytes()));
         }
         cluster.state.seed(
                 "lr/op/r-1-1", Json.parse("{\"kind\":\"BUY\",\"state\":\"UNKNOWN\",\"request\":{}}".getBytes()));
@@ -288,9 +291,7 @@
         for (ControllerNode node : cluster.nodes) {
             for (int i = 0; i < values.size(); i++) {
                 assertEquals(
-                        503,
-                        submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1 + i))),
-                        values.get(i));
+                        503, submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1 + i))), values.get(i));
             }
         }
         assertEquals(
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -21,7 +21,11 @@
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Priority;
 
-/** Where work may be, and how much of it, when troubles meet that the operators named later; {@code docs/meetings.md}. */
+/**
+ * Guards against tasks that run twice, in a forbidden place or beyond their team's limit, and against work that never starts.
+ * Such faults come about when several failures meet: leader changes together with lost, late or replayed messages, machines that
+ * hang or are cut off, and cancellations. The combinations are listed in {@code docs/meetings.md}.
+ */
 class PlacementUnderFaultsTest {
     private static final int FIRST_JOB = 40;
 
@@ -105,8 +109,8 @@
     }
 
     /**
-     * One task of a job that has to be together is heard of by the new leader and then lost; where the other is, cut off and
-     * running, nobody has told it yet.
+     * The tasks of each job must run in one zone, or each on a machine of its own. A new leader receives a report of one task,
+     * which then fails. The other tasks still run on machines that are cut off, so the leader doesn't know yet where they are.
      */
     @ParameterizedTest
     @CsvSource({"1, true", "2, true", "3, false", "4, false", "5, true", "6, false"})
@@ -117,7 +121,7 @@
         for (int i = 0; i < 4; i++) {
             cluster.users.submit(constrainedJob(FIRST_JOB + i, tasks, 3, 300, null, oneZone, !oneZone));
         }
-        // Room in both zones, so that what is lost finds a place at once.
+        // These two jobs leave room in both zones, so that a lost task can be placed again at once.
         cluster.users.submit(constrainedJob(FIRST_JOB + 10, 6, 3, 12, "a", false, false));
         cluster.users.submit(constrainedJob(FIRST_JOB + 11, 6, 3, 12, "b", false, false));
         cluster.sim.run(47_000);
@@ -213,7 +217,7 @@
             cluster.at(roundStartMs + 120, () -> crash(cluster.leader(), 400));
             cluster.at(roundStartMs + 5_000, () -> cluster.refuse(cluster.leader(), 4_000));
             cluster.at(roundStartMs + 9_000, () -> cluster.nodes.forEach(node -> crash(node, 200)));
-            // No earlier leader has started what comes now: only what others may hold keeps it back.
+            // No earlier leader has started these jobs, so only tasks that machines may still hold can delay them.
             for (int i = 0; i < 8; i++) {
                 int number = FIRST_JOB + 24 + 8 * round + i;
                 cluster.at(
@@ -230,7 +234,7 @@
         assertEquals(40, cluster.over("done") + cluster.over("cancelled"));
     }
 
-    /** Both teams have limits, and there are more machines than they may use. */
+    /** Both teams have limits, and there are more machines than the limits allow them to use. */
     private static ClusterSetup withTeamLimits(long seed) {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("red", new Settings.Team("red", 4, 8, 0, 0));
@@ -417,7 +421,7 @@
         SimulatedCluster cluster = new SimulatedCluster(1_180 + seed, 8);
         services(cluster, 2);
         cluster.users.submit(SampleJobs.job(FIRST_JOB, "red", false, 8, 1, 300));
-        // Its machines are free when the limit is all that keeps the next job back.
+        // Ends early, so that its machines are free and only the team limit holds back the next job.
         cluster.users.submit(SampleJobs.job(FIRST_JOB + 2, "blue", false, 8, 1, 7));
         cluster.sim.run(45_000);
         cluster.users.submit(SampleJobs.job(FIRST_JOB + 1, "red", false, 8, 1, 5));
@@ -428,7 +432,7 @@
         cluster.at(
                 46_000,
                 () -> muteWorkers.forEach(worker -> cluster.heartbeatFaults.droppedMachines.add(worker.box().id)));
-        // The leader that could act on it has just ended.
+        // The leader has just crashed, so it can't act on the cancellation.
         ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
         cluster.at(46_500, () -> cluster.leader().crash(300));
         cluster.at(46_510, () -> cluster.users.askOnce(SampleJobs.id(FIRST_JOB), "cancel", follower.index));
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -19,7 +19,10 @@
 import org.landingridge.emulator.EmulatedWorker;
 import org.landingridge.emulator.GroundTruth;
 
-/** Processes and machines that are back within a fraction of a second, late copies of what was sent, pauses. */
+/**
+ * Guards against state from before a restart or a pause being taken as current. Machines and controllers return within fractions
+ * of a second under the same name, copies of old messages arrive late, and leaders pause for less or more than their hold time.
+ */
 class RapidRestartTest {
     private static final long LEASE_MS = 20_000;
 
@@ -35,7 +38,7 @@
                 new Settings.State(200, 20, 4, 8)));
     }
 
-    /** Arrays that come, end, fail and are cancelled all the time, beside the services. */
+    /** Schedules array jobs that are submitted, end, fail and are cancelled all the time, in addition to the services. */
     private static void scheduleLoad(SimulatedCluster cluster) {
         for (int i = 20; i < 60; i++) {
             int number = i;
@@ -140,8 +143,9 @@
     }
 
     /**
-     * The one command that may not be repeated: a start after the clear of its attempt runs the task once more. Attempts fail,
-     * are cleared and placed elsewhere while copies of their starts are still on the way, token and session matching.
+     * A start is the only command that must not be repeated: a copy that arrives after the attempt was cleared would run the task
+     * once more. Attempts fail, are cleared and are placed elsewhere while copies of their start commands, with matching token
+     * and session, are still in transit.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
