--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -76,8 +76,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0.3", "2, 0.6", "3, 1.0", "4, 1.0", "5, 0.5"})
-    @DisplayName(
-            "kept reports reach every controller as a leader begins, again and again: they move, end, stop nothing")
+    @DisplayName("heartbeats replayed to every controller at each leader change move, end and stop no task")
     void replayedHeartbeatsChangeNothingWhenLeadersChange(long seed, double faultShare) {
         SimulatedCluster cluster = new SimulatedCluster(1_020 + seed, 8);
         services(cluster, 4);
@@ -150,13 +149,12 @@
         settled(cluster, jobIds(FIRST_JOB, 4));
         assertTrue(
                 IntStream.range(0, 4).allMatch(i -> cluster.running(SampleJobs.id(FIRST_JOB + i), tasks)),
-                "all of them run");
+                "not all four jobs run all their tasks");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName(
-            "machines that reach no controller while calls reach them hold nothing beyond their lease, and get no more")
+    @DisplayName("machines that can be called but can't report hold no task after their lease and get no new ones")
     void machinesThatCannotReportHoldNothingAfterTheirLeaseAndGetNoTasks(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(1_060 + seed, 0);
         services(cluster, 4);
@@ -178,10 +176,10 @@
         kept(cluster);
         for (long atMs = cluster.sim.now; atMs < 110_000; atMs += 500) {
             cluster.sim.run(atMs);
-            assertEquals(16, cluster.checker.places.size(), "everything runs, elsewhere, at " + atMs);
+            assertEquals(16, cluster.checker.places.size(), "all tasks should run on other machines at " + atMs);
             assertTrue(
                     muteWorkers.stream().allMatch(worker -> worker.running() == null),
-                    "nothing is given to a machine that cannot report");
+                    "a machine that cannot report was given a task");
         }
         cluster.heartbeatFaults.droppedMachines.clear();
         settled(cluster, jobIds(FIRST_JOB, 6));
@@ -189,8 +187,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 5000, false", "2, 12000, false", "3, 20000, true", "4, 7000, true", "5, 12000, true"})
-    @DisplayName(
-            "teams at their limits; users cancel, the machines concerned hang or are cut off, the leader goes: never above, not held up")
+    @DisplayName("team limits hold and jobs start when users cancel, machines hang or are cut off and leaders crash")
     void teamLimitHoldsWhenJobsAreCancelledDuringFaults(long seed, long faultMs, boolean cutOff) {
         SimulatedCluster cluster = new SimulatedCluster(withTeamLimits(1_080 + seed));
         for (int i = 0; i < 24; i++) {
@@ -253,7 +250,7 @@
     @ParameterizedTest
     @CsvSource({"1, true, 0.5", "2, false, 0.5", "3, true, 0.9", "4, false, 0.8", "5, false, 0.9"})
     @DisplayName(
-            "machines are up at once and get work, while writes lag and the leader ends: nothing runs twice, nothing is kept for nothing")
+            "no task runs twice, no idle machine is kept when machines boot fast, writes go unanswered, leaders crash")
     void noTaskRunsTwiceWhenWritesGoUnansweredAndMachinesBootFast(long seed, boolean loseAnswers, double faultShare) {
         SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 1_100 + seed,
@@ -289,13 +286,15 @@
         settled(cluster, jobIds(FIRST_JOB, 32));
         assertEquals(32, cluster.over("done"));
         cluster.sim.run(420_000);
-        assertTrue(cluster.workers.size() <= 6, cluster.workers.size() + " machines are kept for two services");
+        assertTrue(
+                cluster.workers.size() <= 6,
+                cluster.workers.size() + " machines are kept for two services, expected at most 6");
     }
 
     @ParameterizedTest
     @CsvSource({"1, 40", "2, 200", "3, 700", "4, 1500"})
     @DisplayName(
-            "users call off while work changes hands, at the old leader, the new one and a third; the machines hang, the state service goes")
+            "jobs cancelled at any controller during a takeover are cancelled, also when machines or state service fail")
     void jobsCancelledDuringTakeoverAreCancelledAndOthersRun(long seed, long cancelIntervalMs) {
         SimulatedCluster cluster = new SimulatedCluster(1_120 + seed, 0);
         services(cluster, 2);
@@ -337,7 +336,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, false", "2, true", "3, true"})
-    @DisplayName("leaders change ten times in two minutes, also within an outage; users look closely and cancel")
+    @DisplayName(
+            "controllers agree on every job after ten leader changes in two minutes, also with an outage and cancellations")
     void controllersAgreeOnAllJobsAfterTenLeaderChanges(long seed, boolean outage) {
         SimulatedCluster cluster = new SimulatedCluster(1_140 + seed, 8);
         services(cluster, 3);
@@ -376,7 +376,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName(
-            "a zone with machines and a controller is cut off for longer than a lease, the leader within or without; jobs are cancelled outside")
+            "jobs are cancelled while a zone with a controller is cut off for more than a lease, leader inside or outside")
     void jobsAreCancelledWhileZoneWithControllerIsCutOff(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(1_160 + seed, 0);
         services(cluster, 4);
@@ -416,7 +416,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName(
-            "a cancelled job that a fresh leader has no room to remember still runs on machines that cannot report: its team's limit holds")
+            "the team limit holds while a cancelled job that a new leader has not cached runs on machines that can't report")
     void teamLimitHoldsWhenNewLeaderHasNotCachedCancelledJob(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(1_180 + seed, 8);
         services(cluster, 2);
@@ -451,7 +451,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     @DisplayName(
-            "more work than room, urgent and not, over slow links, through a change of leader: the largest begin, all is served in the end")
+            "large jobs start in time and all jobs end when urgent jobs exceed capacity, over slow links and a leader change")
     void largeJobsStartInTimeWhenUrgentJobsExceedCapacity(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 1_200 + seed,
@@ -505,7 +505,7 @@
         for (int i = 0; i < 3; i++) {
             assertTrue(
                     cluster.checker.firstStart(SampleJobs.id(FIRST_JOB + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
-                    "a large one has begun in time");
+                    "a large job did not start within 240 s of its submission");
         }
         ClusterAssertions.everybodySaysTheSame(cluster, ids);
     }
