--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -54,7 +54,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {50, 300, 2_500})
-    @DisplayName("a machine that is back under its old name is not taken for the one that held the tasks")
+    @DisplayName("a machine that restarts under its old name is not taken for the holder of its former tasks")
     void tasksRunAgainBeforeLeaseExpiryWhenTheirMachineRestarts(long backAfterMs) {
         SimulatedCluster cluster = newCluster(401, 3);
         services(cluster, 12);
@@ -64,7 +64,7 @@
                 .orElseThrow();
         cluster.restart(restartedWorker, backAfterMs);
         cluster.sim.run(30_000 + backAfterMs + 8_000);
-        assertEquals(12, cluster.checker.places.size(), "everything runs again long before a lease is over");
+        assertEquals(12, cluster.checker.places.size(), "all tasks should run again long before a lease expires");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_lapses"));
         cluster.sim.run(90_000);
         kept(cluster);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    @DisplayName("the same machine five times in a row, in the middle of a takeover too")
+    @DisplayName("tasks run again after one machine restarts five times in a row, also during a takeover")
     void tasksRunAgainWhenMachineRestartsFiveTimesDuringTakeover() {
         SimulatedCluster cluster = newCluster(402, 3);
         services(cluster, 12);
@@ -98,7 +98,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, 3, 50", "2, 3, 300", "3, 7, 120", "4, 7, 500", "5, 3, 80", "6, 7, 50"})
-    @DisplayName("controllers end and are back before anybody notices: one, the leader, all, in elections and outages")
+    @DisplayName(
+            "all jobs end when one controller, the leader or all of them restart unnoticed, also in elections and outages")
     void allJobsEndWhenControllersRestartWithinMilliseconds(long seed, int controllers, long backAfterMs) {
         SimulatedCluster cluster = newCluster(410 + seed, controllers);
         services(cluster, 8);
@@ -126,7 +127,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     @DisplayName(
-            "a third of all messages comes again late, between any two parties, with takeovers and lost machines beside")
+            "late copies of 30% of the messages between any hosts but users break no invariant, with takeovers and lost machines")
     void invariantsHoldWhenLateCopiesOfMessagesArrive(long seed) {
         SimulatedCluster cluster = newCluster(420 + seed, 3);
         cluster.sim.copied.put("", 0.3);
@@ -167,7 +168,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    @DisplayName("late reports of a machine's earlier life say nothing of what its present life runs")
+    @DisplayName("late heartbeats from before a machine's restart don't count as reports of its current tasks")
     void lateHeartbeatsFromBeforeRestartAreIgnored(long seed) {
         SimulatedCluster cluster = newCluster(440 + seed, 3);
         services(cluster, 12);
@@ -186,7 +187,7 @@
     }
 
     @Test
-    @DisplayName("a refusal that comes late does not cost the lead in an outage that all have promised to wait out")
+    @DisplayName("a late refusal does not end leadership in an outage that all controllers have promised to wait out")
     void leaderKeepsLeadershipWhenRefusalArrivesLateInOutage() {
         SimulatedCluster cluster = newCluster(445, 3);
         services(cluster, 12);
@@ -201,11 +202,11 @@
         cluster.at(30_000 + 3 * LEASE_MS, () -> cluster.state.outage(false));
         cluster.sim.run(60_000 + 3 * LEASE_MS);
         kept(cluster);
-        assertEquals(startsBefore, cluster.checker.starts, "nothing was lost");
+        assertEquals(startsBefore, cluster.checker.starts, "no task should start again");
     }
 
     @Test
-    @DisplayName("signs of life of a leader of the past do not hide the present one: reports are still carried to it")
+    @DisplayName("heartbeats are still forwarded to the current leader when old messages of a former leader arrive")
     void heartbeatsAreForwardedToLeaderWhenOldPeerMessagesArrive() {
         SimulatedCluster cluster = newCluster(446, 3);
         services(cluster, 12);
@@ -228,11 +229,11 @@
         });
         cluster.sim.run(30_000 + 2 * LEASE_MS);
         kept(cluster);
-        assertEquals(startsBefore, cluster.checker.starts, "no lease ran out");
+        assertEquals(startsBefore, cluster.checker.starts, "no lease should expire and no task should start again");
     }
 
     @Test
-    @DisplayName("a leader that stood still for less than its hold takes nobody for silent")
+    @DisplayName("a leader that pauses for less than its hold time treats no machine as silent")
     void machinesAreNotTreatedAsSilentWhenLeaderPausesForLessThanHold() {
         SimulatedCluster cluster = newCluster(450, 3);
         services(cluster, 12);
@@ -244,16 +245,16 @@
             cluster.at(31_000 + i * 5_290L, () -> cluster.leader().host.freeze(2_300));
         }
         cluster.sim.run(80_000);
-        assertEquals(0, calls[0], "machines that were asked for a silence that was the leader's own");
+        assertEquals(0, calls[0], "the leader called machines as silent after its own pause");
         kept(cluster);
-        assertEquals(startsBefore, cluster.checker.starts, "nothing was run again");
+        assertEquals(startsBefore, cluster.checker.starts, "no task should start again");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_settled"));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {4_000, 12_000, 30_000})
     @DisplayName(
-            "a leader that stood still for longer than its hold, and others too, gives nothing from its former right")
+            "a leader that pauses for longer than its hold time grants nothing under its expired leadership, others pausing too")
     void invariantsHoldWhenLeaderPausesForLongerThanHold(long pauseMs) {
         SimulatedCluster cluster = newCluster(451, 3);
         services(cluster, 8);
