--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -96,8 +96,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    @DisplayName(
-            "asked at all controllers within milliseconds of an acceptance, an end, a cancellation: nobody tells anything older")
+    @DisplayName("no controller returns an older status within milliseconds of an acceptance, end or cancellation")
     void controllersReturnNothingOlderWhenAskedRightAfterChange(Fault fault) {
         for (int seed = 0; seed < 3; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(700 + 10 * fault.ordinal() + seed, 0);
@@ -111,8 +110,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    @DisplayName(
-            "called off, asked for and submitted again at the moment at which the last task ends: one of done and cancelled, for good")
+    @DisplayName("a job cancelled, queried and resubmitted as its last task ends stays either done or cancelled")
     void jobHasOneFinalStatusWhenCancelledAsLastTaskEnds(Fault fault) {
         for (int seed = 0; seed < 3; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(800 + 10 * fault.ordinal() + seed, 0);
@@ -126,8 +124,7 @@
     }
 
     @Test
-    @DisplayName(
-            "with no trouble a job is called done at every controller three seconds after its last task, and who cancels then hears done")
+    @DisplayName("without faults every controller reports done 3 s after a job's last task, also to cancellations")
     void jobIsDoneAtEveryControllerThreeSecondsAfterLastTask() {
         SimulatedCluster cluster = new SimulatedCluster(790, 0);
         List<String> lateJobs = new ArrayList<>();
@@ -145,13 +142,12 @@
         cluster.sim.run(60_000);
         assertEquals(List.of(), lateJobs);
         everybodySaysTheSame(cluster, ids);
-        assertTrue(cluster.over("done") > JOB_COUNT / 2, "some are");
+        assertTrue(cluster.over("done") > JOB_COUNT / 2, "more than half of the jobs should be done");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    @DisplayName(
-            "looked at while ended jobs move into the history, at controllers that keep few of them and one that was just started")
+    @DisplayName("controllers agree while ended jobs move into the history, also with few cached or after a restart")
     void controllersAgreeWhileEndedJobsMoveIntoHistory(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(880 + seed, 0);
         HistorySeeds.jobKeys(cluster, 3_000, 600, 1);
@@ -168,7 +164,7 @@
         cluster.at(45_000, () -> crash(cluster.nodes.get((cluster.leader().index + 1) % 3), 150));
         cluster.at(50_000, () -> crash(cluster.leader(), 300));
         cluster.sim.run(110_000);
-        assertTrue(cluster.state.keys("lr/job/").size() < 560, "some have moved");
+        assertTrue(cluster.state.keys("lr/job/").size() < 560, "some ended jobs should have moved into the history");
         everybodySaysTheSame(cluster, ids);
         everybodySaysTheSame(
                 cluster,
@@ -176,8 +172,7 @@
     }
 
     @Test
-    @DisplayName(
-            "what is malformed gets 400 and what can never run 422, at every controller; a known job its state, whatever comes under its id")
+    @DisplayName("at every controller malformed jobs get 400, impossible ones 422, known ids their status for any body")
     void invalidSubmissionsGet400Or422AndKnownJobsKeepTheirStatus() {
         SimulatedCluster cluster = new SimulatedCluster(890, 0);
         cluster.sim.run(5_000);
@@ -186,7 +181,7 @@
             assertEquals(
                     node.index == 0 ? 201 : 200,
                     submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1))),
-                    "a lawful one is accepted");
+                    "a valid job should be accepted");
         }
         int number = 2;
         for (InvalidSubmissions.Odd invalid : InvalidSubmissions.all("")) {
@@ -215,7 +210,7 @@
     @ParameterizedTest
     @CsvSource({"1, 0", "2, 300", "3, 1500"})
     @DisplayName(
-            "one-task jobs, four a second for two minutes, a quarter cancelled, on fifteen changes a second; leader and state service go meanwhile")
+            "480 one-task jobs, 4 a second, a quarter cancelled, all end at 15 writes/s, also with leader crashes and an outage")
     void allJobsEndWhenManySmallJobsMeetLowWriteRate(long seed, long backAfterMs) {
         SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 900 + seed,
@@ -261,13 +256,13 @@
         }
         assertEquals(482, cluster.over("done") + cluster.over("cancelled"));
         for (ControllerNode node : cluster.nodes) {
-            assertTrue(cluster.status(node).path("activeJobs").asInt() == 0, "nothing is left");
+            assertTrue(cluster.status(node).path("activeJobs").asInt() == 0, "no active job should be left");
         }
         kept(cluster);
     }
 
     @Test
-    @DisplayName("stored values that cannot be read are named, never taken for empty, and the rest goes on")
+    @DisplayName("unreadable stored values are reported, never treated as empty, and other jobs continue")
     void unreadableStoredValuesAreReportedAndOtherJobsEnd() {
         SimulatedCluster cluster = new SimulatedCluster(920, 0);
         List<String> values = List.of(
@@ -299,6 +294,6 @@
                 cluster.state.keys("lr/op/").stream()
                         .filter(key -> key.endsWith("-1-1") || key.endsWith("-1-2") || key.endsWith("-1-3"))
                         .count(),
-                "they stay");
+                "unreadable operations should stay in the state service");
     }
 }
