--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -21,69 +21,77 @@
 /** The configuration of teams changes while everything runs and fails; a plain model keeps what each change made. */
 class LiveConfigurationTest {
     /** Within so long a change is in force everywhere. */
-    private static final long IN_FORCE_MS = 7_000;
+    private static final long EFFECTIVE_WITHIN_MS = 7_000;
 
-    private static final double NONE = -1;
+    private static final double NOT_CHANGED = -1;
 
-    private final Map<String, Integer> acknowledged = new HashMap<>();
-    private int asked;
+    private final Map<String, Integer> acknowledgedNumbersByKey = new HashMap<>();
+    private int openRequests;
 
-    private static ObjectNode change(String key) {
+    private static ObjectNode newChange(String key) {
         return Json.object().put("key", key).put("by", "test").put("why", "a test");
     }
 
-    private static ObjectNode limit(String key, String team, double cpus, double cpusMax) {
-        ObjectNode change = change(key);
+    private static ObjectNode limitChange(String key, String team, double cpus, double cpusMax) {
+        ObjectNode change = newChange(key);
         change.putObject("set").putObject(team).put("cpus", cpus).put("cpusMax", cpusMax);
         return change;
     }
 
     /** Asks until the change is known to be made, with the same key throughout. */
-    private void ask(SimulatedCluster w, ObjectNode change, int tries) {
+    private void submitUntilAcknowledged(SimulatedCluster cluster, ObjectNode change, int attempts) {
         String key = change.get("key").textValue();
-        w.users.configure(w.sim.random.nextInt(w.nodes.size()), change, reply -> {
+        cluster.users.configure(cluster.sim.random.nextInt(cluster.nodes.size()), change, reply -> {
             if (reply.outcome() == Http.Outcome.ANSWERED && reply.status() == 200) {
                 int number = Json.parse(reply.body()).get("number").intValue();
-                Integer before = acknowledged.put(key, number);
-                assertTrue(before == null || before == number, key + " was made as " + before + " and as " + number);
-            } else if (tries > 1) {
-                w.at(w.sim.now + 700, () -> ask(w, change, tries - 1));
+                Integer earlierNumber = acknowledgedNumbersByKey.put(key, number);
+                assertTrue(
+                        earlierNumber == null || earlierNumber == number,
+                        key + " was made as " + earlierNumber + " and as " + number);
+            } else if (attempts > 1) {
+                cluster.at(cluster.sim.now + 700, () -> submitUntilAcknowledged(cluster, change, attempts - 1));
             }
         });
     }
 
     /** Every change that was acknowledged is in the log once, and every controller shows what all of them make together. */
-    private void agrees(SimulatedCluster w) {
-        Map<String, double[]> model = new TreeMap<>();
-        JsonNode first = w.users.configuration(w.nodes.get(0));
-        first.get("teams").properties().forEach(e -> model.put(e.getKey(), new double[] {NONE, NONE}));
-        Map<Integer, String> numbers = new HashMap<>();
+    private void assertControllersMatchLog(SimulatedCluster cluster) {
+        Map<String, double[]> expectedLimitsByTeam = new TreeMap<>();
+        JsonNode firstView = cluster.users.configuration(cluster.nodes.get(0));
+        firstView
+                .get("teams")
+                .properties()
+                .forEach(teamEntry ->
+                        expectedLimitsByTeam.put(teamEntry.getKey(), new double[] {NOT_CHANGED, NOT_CHANGED}));
+        Map<Integer, String> keysByNumber = new HashMap<>();
         Set<String> keys = new HashSet<>();
-        JsonNode log = w.users.configurationLog(w.nodes.get(0));
+        JsonNode log = cluster.users.configurationLog(cluster.nodes.get(0));
         for (int i = log.size() - 1; i >= 0; i--) {
             JsonNode entry = log.get(i);
             assertTrue(keys.add(entry.get("key").textValue()), entry + " stands twice");
             assertEquals(
                     null,
-                    numbers.put(entry.get("number").intValue(), entry.get("key").textValue()));
+                    keysByNumber.put(
+                            entry.get("number").intValue(), entry.get("key").textValue()));
             entry.get("after")
                     .properties()
-                    .forEach(e -> model.put(e.getKey(), new double[] {
-                        e.getValue().get(0).doubleValue(), e.getValue().get(1).doubleValue()
+                    .forEach(teamEntry -> expectedLimitsByTeam.put(teamEntry.getKey(), new double[] {
+                        teamEntry.getValue().get(0).doubleValue(),
+                        teamEntry.getValue().get(1).doubleValue()
                     }));
         }
-        acknowledged.forEach((key, number) -> assertEquals(key, numbers.get(number)));
-        assertEquals(numbers.size(), first.get("number").intValue());
-        for (ControllerNode n : w.nodes) {
-            JsonNode shown = w.users.configuration(n);
-            assertEquals(first.get("number"), shown.get("number"));
-            model.forEach((team, limits) -> {
-                if (limits[0] != NONE) {
+        acknowledgedNumbersByKey.forEach((key, number) -> assertEquals(key, keysByNumber.get(number)));
+        assertEquals(keysByNumber.size(), firstView.get("number").intValue());
+        for (ControllerNode controller : cluster.nodes) {
+            JsonNode view = cluster.users.configuration(controller);
+            assertEquals(firstView.get("number"), view.get("number"));
+            expectedLimitsByTeam.forEach((team, limits) -> {
+                if (limits[0] != NOT_CHANGED) {
                     assertEquals(
-                            limits[0], shown.get("teams").get(team).get("cpus").doubleValue(), team);
+                            limits[0], view.get("teams").get(team).get("cpus").doubleValue(), team);
                     assertEquals(
                             limits[1],
-                            shown.get("teams").get(team).get("cpusMax").doubleValue(),
+                            view.get("teams").get(team).get("cpusMax").doubleValue(),
                             team);
                 }
             });
@@ -93,60 +101,67 @@
     /** Two operators at once, answers lost, writes late, controllers killed at any step. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void everyChangeIsMadeOnce(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 0);
-        w.users.submit(SampleJobs.job(1, "blue", false, 40, 1, 20));
+    void everyChangeIsAppliedOnceDespiteLostAnswersLateWritesAndCrashes(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0);
+        cluster.users.submit(SampleJobs.job(1, "blue", false, 40, 1, 20));
         for (int i = 0; i < 40; i++) {
-            ObjectNode change =
-                    limit("k-" + i, i % 2 == 0 ? "red" : "blue", w.sim.random.nextInt(8), 8 + w.sim.random.nextInt(20));
-            w.at(5_000 + w.sim.random.nextInt(80_000), () -> ask(w, change, 40));
+            ObjectNode change = limitChange(
+                    "k-" + i,
+                    i % 2 == 0 ? "red" : "blue",
+                    cluster.sim.random.nextInt(8),
+                    8 + cluster.sim.random.nextInt(20));
+            cluster.at(5_000 + cluster.sim.random.nextInt(80_000), () -> submitUntilAcknowledged(cluster, change, 40));
         }
-        w.at(15_000, () -> w.sim.lostAnswers.put("state", 0.3));
-        w.at(40_000, () -> w.sim.lostAnswers.clear());
-        w.at(40_000, () -> w.state.lateWrites(0.2, w.sim.random));
-        w.at(60_000, () -> w.state.lateWrites(0, null));
-        w.at(25_000 + seed * 71, () -> ClusterAssertions.crash(w.leader(), 700));
-        w.at(62_000, () -> w.nodes.forEach(n -> ClusterAssertions.crash(n, 900)));
-        w.sim.run(180_000);
-        assertEquals(40, acknowledged.size());
-        agrees(w);
-        ClusterAssertions.kept(w);
+        cluster.at(15_000, () -> cluster.sim.lostAnswers.put("state", 0.3));
+        cluster.at(40_000, () -> cluster.sim.lostAnswers.clear());
+        cluster.at(40_000, () -> cluster.state.lateWrites(0.2, cluster.sim.random));
+        cluster.at(60_000, () -> cluster.state.lateWrites(0, null));
+        cluster.at(25_000 + seed * 71, () -> ClusterAssertions.crash(cluster.leader(), 700));
+        cluster.at(62_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crash(controller, 900)));
+        cluster.sim.run(180_000);
+        assertEquals(40, acknowledgedNumbersByKey.size());
+        assertControllersMatchLog(cluster);
+        ClusterAssertions.kept(cluster);
     }
 
     /** No start beyond a lowered limit from the moment in force, and the excess is gone within half a minute. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void aLoweredLimitHolds(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 0);
+    void noTaskStartsBeyondLoweredLimitAndExcessIsGoneWithin30Seconds(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0);
         for (int i = 0; i < 6; i++) {
-            w.users.submit(SampleJobs.job(10 + i, "blue", false, 12, 1, 500));
+            cluster.users.submit(SampleJobs.job(10 + i, "blue", false, 12, 1, 500));
         }
-        w.users.submit(SampleJobs.job(1, "blue", true, 4, 2, 0));
-        w.sim.run(30_000);
-        assertTrue(used(w) > 20, used(w) + " used before");
-        ask(w, limit("lower", "blue", 4, 12), 5);
-        w.at(30_000 + IN_FORCE_MS, () -> w.checker.limits.put("blue", Math.max(12, used(w))));
-        w.at(60_000, () -> w.checker.limits.put("blue", 12.0));
-        w.sim.run(60_000);
-        assertTrue(used(w) <= 12, used(w) + " used 30 s after");
-        assertTrue(w.running(SampleJobs.id(1), 4), "of the least priority first: the service keeps its replicas");
-        w.sim.run(90_000);
-        ClusterAssertions.kept(w);
+        cluster.users.submit(SampleJobs.job(1, "blue", true, 4, 2, 0));
+        cluster.sim.run(30_000);
+        assertTrue(cpusInUse(cluster) > 20, cpusInUse(cluster) + " used before");
+        submitUntilAcknowledged(cluster, limitChange("lower", "blue", 4, 12), 5);
+        cluster.at(
+                30_000 + EFFECTIVE_WITHIN_MS,
+                () -> cluster.checker.limits.put("blue", Math.max(12, cpusInUse(cluster))));
+        cluster.at(60_000, () -> cluster.checker.limits.put("blue", 12.0));
+        cluster.sim.run(60_000);
+        assertTrue(cpusInUse(cluster) <= 12, cpusInUse(cluster) + " used 30 s after");
+        assertTrue(cluster.running(SampleJobs.id(1), 4), "of the least priority first: the service keeps its replicas");
+        cluster.sim.run(90_000);
+        ClusterAssertions.kept(cluster);
     }
 
-    private static double used(SimulatedCluster w) {
-        return w.checker.places.keySet().stream()
-                .mapToDouble(t ->
-                        w.checker.specs.get(t.substring(0, t.lastIndexOf('/'))).cpus())
+    private static double cpusInUse(SimulatedCluster cluster) {
+        return cluster.checker.places.keySet().stream()
+                .mapToDouble(taskName -> cluster.checker
+                        .specs
+                        .get(taskName.substring(0, taskName.lastIndexOf('/')))
+                        .cpus())
                 .sum();
     }
 
     /** The leader is refused by the state service alone, or reads nothing of it, while another controller takes the change. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLeaderThatCannotReadStartsNothingForbidden(boolean refused) {
+    void leaderThatCannotReadStateServiceStartsNoTaskBeyondNewLimit(boolean isStateServiceRefusing) {
         // A cancellation may take so long here that it would let the leader go on for far longer without news.
-        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
+        SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 21,
                 3,
                 20,
@@ -156,87 +171,95 @@
                 60_000,
                 Map.of("blue", new Settings.Team("blue", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
-        ask(w, limit("first", "blue", 4, 60), 5);
+        submitUntilAcknowledged(cluster, limitChange("first", "blue", 4, 60), 5);
         for (int i = 0; i < 30; i++) {
-            int n = i;
-            w.at(8_000 + i * 1_000L, () -> w.users.submit(SampleJobs.job(10 + n, "blue", false, 2, 1, 4)));
+            int jobNumber = i;
+            cluster.at(
+                    8_000 + i * 1_000L,
+                    () -> cluster.users.submit(SampleJobs.job(10 + jobNumber, "blue", false, 2, 1, 4)));
         }
-        w.sim.run(15_000);
-        ControllerNode leader = w.leader();
-        if (refused) {
-            w.refuse(leader, 20_000);
+        cluster.sim.run(15_000);
+        ControllerNode leader = cluster.leader();
+        if (isStateServiceRefusing) {
+            cluster.refuse(leader, 20_000);
         } else {
-            w.state.withholdWatches(leader.host.name);
+            cluster.state.withholdWatches(leader.host.name);
         }
-        ControllerNode other =
-                w.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        w.at(15_500, () -> w.users.configure(other.index, limit("none", "blue", 0, 1), reply -> {}));
-        long[] startsThen = new long[1];
-        w.at(15_500 + IN_FORCE_MS, () -> startsThen[0] = w.checker.starts);
-        w.sim.run(34_000);
+        ControllerNode otherController = cluster.nodes.stream()
+                .filter(controller -> controller != leader)
+                .findFirst()
+                .orElseThrow();
+        cluster.at(
+                15_500,
+                () -> cluster.users.configure(otherController.index, limitChange("none", "blue", 0, 1), reply -> {}));
+        long[] startsWhenEffective = new long[1];
+        cluster.at(15_500 + EFFECTIVE_WITHIN_MS, () -> startsWhenEffective[0] = cluster.checker.starts);
+        cluster.sim.run(34_000);
         assertTrue(
-                w.checker.starts - startsThen[0] <= 4,
-                (w.checker.starts - startsThen[0]) + " starts of two processors' limit 1");
-        w.state.answerWatches();
-        w.sim.run(40_000);
-        assertEquals(2, w.users.configuration(w.nodes.get(0)).get("number").intValue());
+                cluster.checker.starts - startsWhenEffective[0] <= 4,
+                (cluster.checker.starts - startsWhenEffective[0]) + " starts of two processors' limit 1");
+        cluster.state.answerWatches();
+        cluster.sim.run(40_000);
+        assertEquals(
+                2,
+                cluster.users.configuration(cluster.nodes.get(0)).get("number").intValue());
     }
 
     /** A team that is added may submit; one that is removed may not, and what it had runs to its end. */
     @Test
-    void teamsComeAndGo() {
-        SimulatedCluster w = new SimulatedCluster(31, 0);
-        ObjectNode add = change("add");
+    void addedTeamMaySubmitAndRemovedTeamIsRejectedWhileItsJobsFinish() {
+        SimulatedCluster cluster = new SimulatedCluster(31, 0);
+        ObjectNode add = newChange("add");
         add.putObject("add").putObject("green").put("cpus", 4).put("cpusMax", 8);
-        ask(w, add, 5);
-        w.checker.limits.put("green", 8.0);
-        w.at(5_000, () -> w.users.submit(SampleJobs.job(1, "green", false, 30, 1, 3)));
-        w.sim.run(12_000);
-        ObjectNode remove = change("remove");
+        submitUntilAcknowledged(cluster, add, 5);
+        cluster.checker.limits.put("green", 8.0);
+        cluster.at(5_000, () -> cluster.users.submit(SampleJobs.job(1, "green", false, 30, 1, 3)));
+        cluster.sim.run(12_000);
+        ObjectNode remove = newChange("remove");
         remove.putArray("remove").add("green");
-        ask(w, remove, 5);
-        w.sim.run(14_000);
+        submitUntilAcknowledged(cluster, remove, 5);
+        cluster.sim.run(14_000);
         assertEquals(
                 422,
-                w.users.post(
-                        w.nodes.get(1),
+                cluster.users.post(
+                        cluster.nodes.get(1),
                         Json.bytes(SampleJobs.job(2, "green", false, 1, 1, 1).json())));
-        w.sim.run(60_000);
-        assertEquals("done", w.checker.told.get(SampleJobs.id(1)));
-        ask(w, change("back").put("rollback", 0), 5);
-        w.sim.run(65_000);
+        cluster.sim.run(60_000);
+        assertEquals("done", cluster.checker.told.get(SampleJobs.id(1)));
+        submitUntilAcknowledged(cluster, newChange("back").put("rollback", 0), 5);
+        cluster.sim.run(65_000);
         assertEquals(
                 422,
-                w.users.post(
-                        w.nodes.get(2),
+                cluster.users.post(
+                        cluster.nodes.get(2),
                         Json.bytes(SampleJobs.job(2, "green", false, 1, 1, 1).json())));
-        ClusterAssertions.kept(w);
+        ClusterAssertions.kept(cluster);
     }
 
     /** Bad input changes nothing and names the field. */
     @Test
-    void badInputIsNamed() {
-        SimulatedCluster w = new SimulatedCluster(41, 0);
-        w.sim.run(5_000);
-        Map<ObjectNode, String> bad = new HashMap<>();
-        bad.put(change("k"), "expected either");
-        bad.put(limit("k", "nobody", 1, 2), "set.nobody");
-        bad.put(limit("k", "blue", 3, 2), "set.blue.cpus");
-        bad.put(limit("k", "blue", -1, 2), "set.blue.cpus");
-        bad.put(limit("k", "blue", 1, 2).put("rollback", 0), "either");
-        bad.put(change("k").put("rollback", 0), "rollback");
-        bad.put(change("k").put("cpus", 3), "field cpus");
-        bad.put(limit("", "blue", 1, 2), "field key");
-        bad.forEach((body, field) -> {
-            asked++;
-            w.users.configure(0, body, reply -> {
+    void invalidChangeIsRejectedWithItsFieldAndStoresNothing() {
+        SimulatedCluster cluster = new SimulatedCluster(41, 0);
+        cluster.sim.run(5_000);
+        Map<ObjectNode, String> expectedErrorByChange = new HashMap<>();
+        expectedErrorByChange.put(newChange("k"), "expected either");
+        expectedErrorByChange.put(limitChange("k", "nobody", 1, 2), "set.nobody");
+        expectedErrorByChange.put(limitChange("k", "blue", 3, 2), "set.blue.cpus");
+        expectedErrorByChange.put(limitChange("k", "blue", -1, 2), "set.blue.cpus");
+        expectedErrorByChange.put(limitChange("k", "blue", 1, 2).put("rollback", 0), "either");
+        expectedErrorByChange.put(newChange("k").put("rollback", 0), "rollback");
+        expectedErrorByChange.put(newChange("k").put("cpus", 3), "field cpus");
+        expectedErrorByChange.put(limitChange("", "blue", 1, 2), "field key");
+        expectedErrorByChange.forEach((body, expectedError) -> {
+            openRequests++;
+            cluster.users.configure(0, body, reply -> {
                 assertEquals(400, reply.status(), body.toString());
-                assertTrue(Json.parse(reply.body()).get("error").textValue().contains(field), field);
-                asked--;
+                assertTrue(Json.parse(reply.body()).get("error").textValue().contains(expectedError), expectedError);
+                openRequests--;
             });
         });
-        w.sim.run(10_000);
-        assertEquals(0, asked);
-        assertEquals(0, w.state.keys(Keys.ROOT + "config/").size());
+        cluster.sim.run(10_000);
+        assertEquals(0, openRequests);
+        assertEquals(0, cluster.state.keys(Keys.ROOT + "config/").size());
     }
 }
