--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -12,166 +12,174 @@
 
 /** Histories of seven controllers and some hundreds of machines, every rule checked throughout. */
 class SevenControllersTest {
-    private static final int SERVICES = 150;
+    private static final int SERVICE_COUNT = 150;
 
     /** A fleet of some two hundred machines with a service's replica or two on most. */
-    private static SimulatedCluster grown(long seed) {
-        SimulatedCluster w = new SimulatedCluster(seed, 600, 7);
-        w.cloud.capacity = 220;
-        for (int i = 0; i < SERVICES; i++) {
-            int n = i;
-            w.at(200 + i * 100L, () -> w.users.submit(SampleJobs.job(n, n % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
+    private static SimulatedCluster clusterWithRunningServices(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 600, 7);
+        cluster.cloud.capacity = 220;
+        for (int i = 0; i < SERVICE_COUNT; i++) {
+            int jobNumber = i;
+            cluster.at(
+                    200 + i * 100L,
+                    () -> cluster.users.submit(
+                            SampleJobs.job(jobNumber, jobNumber % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
         }
-        w.sim.run(45_000);
-        assertEquals(2 * SERVICES, w.checker.places.size(), "every replica runs before the trouble begins");
-        assertTrue(w.workers.size() >= SERVICES, w.workers.size() + " machines");
-        return w;
+        cluster.sim.run(45_000);
+        assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size(), "every replica runs before the trouble begins");
+        assertTrue(cluster.workers.size() >= SERVICE_COUNT, cluster.workers.size() + " machines");
+        return cluster;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {201, 202})
     @DisplayName(
             "a takeover of a large fleet loses no replica, although one machine hangs and two controllers are dead")
-    void takeoverOfALargeFleet(long seed) {
-        SimulatedCluster w = grown(seed);
-        int starts = w.checker.starts;
-        ControllerNode leader = w.leader();
-        ControllerNode other = w.nodes.get((leader.index + 1) % 7);
-        w.workers.get(3).hang(true);
+    void takeoverKeepsEveryReplicaWhenMachineHangsAndTwoControllersAreDead(long seed) {
+        SimulatedCluster cluster = clusterWithRunningServices(seed);
+        int startsBefore = cluster.checker.starts;
+        ControllerNode leader = cluster.leader();
+        ControllerNode otherController = cluster.nodes.get((leader.index + 1) % 7);
+        cluster.workers.get(3).hang(true);
         leader.crash(30_000);
-        other.crash(30_000);
-        w.sim.run(49_000);
-        w.workers.get(3).hang(false);
-        w.sim.run(60_000);
-        assertNotNull(w.leader());
-        assertEquals(starts, w.checker.starts, "nothing was lost, so nothing was started again");
-        kept(w);
+        otherController.crash(30_000);
+        cluster.sim.run(49_000);
+        cluster.workers.get(3).hang(false);
+        cluster.sim.run(60_000);
+        assertNotNull(cluster.leader());
+        assertEquals(startsBefore, cluster.checker.starts, "nothing was lost, so nothing was started again");
+        kept(cluster);
     }
 
     @Test
     @DisplayName("all seven controllers crash: whoever is back first leads before the leases run out")
-    void allCrash() {
-        SimulatedCluster w = grown(211);
-        int starts = w.checker.starts;
-        w.nodes.forEach(n -> n.crash(2_000 + 150L * n.index));
-        w.sim.run(65_000);
-        assertEquals(starts, w.checker.starts);
-        kept(w);
+    void leaderReturnsBeforeLeasesExpireWhenAllControllersCrash() {
+        SimulatedCluster cluster = clusterWithRunningServices(211);
+        int startsBefore = cluster.checker.starts;
+        cluster.nodes.forEach(controller -> controller.crash(2_000 + 150L * controller.index));
+        cluster.sim.run(65_000);
+        assertEquals(startsBefore, cluster.checker.starts);
+        kept(cluster);
     }
 
     @Test
     @DisplayName("a zone cut off for longer than the lease: its replicas come back in the other, none runs twice")
-    void zoneCutBeyondTheLease() {
-        SimulatedCluster w = grown(221);
-        w.cloud.capacity = 500;
-        long until = 45_000 + 3 * ClusterSetup.LEASE_MS + 12_000;
-        for (long t = 45_000; t < until; t += 500) {
-            w.at(
-                    t,
-                    () -> w.workers.stream()
-                            .filter(x -> x.box().zone.equals("a"))
-                            .forEach(x -> w.nodes.forEach(n -> w.sim.cut(n.host.name, x.box().id))));
+    void replicasMoveToOtherZoneWhenZoneIsCutOffLongerThanLease() {
+        SimulatedCluster cluster = clusterWithRunningServices(221);
+        cluster.cloud.capacity = 500;
+        long untilMs = 45_000 + 3 * ClusterSetup.LEASE_MS + 12_000;
+        for (long timeMs = 45_000; timeMs < untilMs; timeMs += 500) {
+            cluster.at(
+                    timeMs,
+                    () -> cluster.workers.stream()
+                            .filter(worker -> worker.box().zone.equals("a"))
+                            .forEach(worker -> cluster.nodes.forEach(
+                                    controller -> cluster.sim.cut(controller.host.name, worker.box().id))));
         }
-        w.sim.run(until);
+        cluster.sim.run(untilMs);
         assertEquals(
-                2 * SERVICES,
-                w.checker.places.values().stream().filter(p -> p.endsWith("@b")).count(),
+                2 * SERVICE_COUNT,
+                cluster.checker.places.values().stream()
+                        .filter(place -> place.endsWith("@b"))
+                        .count(),
                 "every replica runs in the zone that is left");
-        w.sim.heal();
-        w.sim.run(120_000);
-        assertEquals(2 * SERVICES, w.checker.places.size());
-        kept(w);
+        cluster.sim.heal();
+        cluster.sim.run(120_000);
+        assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size());
+        kept(cluster);
     }
 
     @Test
     @DisplayName("the whole deployment stays within the state service's rates, through a takeover too")
-    void statesRates() {
-        SimulatedCluster w = grown(231);
-        w.state.resetPeaks();
-        w.sim.run(60_000);
-        w.leader().crash(4_000);
-        w.sim.run(90_000);
-        assertTrue(w.state.mostRequests() <= 200, w.state.mostRequests() + " requests in one second");
-        assertTrue(w.state.mostWrites() <= 20, w.state.mostWrites() + " changes in one second");
-        kept(w);
+    void requestsStayWithinStateServiceLimitsDuringTakeover() {
+        SimulatedCluster cluster = clusterWithRunningServices(231);
+        cluster.state.resetPeaks();
+        cluster.sim.run(60_000);
+        cluster.leader().crash(4_000);
+        cluster.sim.run(90_000);
+        assertTrue(cluster.state.mostRequests() <= 200, cluster.state.mostRequests() + " requests in one second");
+        assertTrue(cluster.state.mostWrites() <= 20, cluster.state.mostWrites() + " changes in one second");
+        kept(cluster);
     }
 
     @Test
     @DisplayName("far more submissions than can be written: refused at once, accepted in the end, and the leader stays")
-    void moreSubmissionsThanTheStateServiceTakes() {
-        SimulatedCluster w = new SimulatedCluster(261, 0, 7);
-        w.cloud.capacity = 150;
+    void leaderStaysAndEveryJobIsAcceptedWhenSubmissionsExceedWriteRate() {
+        SimulatedCluster cluster = new SimulatedCluster(261, 0, 7);
+        cluster.cloud.capacity = 150;
         for (int i = 0; i < 40; i++) {
-            int n = i;
-            w.at(200 + i * 200L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 2, 0)));
+            int jobNumber = i;
+            cluster.at(200 + i * 200L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", true, 1, 2, 0)));
         }
-        w.sim.run(30_000);
-        int starts = w.checker.starts;
-        ControllerNode leader = w.leader();
-        int takeovers = w.metric(leader, "landingridge_takeovers");
+        cluster.sim.run(30_000);
+        int startsBefore = cluster.checker.starts;
+        ControllerNode leader = cluster.leader();
+        int takeovers = cluster.metric(leader, "landingridge_takeovers");
         // The settings say 200 requests and 20 changes a second: 240 jobs at once are twelve seconds' worth of changes.
-        w.state.limitRates(200, 20);
+        cluster.state.limitRates(200, 20);
         for (int i = 100; i < 340; i++) {
-            w.users.submit(SampleJobs.job(i, "red", false, 1, 0.5, 2));
+            cluster.users.submit(SampleJobs.job(i, "red", false, 1, 0.5, 2));
         }
-        w.sim.run(32_000);
-        assertTrue(w.checker.told.size() < 240, "not all can be accepted at once");
-        int refused = w.nodes.stream()
-                .mapToInt(n -> w.metric(n, "landingridge_refused"))
+        cluster.sim.run(32_000);
+        assertTrue(cluster.checker.told.size() < 240, "not all can be accepted at once");
+        int refused = cluster.nodes.stream()
+                .mapToInt(controller -> cluster.metric(controller, "landingridge_refused"))
                 .sum();
         assertTrue(refused > 100, refused + " refused, with the time to come back, and none held back");
-        w.sim.run(150_000);
-        assertTrue(w.state.tooMany() > 0);
-        assertEquals(240, w.over("done"), "every job is accepted in the end, and runs");
-        assertEquals(leader, w.leader());
-        assertEquals(takeovers, w.metric(leader, "landingridge_takeovers"), "the lead was kept throughout");
-        assertEquals(0, w.metric(leader, "landingridge_lost"), "no lease ran out for it");
-        assertTrue(w.checker.starts >= starts + 240);
-        kept(w);
+        cluster.sim.run(150_000);
+        assertTrue(cluster.state.tooMany() > 0);
+        assertEquals(240, cluster.over("done"), "every job is accepted in the end, and runs");
+        assertEquals(leader, cluster.leader());
+        assertEquals(takeovers, cluster.metric(leader, "landingridge_takeovers"), "the lead was kept throughout");
+        assertEquals(0, cluster.metric(leader, "landingridge_lost"), "no lease ran out for it");
+        assertTrue(cluster.checker.starts >= startsBefore + 240);
+        kept(cluster);
     }
 
     /** Passes of the scheduler in half a minute in which nothing happens, with this many services of one replica. */
-    private static int passes(int services) {
-        SimulatedCluster w = new SimulatedCluster(241, 0, 3);
-        w.cloud.capacity = services;
+    private static int schedulerPassesWithoutEvents(int services) {
+        SimulatedCluster cluster = new SimulatedCluster(241, 0, 3);
+        cluster.cloud.capacity = services;
         for (int i = 0; i < services; i++) {
-            int n = i;
-            w.at(200 + i * 100L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
+            int jobNumber = i;
+            cluster.at(200 + i * 100L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", true, 1, 4, 0)));
         }
-        w.sim.run(60_000);
-        assertEquals(services, w.checker.places.size());
-        int before = w.metric(w.leader(), "landingridge_busy_times_pass");
-        w.sim.run(90_000);
-        return w.metric(w.leader(), "landingridge_busy_times_pass") - before;
+        cluster.sim.run(60_000);
+        assertEquals(services, cluster.checker.places.size());
+        int before = cluster.metric(cluster.leader(), "landingridge_busy_times_pass");
+        cluster.sim.run(90_000);
+        return cluster.metric(cluster.leader(), "landingridge_busy_times_pass") - before;
     }
 
     @Test
     @DisplayName("a report that says nothing new costs no pass over the fleet, however many machines report")
-    void reportsWithoutNews() {
-        int few = passes(15);
-        assertTrue(few > 0 && passes(150) <= few + 5, few + " passes with a tenth of the machines");
+    void unchangedReportsCauseNoSchedulerPasses() {
+        int passesWithFewMachines = schedulerPassesWithoutEvents(15);
+        assertTrue(
+                passesWithFewMachines > 0 && schedulerPassesWithoutEvents(150) <= passesWithFewMachines + 5,
+                passesWithFewMachines + " passes with a tenth of the machines");
     }
 
     /** Megabytes that are reachable. */
-    private static long used() {
+    private static long usedMegabytes() {
         System.gc();
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20;
     }
 
     @Test
     @DisplayName("arrays of the largest size, many at once, take little memory and leave the others served")
-    void largestArrays() {
-        SimulatedCluster w = new SimulatedCluster(251, 0, 3);
-        long before = used();
+    void largestArraysTakeLittleMemoryAndDelayNoOtherJob() {
+        SimulatedCluster cluster = new SimulatedCluster(251, 0, 3);
+        long before = usedMegabytes();
         for (int i = 0; i < 20; i++) {
-            w.users.submit(SampleJobs.job(100 + i, "red", false, 100_000, 4, 5));
+            cluster.users.submit(SampleJobs.job(100 + i, "red", false, 100_000, 4, 5));
         }
-        w.users.submit(SampleJobs.job(1, "blue", true, 2, 1, 0));
-        w.users.submit(SampleJobs.job(2, "blue", false, 3, 1, 2));
-        w.sim.run(60_000);
-        long more = used() - before;
-        assertTrue(more < 20, more + " MB more with 2,000,000 tasks");
-        assertTrue(w.running("job-000001", 2));
-        kept(w);
+        cluster.users.submit(SampleJobs.job(1, "blue", true, 2, 1, 0));
+        cluster.users.submit(SampleJobs.job(2, "blue", false, 3, 1, 2));
+        cluster.sim.run(60_000);
+        long addedMegabytes = usedMegabytes() - before;
+        assertTrue(addedMegabytes < 20, addedMegabytes + " MB more with 2,000,000 tasks");
+        assertTrue(cluster.running("job-000001", 2));
+        kept(cluster);
     }
 }
