--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -16,11 +16,11 @@
 
 /** Jobs with a mistake, faulty machines, machines that come up late or never: whose fault it is, and what it costs. */
 class FailureAttributionHistoryTest {
-    private final Map<String, Integer> starts = new HashMap<>();
-    private int rented;
+    private final Map<String, Integer> startsByJob = new HashMap<>();
+    private int rentRequests;
 
-    private SimulatedCluster world(long seed) {
-        SimulatedCluster w = new SimulatedCluster(new ClusterSetup(
+    private SimulatedCluster newCluster(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 seed,
                 3,
                 40,
@@ -29,112 +29,117 @@
                 20_000,
                 Map.of("blue", new Settings.Team("blue", 16, 0, 0, 0), "red", new Settings.Team("red", 8, 0, 0, 0)),
                 new Settings.State(200, 20, 4, 8)));
-        w.checker.orders = (order, machine, attempt, pool, repeated) -> {
+        cluster.checker.orders = (order, machine, attempt, pool, repeated) -> {
             if (order == GroundTruth.Order.START && !repeated) {
-                starts.merge(attempt.substring(0, attempt.indexOf('/')), 1, Integer::sum);
+                startsByJob.merge(attempt.substring(0, attempt.indexOf('/')), 1, Integer::sum);
             }
-            rented += order == GroundTruth.Order.RENT && !repeated ? 1 : 0;
+            rentRequests += order == GroundTruth.Order.RENT && !repeated ? 1 : 0;
         };
-        return w;
+        return cluster;
     }
 
-    private static void services(SimulatedCluster w) {
+    private static void submitServices(SimulatedCluster cluster) {
         for (int i = 0; i < 6; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 2, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 2, 0));
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("jobs with a mistake cost no sound machine and no sound job anything, until they are cancelled")
-    void mistakes(long seed) {
-        SimulatedCluster w = world(500 + seed);
-        services(w);
-        w.sim.run(20_000);
+    void alwaysFailingJobsAffectNoSoundMachineOrJobUntilCancelled(long seed) {
+        SimulatedCluster cluster = newCluster(500 + seed);
+        submitServices(cluster);
+        cluster.sim.run(20_000);
         for (int i = 0; i < 4; i++) {
-            int n = 10 + i;
-            w.checker.mistaken.add(SampleJobs.id(n));
-            w.at(20_000 + i * 5_000L, () -> w.users.submit(SampleJobs.job(n, "red", false, 30, 1, 5)));
+            int jobNumber = 10 + i;
+            cluster.checker.mistaken.add(SampleJobs.id(jobNumber));
+            cluster.at(
+                    20_000 + i * 5_000L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "red", false, 30, 1, 5)));
         }
         for (int i = 0; i < 20; i++) {
-            int n = 20 + i;
-            w.at(22_000 + i * 3_000L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 4, 1, 4)));
+            int jobNumber = 20 + i;
+            cluster.at(
+                    22_000 + i * 3_000L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", false, 4, 1, 4)));
         }
-        w.sim.run(110_000);
+        cluster.sim.run(110_000);
         assertEquals(
                 0,
-                w.checker.told.entrySet().stream()
-                        .filter(e -> w.checker.mistaken.contains(e.getKey())
-                                && !e.getValue().equals("accepted"))
+                cluster.checker.told.entrySet().stream()
+                        .filter(statusEntry -> cluster.checker.mistaken.contains(statusEntry.getKey())
+                                && !statusEntry.getValue().equals("accepted"))
                         .count(),
                 "nothing is called over that its user has not cancelled");
-        assertEquals(20, w.over("done"));
-        for (String id : w.checker.mistaken) {
+        assertEquals(20, cluster.over("done"));
+        for (String id : cluster.checker.mistaken) {
             // Each of its 30 tasks may be under way before the first two have failed; then one at a time, ever less
             // often.
-            assertTrue(starts.get(id) <= 30 + 12, id + " was started " + starts.get(id) + " times");
-            w.users.cancel(id);
+            assertTrue(startsByJob.get(id) <= 30 + 12, id + " was started " + startsByJob.get(id) + " times");
+            cluster.users.cancel(id);
         }
-        assertTrue(w.status(w.leader()).path("incidents").toString().contains("looks like a mistake"));
+        assertTrue(cluster.status(cluster.leader()).path("incidents").toString().contains("looks like a mistake"));
         assertTrue(
-                !w.status(w.leader()).path("incidents").toString().contains("fails its tasks"),
+                !cluster.status(cluster.leader()).path("incidents").toString().contains("fails its tasks"),
                 "no sound machine goes back");
-        starts.clear();
-        w.sim.run(140_000);
-        assertEquals(4, w.over("cancelled"));
-        assertEquals(Map.of(), starts);
-        kept(w);
+        startsByJob.clear();
+        cluster.sim.run(140_000);
+        assertEquals(4, cluster.over("cancelled"));
+        assertEquals(Map.of(), startsByJob);
+        kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("a faulty machine is found beside jobs with a mistake, and goes back")
-    void aFaultyMachine(long seed) {
-        SimulatedCluster w = world(510 + seed);
-        services(w);
-        w.sim.run(20_000);
-        EmulatedWorker faulty = w.workers.get(w.workers.size() - 1);
+    void faultyMachineIsReturnedWhenSomeJobsAlsoAlwaysFail(long seed) {
+        SimulatedCluster cluster = newCluster(510 + seed);
+        submitServices(cluster);
+        cluster.sim.run(20_000);
+        EmulatedWorker faulty = cluster.workers.get(cluster.workers.size() - 1);
         faulty.spoil();
         for (int i = 0; i < 30; i++) {
-            int n = 20 + i;
+            int jobNumber = 20 + i;
             if (i % 6 == 0) {
-                w.checker.mistaken.add(SampleJobs.id(n));
+                cluster.checker.mistaken.add(SampleJobs.id(jobNumber));
             }
-            w.at(20_000 + i * 2_000L, () -> w.users.submit(SampleJobs.job(n, "blue", false, 8, 1, 4)));
+            cluster.at(
+                    20_000 + i * 2_000L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", false, 8, 1, 4)));
         }
-        w.sim.run(130_000);
-        assertEquals(25, w.over("done"));
+        cluster.sim.run(130_000);
+        assertEquals(25, cluster.over("done"));
         assertTrue(faulty.box().deleted, "it went back");
-        kept(w);
+        kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     @DisplayName("machines that never come up are replaced once their like are up, without a rent for each wait")
-    void neverUp(long seed) {
-        SimulatedCluster w = world(520 + seed);
-        w.cloud.neverUp = 0.3;
+    void machinesThatNeverComeUpAreReplacedWithFewRentRequests(long seed) {
+        SimulatedCluster cluster = newCluster(520 + seed);
+        cluster.cloud.neverUp = 0.3;
         for (int i = 0; i < 20; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
         }
-        w.sim.run(30_000);
-        assertTrue(w.checker.places.size() >= 18, "only " + w.checker.places.size() + " of 20 run after four boots");
-        w.sim.run(90_000);
-        assertEquals(20, w.checker.places.size());
-        assertTrue(rented <= 60, rented + " rented for 20");
-        kept(w);
+        cluster.sim.run(30_000);
+        assertTrue(
+                cluster.checker.places.size() >= 18,
+                "only " + cluster.checker.places.size() + " of 20 run after four boots");
+        cluster.sim.run(90_000);
+        assertEquals(20, cluster.checker.places.size());
+        assertTrue(rentRequests <= 60, rentRequests + " rented for 20");
+        kept(cluster);
     }
 
     @Test
     @DisplayName("a machine that reports before its rent is answered and before any list names it is used at once")
-    void upInNoTime() {
-        SimulatedCluster w = world(530);
-        w.cloud.bootMs = 1;
+    void machineThatReportsBeforeItsRentIsAnsweredIsUsedAtOnce() {
+        SimulatedCluster cluster = newCluster(530);
+        cluster.cloud.bootMs = 1;
         for (int i = 0; i < 8; i++) {
-            w.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
+            cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
         }
-        w.sim.run(6_000);
-        assertEquals(8, w.checker.places.size());
-        kept(w);
+        cluster.sim.run(6_000);
+        assertEquals(8, cluster.checker.places.size());
+        kept(cluster);
     }
 }
