--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -23,7 +23,7 @@
     /** Within so long a change is in force everywhere. */
     private static final long EFFECTIVE_WITHIN_MS = 7_000;
 
-    private static final double NOT_CHANGED = -1;
+    private static final double UNCHANGED = -1;
 
     private final Map<String, Integer> acknowledgedNumbersByKey = new HashMap<>();
     private int openRequests;
@@ -56,13 +56,11 @@
 
     /** Every change that was acknowledged is in the log once, and every controller shows what all of them make together. */
     private void assertControllersMatchLog(SimulatedCluster cluster) {
-        Map<String, double[]> expectedLimitsByTeam = new TreeMap<>();
-        JsonNode firstView = cluster.users.configuration(cluster.nodes.get(0));
-        firstView
-                .get("teams")
+        Map<String, double[]> expected = new TreeMap<>();
+        JsonNode first = cluster.users.configuration(cluster.nodes.get(0));
+        first.get("teams")
                 .properties()
-                .forEach(teamEntry ->
-                        expectedLimitsByTeam.put(teamEntry.getKey(), new double[] {NOT_CHANGED, NOT_CHANGED}));
+                .forEach(team -> expected.put(team.getKey(), new double[] {UNCHANGED, UNCHANGED}));
         Map<Integer, String> keysByNumber = new HashMap<>();
         Set<String> keys = new HashSet<>();
         JsonNode log = cluster.users.configurationLog(cluster.nodes.get(0));
@@ -75,18 +73,18 @@
                             entry.get("number").intValue(), entry.get("key").textValue()));
             entry.get("after")
                     .properties()
-                    .forEach(teamEntry -> expectedLimitsByTeam.put(teamEntry.getKey(), new double[] {
-                        teamEntry.getValue().get(0).doubleValue(),
-                        teamEntry.getValue().get(1).doubleValue()
+                    .forEach(team -> expected.put(team.getKey(), new double[] {
+                        team.getValue().get(0).doubleValue(),
+                        team.getValue().get(1).doubleValue()
                     }));
         }
         acknowledgedNumbersByKey.forEach((key, number) -> assertEquals(key, keysByNumber.get(number)));
-        assertEquals(keysByNumber.size(), firstView.get("number").intValue());
+        assertEquals(keysByNumber.size(), first.get("number").intValue());
         for (ControllerNode controller : cluster.nodes) {
             JsonNode view = cluster.users.configuration(controller);
-            assertEquals(firstView.get("number"), view.get("number"));
-            expectedLimitsByTeam.forEach((team, limits) -> {
-                if (limits[0] != NOT_CHANGED) {
+            assertEquals(first.get("number"), view.get("number"));
+            expected.forEach((team, limits) -> {
+                if (limits[0] != UNCHANGED) {
                     assertEquals(
                             limits[0], view.get("teams").get(team).get("cpus").doubleValue(), team);
                     assertEquals(
@@ -173,10 +171,9 @@
                 new Settings.State(200, 20, 4, 8)));
         submitUntilAcknowledged(cluster, limitChange("first", "blue", 4, 60), 5);
         for (int i = 0; i < 30; i++) {
-            int jobNumber = i;
+            int job = i;
             cluster.at(
-                    8_000 + i * 1_000L,
-                    () -> cluster.users.submit(SampleJobs.job(10 + jobNumber, "blue", false, 2, 1, 4)));
+                    8_000 + i * 1_000L, () -> cluster.users.submit(SampleJobs.job(10 + job, "blue", false, 2, 1, 4)));
         }
         cluster.sim.run(15_000);
         ControllerNode leader = cluster.leader();
@@ -185,13 +182,11 @@
         } else {
             cluster.state.withholdWatches(leader.host.name);
         }
-        ControllerNode otherController = cluster.nodes.stream()
-                .filter(controller -> controller != leader)
+        ControllerNode peer = cluster.nodes.stream()
+                .filter(node -> node != leader)
                 .findFirst()
                 .orElseThrow();
-        cluster.at(
-                15_500,
-                () -> cluster.users.configure(otherController.index, limitChange("none", "blue", 0, 1), reply -> {}));
+        cluster.at(15_500, () -> cluster.users.configure(peer.index, limitChange("none", "blue", 0, 1), reply -> {}));
         long[] startsWhenEffective = new long[1];
         cluster.at(15_500 + EFFECTIVE_WITHIN_MS, () -> startsWhenEffective[0] = cluster.checker.starts);
         cluster.sim.run(34_000);
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -184,16 +184,16 @@
         SimulatedCluster cluster = new SimulatedCluster(61, 0);
         HistorySeeds.segments(cluster.state, 500_000, 8);
         JobSpec service = SampleJobs.job(1, "blue", true, 1, 1, 0);
-        JobSpec cancelledId = SampleJobs.job(2, "blue", false, 1, 1, 60);
+        JobSpec cancelledJob = SampleJobs.job(2, "blue", false, 1, 1, 60);
         cluster.at(1_000, () -> cluster.users.submit(service));
-        cluster.at(1_000, () -> cluster.users.submit(cancelledId));
-        cluster.at(9_000, () -> cluster.users.cancel(cancelledId.id()));
+        cluster.at(1_000, () -> cluster.users.submit(cancelledJob));
+        cluster.at(9_000, () -> cluster.users.cancel(cancelledJob.id()));
         cluster.sim.run(20_000);
         assertEquals(422, submitAwaiting(cluster, 3, SampleJobs.id(99)));
         assertEquals(422, submitAwaiting(cluster, 4, SampleJobs.id(4)));
         assertEquals(422, submitAwaiting(cluster, 5, service.id()));
         cluster.checker.cancelAsked.add(SampleJobs.id(6));
-        assertEquals(201, submitAwaiting(cluster, 6, cancelledId.id()));
+        assertEquals(201, submitAwaiting(cluster, 6, cancelledJob.id()));
         assertEquals(201, submitAwaiting(cluster, 7, SampleJobs.id(500_001)));
         cluster.checker.cancelAsked.add(SampleJobs.id(8));
         assertEquals(201, submitAwaiting(cluster, 8, SampleJobs.id(500_000)));
@@ -234,11 +234,11 @@
         ClusterAssertions.kept(cluster);
     }
 
-    private static int submitAwaiting(SimulatedCluster cluster, int number, String awaited) {
-        JobSpec spec = SampleJobs.job(number, "blue", false, 1, 1, 1);
+    private static int submitAwaiting(SimulatedCluster cluster, int jobNumber, String awaitedId) {
+        JobSpec spec = SampleJobs.job(jobNumber, "blue", false, 1, 1, 1);
         cluster.checker.specs.putIfAbsent(spec.id(), spec);
         return cluster.users.post(
-                cluster.nodes.get(number % 3),
-                Json.bytes(spec.awaiting(List.of(awaited)).json()));
+                cluster.nodes.get(jobNumber % 3),
+                Json.bytes(spec.awaiting(List.of(awaitedId)).json()));
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -53,7 +53,7 @@
 
     @Test
     @DisplayName("all seven controllers crash: whoever is back first leads before the leases run out")
-    void leaderReturnsBeforeLeasesExpireWhenAllControllersCrash() {
+    void noLeaseExpiresWhenAllSevenControllersCrash() {
         SimulatedCluster cluster = clusterWithRunningServices(211);
         int startsBefore = cluster.checker.starts;
         cluster.nodes.forEach(controller -> controller.crash(2_000 + 150L * controller.index));
