--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -16,7 +16,11 @@
 import org.landingridge.wire.JobSpec;
 import org.landingridge.wire.Json;
 
-/** Pipelines of jobs that await each other, through failures of every part; every rule is checked throughout. */
+/**
+ * Pipelines, that is jobs that await other jobs, under failures of every component. Guards against a stage that starts
+ * too early, never starts or has no stored end: a controller can crash, or a write can be late, between one stage's end
+ * and the next stage's start. The invariant checker checks all its rules throughout.
+ */
 class PipelinesTest {
     private static final int FIRST_JOB_NUMBER = 100_000;
     private static final Settings.State EARLIER_LIMITS = new Settings.State(200, 20, 4, 8);
@@ -34,7 +38,10 @@
         return spec;
     }
 
-    /** One pipeline: a first job, two or three that need it, one that needs these; its user may call one of them off. */
+    /**
+     * Schedules one pipeline: a first job, two or three jobs that await it, and one that awaits these. In one of four
+     * pipelines on average, the user cancels one of the jobs.
+     */
     private void schedulePipeline(SimulatedCluster cluster, long atMs) {
         JobSpec first = newStage(3, List.of());
         List<String> middleIds = new ArrayList<>();
@@ -88,7 +95,7 @@
         runUntilAllStagesHaveEnded(cluster, 240_000);
     }
 
-    /** The leader ends at moments spread over every step of a stage's end and the next one's beginning. */
+    /** The leader crashes at times that cover every step between the end of a stage and the start of the next one. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
     void everyStageEndsWhenLeadersCrashBetweenStages(long seed) {
@@ -101,7 +108,7 @@
         runUntilAllStagesHaveEnded(cluster, 300_000);
     }
 
-    /** Everything is down, and then the state service for longer than a cancellation may take. */
+    /** All controllers crash; later the state service is down for longer than the time limit of a cancellation. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23})
     void everyStageEndsWhenAllControllersCrashAndStateServiceIsDownLongerThanCancelLimit(long seed) {
@@ -115,7 +122,7 @@
         runUntilAllStagesHaveEnded(cluster, 300_000);
     }
 
-    /** Writes are carried out late and answers get lost, of the users' as of the leader's. */
+    /** Writes are applied late and answers are lost, both for writes that serve users' requests and for the leader's own. */
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33})
     void everyStageEndsWhenWritesAreLateAndAnswersAreLost(long seed) {
@@ -128,7 +135,10 @@
         runUntilAllStagesHaveEnded(cluster, 360_000);
     }
 
-    /** An earlier version has filled its pages up to larger limits; they are split by the next, which meets the fall of the limits. */
+    /**
+     * An earlier version fills pages up to larger limits. The next version must split them, because the limits are
+     * lowered later.
+     */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
     void valuesFitLowerLimitsThatTakeEffectAfterUpgrade(long seed) {
@@ -160,7 +170,10 @@
         }
     }
 
-    /** Until every controller is known to heed what a job awaits, no such job is accepted; all others are. */
+    /**
+     * A job that awaits others is accepted only when every controller is known to support pipelines; all other jobs are
+     * accepted.
+     */
     @Test
     void awaitingJobIsNotAcceptedUntilEveryControllerSupportsPipelines() {
         SimulatedCluster cluster = new SimulatedCluster(51, 0);
@@ -178,7 +191,10 @@
         ClusterAssertions.kept(cluster);
     }
 
-    /** What a submission names: nothing known, itself, a service, a cancelled job, one that is done and in the history. */
+    /**
+     * The awaited job is unknown, the submitted job itself or a service (rejected), cancelled (cancelled as well), or
+     * done and in the history (runs).
+     */
     @Test
     void submissionIsRejectedCancelledOrRunDependingOnAwaitedJob() {
         SimulatedCluster cluster = new SimulatedCluster(61, 0);
@@ -197,7 +213,7 @@
         assertEquals(201, submitAwaiting(cluster, 7, SampleJobs.id(500_001)));
         cluster.checker.cancelAsked.add(SampleJobs.id(8));
         assertEquals(201, submitAwaiting(cluster, 8, SampleJobs.id(500_000)));
-        // Known by now: 200, whatever it names.
+        // Job 7 is already known, so the answer is 200 whichever job it awaits.
         assertEquals(200, submitAwaiting(cluster, 7, SampleJobs.id(99)));
         cluster.sim.run(40_000);
         for (int i = 6; i <= 8; i++) {
@@ -211,8 +227,9 @@
     }
 
     /**
-     * What a job awaits was cancelled and has moved into the history before the controllers began: whoever is asked says so from its
-     * first answer on, although no table keeps the awaited job.
+     * The awaited job was cancelled and moved to the history before the controllers started. No table holds it, so a
+     * controller must look it up before its first answer: every controller reports the awaiting job as cancelled from
+     * that answer on.
      */
     @Test
     void jobThatAwaitsCancelledJobInHistoryIsNeverReportedQueuedAfterStart() {
