--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -18,9 +18,13 @@
 import org.landingridge.net.Http;
 import org.landingridge.wire.Json;
 
-/** The configuration of teams changes while everything runs and fails; a plain model keeps what each change made. */
+/**
+ * Changes the teams' configuration in a running cluster under failures. Guards against a change that is lost or applied
+ * twice (an answer is lost and the operator retries) and against a leader that schedules by an old limit. The expected
+ * limits are computed from the log.
+ */
 class LiveConfigurationTest {
-    /** Within so long a change is in force everywhere. */
+    /** Time limit for a change to take effect on every controller, in milliseconds. */
     private static final long EFFECTIVE_WITHIN_MS = 7_000;
 
     private static final double UNCHANGED = -1;
@@ -38,7 +42,7 @@
         return change;
     }
 
-    /** Asks until the change is known to be made, with the same key throughout. */
+    /** Submits the change, always with the same idempotency key, until it is acknowledged or no attempts are left. */
     private void submitUntilAcknowledged(SimulatedCluster cluster, ObjectNode change, int attempts) {
         String key = change.get("key").textValue();
         cluster.users.configure(cluster.sim.random.nextInt(cluster.nodes.size()), change, reply -> {
@@ -54,7 +58,7 @@
         });
     }
 
-    /** Every change that was acknowledged is in the log once, and every controller shows what all of them make together. */
+    /** Checks that the log has every acknowledged change once, and that every controller shows the result of all changes. */
     private void assertControllersMatchLog(SimulatedCluster cluster) {
         Map<String, double[]> expected = new TreeMap<>();
         JsonNode first = cluster.users.configuration(cluster.nodes.get(0));
@@ -96,7 +100,7 @@
         }
     }
 
-    /** Two operators at once, answers lost, writes late, controllers killed at any step. */
+    /** Changes overlap while answers are lost, writes are applied late and controllers crash at any step. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void everyChangeIsAppliedOnceDespiteLostAnswersLateWritesAndCrashes(long seed) {
@@ -122,7 +126,7 @@
         ClusterAssertions.kept(cluster);
     }
 
-    /** No start beyond a lowered limit from the moment in force, and the excess is gone within half a minute. */
+    /** No task starts beyond a lowered limit once the limit is in effect, and the excess is gone 30 s after the change. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void noTaskStartsBeyondLoweredLimitAndExcessIsGoneWithin30Seconds(long seed) {
@@ -154,11 +158,14 @@
                 .sum();
     }
 
-    /** The leader is refused by the state service alone, or reads nothing of it, while another controller takes the change. */
+    /**
+     * Another controller accepts a change while the state service refuses the leader alone or withholds the leader's
+     * watches. The time limit of a cancellation is 60 s here, which would let the leader continue for far longer
+     * without news.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void leaderThatCannotReadStateServiceStartsNoTaskBeyondNewLimit(boolean isStateServiceRefusing) {
-        // A cancellation may take so long here that it would let the leader go on for far longer without news.
         SimulatedCluster cluster = new SimulatedCluster(new ClusterSetup(
                 21,
                 3,
@@ -200,7 +207,7 @@
                 cluster.users.configuration(cluster.nodes.get(0)).get("number").intValue());
     }
 
-    /** A team that is added may submit; one that is removed may not, and what it had runs to its end. */
+    /** A team can submit after it is added. After it is removed it cannot, but its accepted jobs run to their end. */
     @Test
     void addedTeamMaySubmitAndRemovedTeamIsRejectedWhileItsJobsFinish() {
         SimulatedCluster cluster = new SimulatedCluster(31, 0);
@@ -231,7 +238,7 @@
         ClusterAssertions.kept(cluster);
     }
 
-    /** Bad input changes nothing and names the field. */
+    /** Invalid input stores nothing, and the error names the field or the expected content. */
     @Test
     void invalidChangeIsRejectedWithItsFieldAndStoresNothing() {
         SimulatedCluster cluster = new SimulatedCluster(41, 0);
