--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -10,11 +10,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Histories of seven controllers and some hundreds of machines, every rule checked throughout. */
+/**
+ * Runs with seven controllers and up to several hundred machines. Guards against failures that appear only at this
+ * size: replicas lost in a takeover, request rates above the state service's limits, scheduler passes and memory that
+ * grow with machines or tasks. The invariant checker checks all its rules throughout.
+ */
 class SevenControllersTest {
     private static final int SERVICE_COUNT = 150;
 
-    /** A fleet of some two hundred machines with a service's replica or two on most. */
+    /** Returns a cluster of about 200 machines, most of which run one or two replicas of services. */
     private static SimulatedCluster clusterWithRunningServices(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 600, 7);
         cluster.cloud.capacity = 220;
@@ -115,7 +119,7 @@
         int startsBefore = cluster.checker.starts;
         ControllerNode leader = cluster.leader();
         int takeovers = cluster.metric(leader, "landingridge_takeovers");
-        // The settings say 200 requests and 20 changes a second: 240 jobs at once are twelve seconds' worth of changes.
+        // The settings allow 200 requests and 20 writes a second, so 240 jobs at once are 12 s of writes.
         cluster.state.limitRates(200, 20);
         for (int i = 100; i < 340; i++) {
             cluster.users.submit(SampleJobs.job(i, "red", false, 1, 0.5, 2));
@@ -136,7 +140,7 @@
         kept(cluster);
     }
 
-    /** Passes of the scheduler in half a minute in which nothing happens, with this many services of one replica. */
+    /** Returns the number of scheduler passes in 30 s without events, with the given number of one-replica services. */
     private static int schedulerPassesWithoutEvents(int services) {
         SimulatedCluster cluster = new SimulatedCluster(241, 0, 3);
         cluster.cloud.capacity = services;
@@ -160,7 +164,7 @@
                 passesWithFewMachines + " passes with a tenth of the machines");
     }
 
-    /** Megabytes that are reachable. */
+    /** Returns the size of the reachable objects, in megabytes. */
     private static long usedMegabytes() {
         System.gc();
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20;
