--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -14,7 +14,11 @@
 import org.landingridge.emulator.EmulatedWorker;
 import org.landingridge.emulator.GroundTruth;
 
-/** Jobs with a mistake, faulty machines, machines that come up late or never: whose fault it is, and what it costs. */
+/**
+ * Attribution of failures to jobs or machines. Guards against sound machines that are returned because a faulty job's
+ * tasks fail on them, against faulty machines that stay because faulty jobs hide them, and against repeated rents for
+ * machines that boot late or never.
+ */
 class FailureAttributionHistoryTest {
     private final Map<String, Integer> startsByJob = new HashMap<>();
     private int rentRequests;
@@ -72,8 +76,9 @@
                 "nothing is called over that its user has not cancelled");
         assertEquals(20, cluster.over("done"));
         for (String id : cluster.checker.mistaken) {
-            // Each of its 30 tasks may be under way before the first two have failed; then one at a time, ever less
-            // often.
+            // All 30 tasks may have started before the first two fail. After that, one task starts at a time, at
+            // growing
+            // intervals.
             assertTrue(startsByJob.get(id) <= 30 + 12, id + " was started " + startsByJob.get(id) + " times");
             cluster.users.cancel(id);
         }
