--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -76,9 +76,8 @@
                 "nothing is called over that its user has not cancelled");
         assertEquals(20, cluster.over("done"));
         for (String id : cluster.checker.mistaken) {
-            // All 30 tasks may have started before the first two fail. After that, one task starts at a time, at
-            // growing
-            // intervals.
+            // All 30 tasks may have started before the first two fail. After that, one task starts at a time,
+            // at growing intervals.
             assertTrue(startsByJob.get(id) <= 30 + 12, id + " was started " + startsByJob.get(id) + " times");
             cluster.users.cancel(id);
         }
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -192,8 +192,8 @@
     }
 
     /**
-     * The awaited job is unknown, the submitted job itself or a service (rejected), cancelled (cancelled as well), or
-     * done and in the history (runs).
+     * The awaited job is unknown, the submitted job itself or a service (rejected), cancelled, whether in the history
+     * or not (cancelled as well), or done and in the history (runs).
      */
     @Test
     void submissionIsRejectedCancelledOrRunDependingOnAwaitedJob() {
