--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -81,10 +81,10 @@
         ClusterAssertions.everybodySaysTheSame(cluster, pipelineJobIds);
         assertTrue(
                 cluster.over("done") > pipelineJobIds.size() / 3,
-                cluster.over("done") + " of " + pipelineJobIds.size() + " done");
-        assertTrue(cluster.over("cancelled") > 0, "some are cancelled");
+                cluster.over("done") + " of " + pipelineJobIds.size() + " jobs are done");
+        assertTrue(cluster.over("cancelled") > 0, "no job was cancelled");
         for (String id : cluster.state.keys(Keys.JOBS)) {
-            assertTrue(cluster.state.value(id).has("ended"), id + " states its end");
+            assertTrue(cluster.state.value(id).has("ended"), "job " + id + " has no stored end");
         }
     }
 
@@ -153,7 +153,7 @@
         long largerValues = cluster.state.keys(Keys.ROOT).stream()
                 .filter(key -> Json.bytes(cluster.state.value(key)).length > LOWER_LIMITS.valueBytes())
                 .count();
-        assertTrue(largerValues > 0, "the earlier version fills its pages");
+        assertTrue(largerValues > 0, "no value of the earlier version exceeds the lower limit");
         cluster.upgrade(40_000, 8_000, 1_000, LOWER_LIMITS);
         for (int i = 0; i < 10; i++) {
             schedulePipeline(cluster, 75_000 + i * 4_000L);
@@ -164,9 +164,11 @@
         cluster.at(110_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crash(controller, 1_000)));
         cluster.sim.run(260_000);
         ClusterAssertions.everybodySaysTheSame(cluster, pipelineJobIds);
-        assertEquals(120, cluster.checker.places.size(), "every replica runs");
+        assertEquals(120, cluster.checker.places.size(), "number of running replicas");
         for (String key : cluster.state.keys(Keys.ROOT)) {
-            assertTrue(Json.bytes(cluster.state.value(key)).length <= LOWER_LIMITS.valueBytes(), key + " fits");
+            assertTrue(
+                    Json.bytes(cluster.state.value(key)).length <= LOWER_LIMITS.valueBytes(),
+                    "value of " + key + " exceeds the lower limit");
         }
     }
 
@@ -185,7 +187,9 @@
         cluster.at(20_000, () -> cluster.users.submitWhenAwaitedAreAccepted(second));
         cluster.sim.run(60_000);
         assertEquals("done", cluster.checker.told.get(first.id()));
-        assertTrue(cluster.state.value(Keys.JOBS + second.id()) == null, "not accepted yet");
+        assertTrue(
+                cluster.state.value(Keys.JOBS + second.id()) == null,
+                "the awaiting job was accepted before every controller supports pipelines");
         cluster.sim.run(120_000);
         assertEquals("done", cluster.checker.told.get(second.id()));
         ClusterAssertions.kept(cluster);
@@ -244,7 +248,9 @@
             cluster.at(timeMs, () -> cluster.users.askOnce(waiting.id(), "poll", controllerIndex));
             cluster.at(
                     timeMs,
-                    () -> assertTrue(!"accepted".equals(cluster.checker.told.get(waiting.id())), "called queued"));
+                    () -> assertTrue(
+                            !"accepted".equals(cluster.checker.told.get(waiting.id())),
+                            "the job was reported as queued"));
         }
         cluster.sim.run(10_000);
         assertEquals("cancelled", cluster.checker.told.get(waiting.id()));
