--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -51,7 +51,7 @@
                 Integer earlierNumber = acknowledgedNumbersByKey.put(key, number);
                 assertTrue(
                         earlierNumber == null || earlierNumber == number,
-                        key + " was made as " + earlierNumber + " and as " + number);
+                        "change " + key + " has the numbers " + earlierNumber + " and " + number);
             } else if (attempts > 1) {
                 cluster.at(cluster.sim.now + 700, () -> submitUntilAcknowledged(cluster, change, attempts - 1));
             }
@@ -70,7 +70,7 @@
         JsonNode log = cluster.users.configurationLog(cluster.nodes.get(0));
         for (int i = log.size() - 1; i >= 0; i--) {
             JsonNode entry = log.get(i);
-            assertTrue(keys.add(entry.get("key").textValue()), entry + " stands twice");
+            assertTrue(keys.add(entry.get("key").textValue()), "the log has two changes with the key of " + entry);
             assertEquals(
                     null,
                     keysByNumber.put(
@@ -136,15 +136,17 @@
         }
         cluster.users.submit(SampleJobs.job(1, "blue", true, 4, 2, 0));
         cluster.sim.run(30_000);
-        assertTrue(cpusInUse(cluster) > 20, cpusInUse(cluster) + " used before");
+        assertTrue(cpusInUse(cluster) > 20, cpusInUse(cluster) + " CPUs in use before the change");
         submitUntilAcknowledged(cluster, limitChange("lower", "blue", 4, 12), 5);
         cluster.at(
                 30_000 + EFFECTIVE_WITHIN_MS,
                 () -> cluster.checker.limits.put("blue", Math.max(12, cpusInUse(cluster))));
         cluster.at(60_000, () -> cluster.checker.limits.put("blue", 12.0));
         cluster.sim.run(60_000);
-        assertTrue(cpusInUse(cluster) <= 12, cpusInUse(cluster) + " used 30 s after");
-        assertTrue(cluster.running(SampleJobs.id(1), 4), "of the least priority first: the service keeps its replicas");
+        assertTrue(cpusInUse(cluster) <= 12, cpusInUse(cluster) + " CPUs in use 30 s after the change");
+        assertTrue(
+                cluster.running(SampleJobs.id(1), 4),
+                "a replica of the service was stopped before tasks of lower priority");
         cluster.sim.run(90_000);
         ClusterAssertions.kept(cluster);
     }
@@ -199,7 +201,7 @@
         cluster.sim.run(34_000);
         assertTrue(
                 cluster.checker.starts - startsWhenEffective[0] <= 4,
-                (cluster.checker.starts - startsWhenEffective[0]) + " starts of two processors' limit 1");
+                (cluster.checker.starts - startsWhenEffective[0]) + " starts of 2-CPU tasks beyond the limit of 1 CPU");
         cluster.state.answerWatches();
         cluster.sim.run(40_000);
         assertEquals(
