--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -30,15 +30,14 @@
                             SampleJobs.job(jobNumber, jobNumber % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
         }
         cluster.sim.run(45_000);
-        assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size(), "every replica runs before the trouble begins");
-        assertTrue(cluster.workers.size() >= SERVICE_COUNT, cluster.workers.size() + " machines");
+        assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size(), "number of running replicas before the faults");
+        assertTrue(cluster.workers.size() >= SERVICE_COUNT, "only " + cluster.workers.size() + " machines");
         return cluster;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {201, 202})
-    @DisplayName(
-            "a takeover of a large fleet loses no replica, although one machine hangs and two controllers are dead")
+    @DisplayName("a takeover of a large fleet loses no replica while one machine hangs and two controllers are down")
     void takeoverKeepsEveryReplicaWhenMachineHangsAndTwoControllersAreDead(long seed) {
         SimulatedCluster cluster = clusterWithRunningServices(seed);
         int startsBefore = cluster.checker.starts;
@@ -51,12 +50,12 @@
         cluster.workers.get(3).hang(false);
         cluster.sim.run(60_000);
         assertNotNull(cluster.leader());
-        assertEquals(startsBefore, cluster.checker.starts, "nothing was lost, so nothing was started again");
+        assertEquals(startsBefore, cluster.checker.starts, "no replica is lost, so none is started again");
         kept(cluster);
     }
 
     @Test
-    @DisplayName("all seven controllers crash: whoever is back first leads before the leases run out")
+    @DisplayName("when all seven controllers crash, the first to restart leads before the leases expire")
     void noLeaseExpiresWhenAllSevenControllersCrash() {
         SimulatedCluster cluster = clusterWithRunningServices(211);
         int startsBefore = cluster.checker.starts;
@@ -67,7 +66,8 @@
     }
 
     @Test
-    @DisplayName("a zone cut off for longer than the lease: its replicas come back in the other, none runs twice")
+    @DisplayName(
+            "when a zone is cut off for longer than the lease, its replicas restart in the other zone and none runs twice")
     void replicasMoveToOtherZoneWhenZoneIsCutOffLongerThanLease() {
         SimulatedCluster cluster = clusterWithRunningServices(221);
         cluster.cloud.capacity = 500;
@@ -86,7 +86,7 @@
                 cluster.checker.places.values().stream()
                         .filter(place -> place.endsWith("@b"))
                         .count(),
-                "every replica runs in the zone that is left");
+                "number of replicas in the reachable zone");
         cluster.sim.heal();
         cluster.sim.run(120_000);
         assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size());
@@ -94,7 +94,7 @@
     }
 
     @Test
-    @DisplayName("the whole deployment stays within the state service's rates, through a takeover too")
+    @DisplayName("all controllers together stay within the state service's rate limits, also during a takeover")
     void requestsStayWithinStateServiceLimitsDuringTakeover() {
         SimulatedCluster cluster = clusterWithRunningServices(231);
         cluster.state.resetPeaks();
@@ -102,12 +102,12 @@
         cluster.leader().crash(4_000);
         cluster.sim.run(90_000);
         assertTrue(cluster.state.mostRequests() <= 200, cluster.state.mostRequests() + " requests in one second");
-        assertTrue(cluster.state.mostWrites() <= 20, cluster.state.mostWrites() + " changes in one second");
+        assertTrue(cluster.state.mostWrites() <= 20, cluster.state.mostWrites() + " writes in one second");
         kept(cluster);
     }
 
     @Test
-    @DisplayName("far more submissions than can be written: refused at once, accepted in the end, and the leader stays")
+    @DisplayName("submissions beyond the write rate are refused at once and accepted in the end, and the leader stays")
     void leaderStaysAndEveryJobIsAcceptedWhenSubmissionsExceedWriteRate() {
         SimulatedCluster cluster = new SimulatedCluster(261, 0, 7);
         cluster.cloud.capacity = 150;
@@ -125,17 +125,20 @@
             cluster.users.submit(SampleJobs.job(i, "red", false, 1, 0.5, 2));
         }
         cluster.sim.run(32_000);
-        assertTrue(cluster.checker.told.size() < 240, "not all can be accepted at once");
+        assertTrue(cluster.checker.told.size() < 240, "all jobs were accepted at once");
         int refused = cluster.nodes.stream()
                 .mapToInt(controller -> cluster.metric(controller, "landingridge_refused"))
                 .sum();
-        assertTrue(refused > 100, refused + " refused, with the time to come back, and none held back");
+        assertTrue(refused > 100, "only " + refused + " submissions were refused at once with a time to retry");
         cluster.sim.run(150_000);
         assertTrue(cluster.state.tooMany() > 0);
-        assertEquals(240, cluster.over("done"), "every job is accepted in the end, and runs");
+        assertEquals(240, cluster.over("done"), "number of jobs accepted in the end and done");
         assertEquals(leader, cluster.leader());
-        assertEquals(takeovers, cluster.metric(leader, "landingridge_takeovers"), "the lead was kept throughout");
-        assertEquals(0, cluster.metric(leader, "landingridge_lost"), "no lease ran out for it");
+        assertEquals(
+                takeovers,
+                cluster.metric(leader, "landingridge_takeovers"),
+                "number of takeovers: the leader leads throughout");
+        assertEquals(0, cluster.metric(leader, "landingridge_lost"), "no attempt is lost to an expired lease");
         assertTrue(cluster.checker.starts >= startsBefore + 240);
         kept(cluster);
     }
@@ -156,12 +159,12 @@
     }
 
     @Test
-    @DisplayName("a report that says nothing new costs no pass over the fleet, however many machines report")
+    @DisplayName("a report without changes causes no scheduler pass, regardless of the number of machines that report")
     void unchangedReportsCauseNoSchedulerPasses() {
         int passesWithFewMachines = schedulerPassesWithoutEvents(15);
         assertTrue(
                 passesWithFewMachines > 0 && schedulerPassesWithoutEvents(150) <= passesWithFewMachines + 5,
-                passesWithFewMachines + " passes with a tenth of the machines");
+                passesWithFewMachines + " scheduler passes with a tenth of the machines");
     }
 
     /** Returns the size of the reachable objects, in megabytes. */
@@ -171,7 +174,7 @@
     }
 
     @Test
-    @DisplayName("arrays of the largest size, many at once, take little memory and leave the others served")
+    @DisplayName("many arrays of the largest size at once take little memory and do not block other jobs")
     void largestArraysTakeLittleMemoryAndDelayNoOtherJob() {
         SimulatedCluster cluster = new SimulatedCluster(251, 0, 3);
         long before = usedMegabytes();
@@ -182,7 +185,7 @@
         cluster.users.submit(SampleJobs.job(2, "blue", false, 3, 1, 2));
         cluster.sim.run(60_000);
         long addedMegabytes = usedMegabytes() - before;
-        assertTrue(addedMegabytes < 20, addedMegabytes + " MB more with 2,000,000 tasks");
+        assertTrue(addedMegabytes < 20, addedMegabytes + " MB added by 2,000,000 tasks");
         assertTrue(cluster.running("job-000001", 2));
         kept(cluster);
     }
