--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -50,7 +50,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("jobs with a mistake cost no sound machine and no sound job anything, until they are cancelled")
+    @DisplayName("faulty jobs do not affect sound machines or sound jobs until they are cancelled")
     void alwaysFailingJobsAffectNoSoundMachineOrJobUntilCancelled(long seed) {
         SimulatedCluster cluster = newCluster(500 + seed);
         submitServices(cluster);
@@ -73,18 +73,20 @@
                         .filter(statusEntry -> cluster.checker.mistaken.contains(statusEntry.getKey())
                                 && !statusEntry.getValue().equals("accepted"))
                         .count(),
-                "nothing is called over that its user has not cancelled");
+                "faulty jobs reported as ended although no user cancelled them");
         assertEquals(20, cluster.over("done"));
         for (String id : cluster.checker.mistaken) {
             // All 30 tasks may have started before the first two fail. After that, one task starts at a time,
             // at growing intervals.
-            assertTrue(startsByJob.get(id) <= 30 + 12, id + " was started " + startsByJob.get(id) + " times");
+            assertTrue(
+                    startsByJob.get(id) <= 30 + 12,
+                    "tasks of " + id + " were started " + startsByJob.get(id) + " times");
             cluster.users.cancel(id);
         }
         assertTrue(cluster.status(cluster.leader()).path("incidents").toString().contains("looks like a mistake"));
         assertTrue(
                 !cluster.status(cluster.leader()).path("incidents").toString().contains("fails its tasks"),
-                "no sound machine goes back");
+                "a sound machine was returned");
         startsByJob.clear();
         cluster.sim.run(140_000);
         assertEquals(4, cluster.over("cancelled"));
@@ -94,7 +96,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("a faulty machine is found beside jobs with a mistake, and goes back")
+    @DisplayName("a faulty machine is recognized among faulty jobs and returned")
     void faultyMachineIsReturnedWhenSomeJobsAlsoAlwaysFail(long seed) {
         SimulatedCluster cluster = newCluster(510 + seed);
         submitServices(cluster);
@@ -111,13 +113,14 @@
         }
         cluster.sim.run(130_000);
         assertEquals(25, cluster.over("done"));
-        assertTrue(faulty.box().deleted, "it went back");
+        assertTrue(faulty.box().deleted, "the faulty machine was not returned");
         kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName("machines that never come up are replaced once their like are up, without a rent for each wait")
+    @DisplayName(
+            "machines that never come up are replaced once others of their type are up, without a new rent at each wait")
     void machinesThatNeverComeUpAreReplacedWithFewRentRequests(long seed) {
         SimulatedCluster cluster = newCluster(520 + seed);
         cluster.cloud.neverUp = 0.3;
@@ -127,15 +130,15 @@
         cluster.sim.run(30_000);
         assertTrue(
                 cluster.checker.places.size() >= 18,
-                "only " + cluster.checker.places.size() + " of 20 run after four boots");
+                "only " + cluster.checker.places.size() + " of 20 services run after four boot times");
         cluster.sim.run(90_000);
         assertEquals(20, cluster.checker.places.size());
-        assertTrue(rentRequests <= 60, rentRequests + " rented for 20");
+        assertTrue(rentRequests <= 60, rentRequests + " machines rented for 20 services");
         kept(cluster);
     }
 
     @Test
-    @DisplayName("a machine that reports before its rent is answered and before any list names it is used at once")
+    @DisplayName("a machine that reports before its rent is answered and before any list contains it is used at once")
     void machineThatReportsBeforeItsRentIsAnsweredIsUsedAtOnce() {
         SimulatedCluster cluster = newCluster(530);
         cluster.cloud.bootMs = 1;
