--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -191,10 +191,8 @@
         } else {
             cluster.state.withholdWatches(leader.host.name);
         }
-        ControllerNode peer = cluster.nodes.stream()
-                .filter(node -> node != leader)
-                .findFirst()
-                .orElseThrow();
+        ControllerNode peer =
+                cluster.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
         cluster.at(15_500, () -> cluster.users.configure(peer.index, limitChange("none", "blue", 0, 1), reply -> {}));
         long[] startsWhenEffective = new long[1];
         cluster.at(15_500 + EFFECTIVE_WITHIN_MS, () -> startsWhenEffective[0] = cluster.checker.starts);
