--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -101,8 +101,8 @@
         SimulatedCluster cluster = newCluster(510 + seed);
         submitServices(cluster);
         cluster.sim.run(20_000);
-        EmulatedWorker faulty = cluster.workers.get(cluster.workers.size() - 1);
-        faulty.spoil();
+        EmulatedWorker faultyMachine = cluster.workers.get(cluster.workers.size() - 1);
+        faultyMachine.spoil();
         for (int i = 0; i < 30; i++) {
             int jobNumber = 20 + i;
             if (i % 6 == 0) {
@@ -113,14 +113,13 @@
         }
         cluster.sim.run(130_000);
         assertEquals(25, cluster.over("done"));
-        assertTrue(faulty.box().deleted, "the faulty machine was not returned");
+        assertTrue(faultyMachine.box().deleted, "the faulty machine was not returned");
         kept(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    @DisplayName(
-            "machines that never come up are replaced once others of their type are up, without a new rent at each wait")
+    @DisplayName("machines that never come up are replaced once others of their type are up, without a rent per wait")
     void machinesThatNeverComeUpAreReplacedWithFewRentRequests(long seed) {
         SimulatedCluster cluster = newCluster(520 + seed);
         cluster.cloud.neverUp = 0.3;
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -66,8 +66,7 @@
     }
 
     @Test
-    @DisplayName(
-            "when a zone is cut off for longer than the lease, its replicas restart in the other zone and none runs twice")
+    @DisplayName("replicas of a zone cut off for longer than the lease restart in the other zone and none runs twice")
     void replicasMoveToOtherZoneWhenZoneIsCutOffLongerThanLease() {
         SimulatedCluster cluster = clusterWithRunningServices(221);
         cluster.cloud.capacity = 500;
@@ -153,9 +152,9 @@
         }
         cluster.sim.run(60_000);
         assertEquals(services, cluster.checker.places.size());
-        int before = cluster.metric(cluster.leader(), "landingridge_busy_times_pass");
+        int passesBefore = cluster.metric(cluster.leader(), "landingridge_busy_times_pass");
         cluster.sim.run(90_000);
-        return cluster.metric(cluster.leader(), "landingridge_busy_times_pass") - before;
+        return cluster.metric(cluster.leader(), "landingridge_busy_times_pass") - passesBefore;
     }
 
     @Test
@@ -177,14 +176,14 @@
     @DisplayName("many arrays of the largest size at once take little memory and do not block other jobs")
     void largestArraysTakeLittleMemoryAndDelayNoOtherJob() {
         SimulatedCluster cluster = new SimulatedCluster(251, 0, 3);
-        long before = usedMegabytes();
+        long megabytesBefore = usedMegabytes();
         for (int i = 0; i < 20; i++) {
             cluster.users.submit(SampleJobs.job(100 + i, "red", false, 100_000, 4, 5));
         }
         cluster.users.submit(SampleJobs.job(1, "blue", true, 2, 1, 0));
         cluster.users.submit(SampleJobs.job(2, "blue", false, 3, 1, 2));
         cluster.sim.run(60_000);
-        long addedMegabytes = usedMegabytes() - before;
+        long addedMegabytes = usedMegabytes() - megabytesBefore;
         assertTrue(addedMegabytes < 20, addedMegabytes + " MB added by 2,000,000 tasks");
         assertTrue(cluster.running("job-000001", 2));
         kept(cluster);
