--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
-import static org.landingridge.experiment.ClusterAssertions.everybodySaysTheSame;
+import static org.landingridge.experiment.ClusterAssertions.allJobsEndedAndControllersAgree;
 import static org.landingridge.experiment.ClusterAssertions.kept;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -104,7 +104,7 @@
             List<String> ids = scheduleJobs(cluster, 6_000);
             scheduleFault(cluster, fault);
             cluster.sim.run(60_000);
-            everybodySaysTheSame(cluster, ids);
+            allJobsEndedAndControllersAgree(cluster, ids);
         }
     }
 
@@ -119,7 +119,7 @@
             List<String> ids = scheduleJobs(cluster, 6_000);
             scheduleFault(cluster, fault);
             cluster.sim.run(60_000);
-            everybodySaysTheSame(cluster, ids);
+            allJobsEndedAndControllersAgree(cluster, ids);
         }
     }
 
@@ -141,7 +141,7 @@
         List<String> ids = scheduleJobs(cluster, 6_000);
         cluster.sim.run(60_000);
         assertEquals(List.of(), lateJobs);
-        everybodySaysTheSame(cluster, ids);
+        allJobsEndedAndControllersAgree(cluster, ids);
         assertTrue(cluster.over("done") > JOB_COUNT / 2, "more than half of the jobs should be done");
     }
 
@@ -165,8 +165,8 @@
         cluster.at(50_000, () -> crash(cluster.leader(), 300));
         cluster.sim.run(110_000);
         assertTrue(cluster.state.keys("lr/job/").size() < 560, "some ended jobs should have moved into the history");
-        everybodySaysTheSame(cluster, ids);
-        everybodySaysTheSame(
+        allJobsEndedAndControllersAgree(cluster, ids);
+        allJobsEndedAndControllersAgree(
                 cluster,
                 IntStream.range(0, 600).mapToObj(i -> SampleJobs.id(3_000 + i)).toList());
     }
@@ -246,7 +246,7 @@
             cluster.at(100_000, () -> crash(cluster.leader(), backAfterMs));
         }
         cluster.sim.run(190_000);
-        everybodySaysTheSame(cluster, ids);
+        allJobsEndedAndControllersAgree(cluster, ids);
         assertEquals(482, cluster.users.admissions.result().accepted());
         if (backAfterMs == 0) {
             assertEquals(
@@ -282,7 +282,7 @@
         List<String> ids = scheduleJobs(cluster, 6_000);
         cluster.at(15_000, () -> crash(cluster.leader(), 200));
         cluster.sim.run(60_000);
-        everybodySaysTheSame(cluster, ids);
+        allJobsEndedAndControllersAgree(cluster, ids);
         for (ControllerNode node : cluster.nodes) {
             for (int i = 0; i < values.size(); i++) {
                 assertEquals(
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -39,7 +39,7 @@
     }
 
     /** All of these jobs are over, and every controller says the same of each. */
-    static void everybodySaysTheSame(SimulatedCluster w, List<String> ids) {
+    static void allJobsEndedAndControllersAgree(SimulatedCluster w, List<String> ids) {
         everybodyAnswers(w, ids);
         kept(w);
         for (String id : ids) {
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -78,7 +78,7 @@
 
     private void runUntilAllStagesHaveEnded(SimulatedCluster cluster, long untilMs) {
         cluster.sim.run(untilMs);
-        ClusterAssertions.everybodySaysTheSame(cluster, pipelineJobIds);
+        ClusterAssertions.allJobsEndedAndControllersAgree(cluster, pipelineJobIds);
         assertTrue(
                 cluster.over("done") > pipelineJobIds.size() / 3,
                 cluster.over("done") + " of " + pipelineJobIds.size() + " jobs are done");
@@ -163,7 +163,7 @@
         cluster.at(90_000, () -> ClusterAssertions.crash(cluster.leader(), 1_500));
         cluster.at(110_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crash(controller, 1_000)));
         cluster.sim.run(260_000);
-        ClusterAssertions.everybodySaysTheSame(cluster, pipelineJobIds);
+        ClusterAssertions.allJobsEndedAndControllersAgree(cluster, pipelineJobIds);
         assertEquals(120, cluster.checker.places.size(), "number of running replicas");
         for (String key : cluster.state.keys(Keys.ROOT)) {
             assertTrue(
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -369,7 +369,7 @@
             cluster.at(70_000 + ClusterSetup.CANCEL_MS + 3_000, () -> cluster.state.outage(false));
         }
         cluster.sim.run(200_000);
-        ClusterAssertions.everybodySaysTheSame(cluster, ids);
+        ClusterAssertions.allJobsEndedAndControllersAgree(cluster, ids);
         settled(cluster, ids);
     }
 
@@ -507,6 +507,6 @@
                     cluster.checker.firstStart(SampleJobs.id(FIRST_JOB + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
                     "a large job did not start within 240 s of its submission");
         }
-        ClusterAssertions.everybodySaysTheSame(cluster, ids);
+        ClusterAssertions.allJobsEndedAndControllersAgree(cluster, ids);
     }
 }
