--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
 import static org.landingridge.experiment.ClusterAssertions.allJobsEndedAndControllersAgree;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -258,7 +258,7 @@
         for (ControllerNode node : cluster.nodes) {
             assertTrue(cluster.status(node).path("activeJobs").asInt() == 0, "no active job should be left");
         }
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -9,7 +9,7 @@
 final class ClusterAssertions {
     private ClusterAssertions() {}
 
-    static void kept(SimulatedCluster w) {
+    static void assertInvariantsHold(SimulatedCluster w) {
         assertEquals(List.of(), w.checker.broken);
         assertEquals(0, w.state.tooLarge());
     }
@@ -22,7 +22,7 @@
             waiting.look();
         }
         everybodyAnswers(w, ids);
-        kept(w);
+        assertInvariantsHold(w);
     }
 
     /** Every controller answers for each of these jobs, and nobody is told anything older. */
@@ -41,7 +41,7 @@
     /** All of these jobs are over, and every controller says the same of each. */
     static void allJobsEndedAndControllersAgree(SimulatedCluster w, List<String> ids) {
         everybodyAnswers(w, ids);
-        kept(w);
+        assertInvariantsHold(w);
         for (String id : ids) {
             String told = w.checker.told.get(id);
             assertTrue("done".equals(told) || "cancelled".equals(told), id + " is " + told);
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 
 import java.util.List;
 import org.junit.jupiter.api.DisplayName;
@@ -42,7 +42,7 @@
     }
 
     private static void assertAllJobsEndedAndServicesRun(SimulatedCluster cluster) {
-        kept(cluster);
+        assertInvariantsHold(cluster);
         for (int i = 10; i < 26; i++) {
             String status = cluster.checker.told.get(String.format("job-%06d", i));
             assertTrue(
@@ -92,7 +92,7 @@
                         cluster.checker.completed.size() >= 4,
                         cluster.checker.completed + " should hold at least 4 finished tasks"));
         cluster.sim.run(120_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals("done", cluster.checker.told.get("job-000050"));
         assertEquals(0, cluster.checker.repeats, "no finished task should start again");
     }
@@ -124,7 +124,7 @@
         cluster.state.outage(false);
         cluster.sim.run(60_000 + 3 * ClusterSetup.LEASE_MS);
         assertEquals(starts, cluster.checker.starts, "no task should start again, as none was lost");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -143,7 +143,7 @@
         assertNotEquals(formerLeader, cluster.leader());
         cluster.sim.run(50_000);
         assertEquals(starts, cluster.checker.starts);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -161,7 +161,7 @@
         cluster.sim.heal();
         cluster.sim.run(40_000 + 4 * ClusterSetup.LEASE_MS);
         assertEquals(starts, cluster.checker.starts);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @ParameterizedTest
@@ -232,7 +232,7 @@
         });
         cluster.at(26_500, () -> cluster.workers.forEach(worker -> worker.hang(false)));
         cluster.sim.run(80_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(6, cluster.checker.places.size());
     }
 
@@ -262,7 +262,7 @@
                 task + " should run again before the lease expires");
         silent.hang(false);
         cluster.sim.run(60_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -295,7 +295,7 @@
                 2,
                 cluster.cloud.boxes.size(),
                 "there should be one machine per task although the rent request was sent twice");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -313,7 +313,7 @@
         cluster.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
         cluster.sim.heal();
         cluster.sim.run(60_000 + 2 * ClusterSetup.CANCEL_MS);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @ParameterizedTest
@@ -340,7 +340,7 @@
                 images,
                 cluster.workers.stream().mapToInt(EmulatedWorker::images).sum(),
                 "no image should be fetched again");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -350,7 +350,7 @@
         cluster.sim.run(150_000);
         assertEquals("done", cluster.checker.told.get("job-000001"));
         assertTrue(cluster.cloud.boxes.values().stream().allMatch(machine -> machine.deleted));
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -360,6 +360,6 @@
         cluster.users.submit(SampleJobs.job(1, "blue", false, 600, 0.1, 1));
         cluster.sim.run(120_000);
         assertEquals("done", cluster.checker.told.get("job-000001"));
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -91,7 +91,7 @@
         cluster.sim.run(140_000);
         assertEquals(4, cluster.over("cancelled"));
         assertEquals(Map.of(), startsByJob);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @ParameterizedTest
@@ -114,7 +114,7 @@
         cluster.sim.run(130_000);
         assertEquals(25, cluster.over("done"));
         assertTrue(faultyMachine.box().deleted, "the faulty machine was not returned");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @ParameterizedTest
@@ -133,7 +133,7 @@
         cluster.sim.run(90_000);
         assertEquals(20, cluster.checker.places.size());
         assertTrue(rentRequests <= 60, rentRequests + " machines rented for 20 services");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -146,6 +146,6 @@
         }
         cluster.sim.run(6_000);
         assertEquals(8, cluster.checker.places.size());
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.services;
 
 import java.util.List;
@@ -73,7 +73,7 @@
                 CANCELLED_JOB_COUNT, cluster.over("cancelled"), "every cancelled job should be reported as cancelled");
         assertEquals(0, countTasksOfCancelledJobs(cluster), "no task of a cancelled job should still run");
         cluster.sim.run(150_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertTrue(
                 cluster.running(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2),
                 "tasks of jobs that were not cancelled should run");
@@ -173,7 +173,7 @@
         cluster.at(46_900 + 3 * ClusterSetup.CANCEL_MS, () -> cluster.state.outage(false));
         cluster.sim.run(150_000);
         assertEquals(1, cluster.over("cancelled"));
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @ParameterizedTest
@@ -190,13 +190,13 @@
         cluster.at(46_300 + 5 * ClusterSetup.LEASE_MS, cluster.sim.deaf::clear);
         // The leader's hold, a lease, a heartbeat that takes 5 s because it waits for its answer, and a boot.
         cluster.sim.run(46_300 + 3_500 + ClusterSetup.LEASE_MS + 5_500 + 4_500);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(
                 4 + 2 * ARRAY_JOB_COUNT,
                 cluster.checker.places.size(),
                 "all tasks should run again although the machines that receive nothing still report");
         cluster.sim.run(150_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
     }
 
@@ -219,7 +219,7 @@
                 cluster.metric(leader, "landingridge_lapses"),
                 "machines answered in its former term should not lose their leases");
         cluster.sim.run(150_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(starts, cluster.checker.starts, "no task should start again");
     }
 
@@ -237,7 +237,7 @@
         cluster.at(46_050, () -> cluster.leader().crash(20_000));
         cluster.at(90_000, cluster.heartbeatFaults.droppedMachines::clear);
         cluster.sim.run(150_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
     }
 
@@ -254,7 +254,7 @@
         cluster.at(46_500, () -> leader.host.freeze(20_000));
         cluster.at(80_000, () -> cluster.state.refuse(refused.host.name, false));
         cluster.sim.run(120_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(
                 starts,
                 cluster.checker.starts,
@@ -293,7 +293,7 @@
         cluster.at(78_000, cluster.sim::heal);
         cluster.at(100_000, () -> cluster.state.refuse(forwarder.host.name, false));
         cluster.sim.run(180_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
     }
 
@@ -320,7 +320,7 @@
         cluster.at(79_000 + delayMs, () -> cluster.nodes.forEach(node -> crash(node, restartDelayMs / 4)));
         cluster.at(90_000, () -> crash(cluster.leader(), 100));
         cluster.sim.run(260_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         for (int i = 0; i < 8; i++) {
             assertEquals("done", cluster.checker.told.get(SampleJobs.id(FIRST_ARRAY_JOB + 30 + i)));
         }
@@ -352,7 +352,7 @@
         cluster.at(67_500, () -> cluster.state.outage(false));
         cluster.at(70_000, () -> cluster.sim.copied.clear());
         cluster.sim.run(160_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
     }
 
@@ -379,7 +379,7 @@
         cluster.at(66_000, () -> cluster.nodes.forEach(node -> crash(node, 200)));
         cluster.at(72_000, () -> cluster.state.lateWrites(0, null));
         cluster.sim.run(200_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         for (int i = 0; i < 14; i++) {
             String status = cluster.checker.told.get(SampleJobs.id(FIRST_ARRAY_JOB + 30 + i));
             assertTrue("done".equals(status) || "cancelled".equals(status), status);
@@ -406,7 +406,7 @@
         cluster.at(80_000, () -> cluster.nodes.forEach(node -> crash(node, 500)));
         cluster.at(100_000, () -> cluster.heartbeatFaults.lateShare = 0);
         cluster.sim.run(200_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(12, cluster.over("done"));
     }
 
@@ -430,7 +430,7 @@
         cluster.at(46_000 + forMs, cluster.sim::heal);
         cluster.sim.run(150_000);
         assertEquals(CANCELLED_JOB_COUNT, cluster.over("cancelled"));
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertTrue(cluster.running(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2));
     }
 
@@ -456,7 +456,7 @@
             cluster.checker.unanswered(from, ids);
         }
         cluster.sim.run(125_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     /**
@@ -487,7 +487,7 @@
                 () -> cluster.heartbeatFaults.dropped.forEach(
                         heartbeat -> cluster.leader().controller.serve(heartbeat)));
         cluster.sim.run(180_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
     }
 
@@ -511,7 +511,7 @@
         assertTrue(cluster.leader() != leader, "another controller should lead");
         cluster.at(90_000, cluster.state::answerWatches);
         cluster.sim.run(120_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(starts, cluster.checker.starts);
     }
 
@@ -540,7 +540,7 @@
                 "the new leader should act as leader within 300 ms, took " + (cluster.sim.now - claimedAtMs) + " ms");
         cluster.at(cluster.sim.now + 4_000, () -> cluster.state.lostAnswers(0, null));
         cluster.sim.run(120_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(starts, cluster.checker.starts, "no task should start again");
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -26,7 +26,7 @@
     private static final int JOB_COUNT = 900;
 
     private static void assertNoJobLostOrDuplicated(SimulatedCluster cluster) {
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
         // Each terminated job is either under its own key or in the history.
         for (String id : cluster.checker.told.keySet()) {
             boolean isReportedEnded = cluster.checker.told.get(id).equals("done")
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -123,7 +123,7 @@
         cluster.sim.run(180_000);
         assertEquals(40, acknowledgedNumbersByKey.size());
         assertControllersMatchLog(cluster);
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     /** No task starts beyond a lowered limit once the limit is in effect, and the excess is gone 30 s after the change. */
@@ -148,7 +148,7 @@
                 cluster.running(SampleJobs.id(1), 4),
                 "a replica of the service was stopped before tasks of lower priority");
         cluster.sim.run(90_000);
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     private static double cpusInUse(SimulatedCluster cluster) {
@@ -235,7 +235,7 @@
                 cluster.users.post(
                         cluster.nodes.get(2),
                         Json.bytes(SampleJobs.job(2, "green", false, 1, 1, 1).json())));
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     /** Invalid input stores nothing, and the error names the field or the expected content. */
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -192,7 +192,7 @@
                 "the awaiting job was accepted before every controller supports pipelines");
         cluster.sim.run(120_000);
         assertEquals("done", cluster.checker.told.get(second.id()));
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     /**
@@ -227,7 +227,7 @@
         assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(6)));
         assertEquals("done", cluster.checker.told.get(SampleJobs.id(7)));
         assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(8)));
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     /**
@@ -254,7 +254,7 @@
         }
         cluster.sim.run(10_000);
         assertEquals("cancelled", cluster.checker.told.get(waiting.id()));
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     private static int submitAwaiting(SimulatedCluster cluster, int jobNumber, String awaitedId) {
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.services;
 import static org.landingridge.experiment.ClusterAssertions.settled;
 
@@ -102,7 +102,7 @@
         cluster.at(73_000, () -> cluster.workers.get(1).hang(false));
         cluster.at(76_000, () -> cluster.heartbeatFaults.replayShare = 0);
         cluster.sim.run(120_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(10, cluster.over("done"));
         settled(cluster, jobIds(FIRST_JOB, 10));
     }
@@ -145,7 +145,7 @@
         }
         cluster.at(56_000, cluster.sim::heal);
         cluster.sim.run(75_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         settled(cluster, jobIds(FIRST_JOB, 4));
         assertTrue(
                 IntStream.range(0, 4).allMatch(i -> cluster.running(SampleJobs.id(FIRST_JOB + i), tasks)),
@@ -173,7 +173,7 @@
             cluster.at(47_000, () -> crash(cluster.leader(), 300));
         }
         cluster.sim.run(46_000 + ClusterSetup.LEASE_MS + 8_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         for (long atMs = cluster.sim.now; atMs < 110_000; atMs += 500) {
             cluster.sim.run(atMs);
             assertEquals(16, cluster.checker.places.size(), "all tasks should run on other machines at " + atMs);
@@ -224,10 +224,10 @@
             }
         }
         cluster.sim.run(100_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         settled(cluster, jobIds(FIRST_JOB, 40));
         cluster.sim.run(600_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(40, cluster.over("done") + cluster.over("cancelled"));
     }
 
@@ -282,7 +282,7 @@
             cluster.at(roundStartMs + 5_000, () -> cluster.state.lateWrites(0, null));
         }
         cluster.sim.run(100_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         settled(cluster, jobIds(FIRST_JOB, 32));
         assertEquals(32, cluster.over("done"));
         cluster.sim.run(420_000);
@@ -330,7 +330,7 @@
         }
         cluster.sim.run(160_000);
         assertEquals(12, cluster.over("cancelled"));
-        kept(cluster);
+        assertInvariantsHold(cluster);
         settled(cluster, jobIds(FIRST_JOB, 14));
     }
 
@@ -409,7 +409,7 @@
         cluster.at(46_000 + 2 * ClusterSetup.LEASE_MS, cluster.sim::heal);
         cluster.sim.run(110_000);
         assertEquals(3, cluster.over("cancelled"));
-        kept(cluster);
+        assertInvariantsHold(cluster);
         settled(cluster, jobIds(FIRST_JOB, 6));
     }
 
@@ -443,7 +443,7 @@
         });
         cluster.at(60_000, cluster.heartbeatFaults.droppedMachines::clear);
         cluster.sim.run(90_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         settled(cluster, jobIds(FIRST_JOB, 2));
         assertEquals("done", cluster.checker.told.get(SampleJobs.id(FIRST_JOB + 1)));
     }
@@ -501,7 +501,7 @@
         cluster.at(120_000, () -> cluster.workers.stream().limit(2).forEach(worker -> worker.hang(true)));
         cluster.at(132_000, () -> cluster.workers.stream().limit(2).forEach(worker -> worker.hang(false)));
         cluster.sim.run(400_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         for (int i = 0; i < 3; i++) {
             assertTrue(
                     cluster.checker.firstStart(SampleJobs.id(FIRST_JOB + 100 + i)) <= 40_000 + i * 15_000L + 240_000,
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.services;
 
 import java.util.List;
@@ -67,7 +67,7 @@
         assertEquals(12, cluster.checker.places.size(), "all tasks should run again long before a lease expires");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_lapses"));
         cluster.sim.run(90_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(12, cluster.checker.places.size());
     }
 
@@ -92,7 +92,7 @@
         }
         cluster.at(32_500, () -> cluster.leader().crash(100));
         cluster.sim.run(60_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(12, cluster.checker.places.size());
     }
 
@@ -117,7 +117,7 @@
         cluster.at(70_000, () -> crash(cluster.leader(), backAfterMs));
         cluster.at(74_000, () -> cluster.state.outage(false));
         cluster.sim.run(180_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         for (int i = 20; i < 60; i++) {
             String status = cluster.checker.told.get(SampleJobs.id(i));
             assertTrue("done".equals(status) || "cancelled".equals(status), "job " + i + " is " + status);
@@ -140,7 +140,7 @@
         cluster.at(70_000, () -> cluster.workers.get(1).hang(false));
         cluster.at(80_000, () -> cluster.nodes.forEach(node -> crash(node, 1_000)));
         cluster.sim.run(200_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     /**
@@ -163,7 +163,7 @@
             cluster.at(36_000 + i * 300L, () -> cluster.workers.forEach(worker -> worker.fail(task)));
         }
         cluster.sim.run(140_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @ParameterizedTest
@@ -182,7 +182,7 @@
             cluster.at(42_000 + i * 1_500L, () -> cluster.restart(worker, 100));
         }
         cluster.sim.run(120_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(12, cluster.checker.places.size());
     }
 
@@ -201,7 +201,7 @@
                         follower, cluster.status(leader).path("token").asLong(), 1)));
         cluster.at(30_000 + 3 * LEASE_MS, () -> cluster.state.outage(false));
         cluster.sim.run(60_000 + 3 * LEASE_MS);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(startsBefore, cluster.checker.starts, "no task should start again");
     }
 
@@ -228,7 +228,7 @@
             }
         });
         cluster.sim.run(30_000 + 2 * LEASE_MS);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(startsBefore, cluster.checker.starts, "no lease should expire and no task should start again");
     }
 
@@ -246,7 +246,7 @@
         }
         cluster.sim.run(80_000);
         assertEquals(0, calls[0], "the leader called machines as silent after its own pause");
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertEquals(startsBefore, cluster.checker.starts, "no task should start again");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_settled"));
     }
@@ -262,7 +262,7 @@
         cluster.at(33_300, () -> cluster.leader().host.freeze(pauseMs));
         cluster.at(70_100, () -> cluster.nodes.forEach(node -> node.host.freeze(pauseMs / 2)));
         cluster.sim.run(180_000);
-        kept(cluster);
+        assertInvariantsHold(cluster);
         assertNotEquals(null, cluster.leader());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RecordedFormatsTest.java
@@ -50,7 +50,7 @@
         w.sim.run(CRASH_AT - 1);
         storedAtCrash = recorder.stored();
         w.sim.run(END_AT);
-        ClusterAssertions.kept(w);
+        ClusterAssertions.assertInvariantsHold(w);
     }
 
     /** Services, arrays, a pipeline, cancellations, a lost machine, an outage, a failover, the history, a change of teams. */
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.kept;
+import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
@@ -51,7 +51,7 @@
         cluster.sim.run(60_000);
         assertNotNull(cluster.leader());
         assertEquals(startsBefore, cluster.checker.starts, "no replica is lost, so none is started again");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -62,7 +62,7 @@
         cluster.nodes.forEach(controller -> controller.crash(2_000 + 150L * controller.index));
         cluster.sim.run(65_000);
         assertEquals(startsBefore, cluster.checker.starts);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -89,7 +89,7 @@
         cluster.sim.heal();
         cluster.sim.run(120_000);
         assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size());
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -102,7 +102,7 @@
         cluster.sim.run(90_000);
         assertTrue(cluster.state.mostRequests() <= 200, cluster.state.mostRequests() + " requests in one second");
         assertTrue(cluster.state.mostWrites() <= 20, cluster.state.mostWrites() + " writes in one second");
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     @Test
@@ -139,7 +139,7 @@
                 "number of takeovers: the leader leads throughout");
         assertEquals(0, cluster.metric(leader, "landingridge_lost"), "no attempt is lost to an expired lease");
         assertTrue(cluster.checker.starts >= startsBefore + 240);
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 
     /** Returns the number of scheduler passes in 30 s without events, with the given number of one-replica services. */
@@ -186,6 +186,6 @@
         long addedMegabytes = usedMegabytes() - megabytesBefore;
         assertTrue(addedMegabytes < 20, addedMegabytes + " MB added by 2,000,000 tasks");
         assertTrue(cluster.running("job-000001", 2));
-        kept(cluster);
+        assertInvariantsHold(cluster);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -54,7 +54,7 @@
     }
 
     private void assertInvariantsKept() {
-        ClusterAssertions.kept(cluster);
+        ClusterAssertions.assertInvariantsHold(cluster);
     }
 
     @BeforeEach
