--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -15,7 +15,7 @@
     }
 
     /** Once all troubles are over: nobody waits for 90 s beside room for it, and every one of these jobs finds an answer. */
-    static void settled(SimulatedCluster w, List<String> ids) {
+    static void assertAllJobsStartOrEnd(SimulatedCluster w, List<String> ids) {
         StarvationCheck waiting = new StarvationCheck(w);
         for (int s = 0; s < 100; s++) {
             w.sim.run(w.sim.now + 1_000);
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -5,7 +5,7 @@
 import static org.landingridge.experiment.ClusterAssertions.crash;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.services;
-import static org.landingridge.experiment.ClusterAssertions.settled;
+import static org.landingridge.experiment.ClusterAssertions.assertAllJobsStartOrEnd;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -104,7 +104,7 @@
         cluster.sim.run(120_000);
         assertInvariantsHold(cluster);
         assertEquals(10, cluster.over("done"));
-        settled(cluster, jobIds(FIRST_JOB, 10));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 10));
     }
 
     /**
@@ -146,7 +146,7 @@
         cluster.at(56_000, cluster.sim::heal);
         cluster.sim.run(75_000);
         assertInvariantsHold(cluster);
-        settled(cluster, jobIds(FIRST_JOB, 4));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 4));
         assertTrue(
                 IntStream.range(0, 4).allMatch(i -> cluster.running(SampleJobs.id(FIRST_JOB + i), tasks)),
                 "not all four jobs run all their tasks");
@@ -182,7 +182,7 @@
                     "a machine that cannot report was given a task");
         }
         cluster.heartbeatFaults.droppedMachines.clear();
-        settled(cluster, jobIds(FIRST_JOB, 6));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 6));
     }
 
     @ParameterizedTest
@@ -225,7 +225,7 @@
         }
         cluster.sim.run(100_000);
         assertInvariantsHold(cluster);
-        settled(cluster, jobIds(FIRST_JOB, 40));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 40));
         cluster.sim.run(600_000);
         assertInvariantsHold(cluster);
         assertEquals(40, cluster.over("done") + cluster.over("cancelled"));
@@ -283,7 +283,7 @@
         }
         cluster.sim.run(100_000);
         assertInvariantsHold(cluster);
-        settled(cluster, jobIds(FIRST_JOB, 32));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 32));
         assertEquals(32, cluster.over("done"));
         cluster.sim.run(420_000);
         assertTrue(
@@ -331,7 +331,7 @@
         cluster.sim.run(160_000);
         assertEquals(12, cluster.over("cancelled"));
         assertInvariantsHold(cluster);
-        settled(cluster, jobIds(FIRST_JOB, 14));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 14));
     }
 
     @ParameterizedTest
@@ -370,7 +370,7 @@
         }
         cluster.sim.run(200_000);
         ClusterAssertions.allJobsEndedAndControllersAgree(cluster, ids);
-        settled(cluster, ids);
+        assertAllJobsStartOrEnd(cluster, ids);
     }
 
     @ParameterizedTest
@@ -410,7 +410,7 @@
         cluster.sim.run(110_000);
         assertEquals(3, cluster.over("cancelled"));
         assertInvariantsHold(cluster);
-        settled(cluster, jobIds(FIRST_JOB, 6));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 6));
     }
 
     @ParameterizedTest
@@ -444,7 +444,7 @@
         cluster.at(60_000, cluster.heartbeatFaults.droppedMachines::clear);
         cluster.sim.run(90_000);
         assertInvariantsHold(cluster);
-        settled(cluster, jobIds(FIRST_JOB, 2));
+        assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 2));
         assertEquals("done", cluster.checker.told.get(SampleJobs.id(FIRST_JOB + 1)));
     }
 
