--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -49,7 +49,7 @@
     }
 
     /** Services of a whole machine each, all running after 30 s. */
-    static void services(SimulatedCluster w, int count) {
+    static void startServices(SimulatedCluster w, int count) {
         for (int i = 0; i < count; i++) {
             int n = i;
             w.at(100 + i * 50L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
-import static org.landingridge.experiment.ClusterAssertions.services;
+import static org.landingridge.experiment.ClusterAssertions.startServices;
 
 import java.util.List;
 import java.util.stream.IntStream;
@@ -26,7 +26,7 @@
     /** Returns a cluster on which four services and several array jobs of 300 s run. */
     private static SimulatedCluster clusterWithRunningJobs(long seed, int controllers) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, controllers);
-        services(cluster, 4);
+        startServices(cluster, 4);
         for (int i = 0; i < ARRAY_JOB_COUNT; i++) {
             cluster.users.submit(SampleJobs.job(FIRST_ARRAY_JOB + i, "blue", false, 2, 1, 300));
         }
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
-import static org.landingridge.experiment.ClusterAssertions.services;
+import static org.landingridge.experiment.ClusterAssertions.startServices;
 import static org.landingridge.experiment.ClusterAssertions.assertAllJobsStartOrEnd;
 
 import java.util.ArrayList;
@@ -79,7 +79,7 @@
     @DisplayName("heartbeats replayed to every controller at each leader change move, end and stop no task")
     void replayedHeartbeatsChangeNothingWhenLeadersChange(long seed, double faultShare) {
         SimulatedCluster cluster = new SimulatedCluster(1_020 + seed, 8);
-        services(cluster, 4);
+        startServices(cluster, 4);
         for (int i = 0; i < 10; i++) {
             int number = FIRST_JOB + i;
             cluster.at(
@@ -115,7 +115,7 @@
     @CsvSource({"1, true", "2, true", "3, false", "4, false", "5, true", "6, false"})
     void placementConstraintHoldsWhenReportedTaskIsLostBeforeOthersAreReported(long seed, boolean oneZone) {
         SimulatedCluster cluster = new SimulatedCluster(1_040 + seed, 0);
-        services(cluster, 2);
+        startServices(cluster, 2);
         int tasks = oneZone ? 2 : 3;
         for (int i = 0; i < 4; i++) {
             cluster.users.submit(constrainedJob(FIRST_JOB + i, tasks, 3, 300, null, oneZone, !oneZone));
@@ -157,7 +157,7 @@
     @DisplayName("machines that can be called but can't report hold no task after their lease and get no new ones")
     void machinesThatCannotReportHoldNothingAfterTheirLeaseAndGetNoTasks(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(1_060 + seed, 0);
-        services(cluster, 4);
+        startServices(cluster, 4);
         for (int i = 0; i < 6; i++) {
             cluster.users.submit(SampleJobs.job(FIRST_JOB + i, "blue", false, 2, 1, 300));
         }
@@ -261,7 +261,7 @@
                 ClusterSetup.LEASE_MS,
                 ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
-        services(cluster, 2);
+        startServices(cluster, 2);
         for (int round = 0; round < 4; round++) {
             int first = FIRST_JOB + round * 8;
             long roundStartMs = 31_000 + round * 9_000L;
@@ -297,7 +297,7 @@
             "jobs cancelled at any controller during a takeover are cancelled, also when machines or state service fail")
     void jobsCancelledDuringTakeoverAreCancelledAndOthersRun(long seed, long cancelIntervalMs) {
         SimulatedCluster cluster = new SimulatedCluster(1_120 + seed, 0);
-        services(cluster, 2);
+        startServices(cluster, 2);
         for (int i = 0; i < 14; i++) {
             cluster.users.submit(SampleJobs.job(FIRST_JOB + i, "blue", false, 2, 1, 300));
         }
@@ -340,7 +340,7 @@
             "controllers agree on every job after ten leader changes in two minutes, also with an outage and cancellations")
     void controllersAgreeOnAllJobsAfterTenLeaderChanges(long seed, boolean outage) {
         SimulatedCluster cluster = new SimulatedCluster(1_140 + seed, 8);
-        services(cluster, 3);
+        startServices(cluster, 3);
         cluster.users.askEverywhereAtOnce = true;
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -379,7 +379,7 @@
             "jobs are cancelled while a zone with a controller is cut off for more than a lease, leader inside or outside")
     void jobsAreCancelledWhileZoneWithControllerIsCutOff(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(1_160 + seed, 0);
-        services(cluster, 4);
+        startServices(cluster, 4);
         for (int i = 0; i < 6; i++) {
             cluster.users.submit(SampleJobs.job(FIRST_JOB + i, "blue", false, 3, 1, 200));
         }
@@ -419,7 +419,7 @@
             "the team limit holds while a cancelled job that a new leader has not cached runs on machines that can't report")
     void teamLimitHoldsWhenNewLeaderHasNotCachedCancelledJob(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(1_180 + seed, 8);
-        services(cluster, 2);
+        startServices(cluster, 2);
         cluster.users.submit(SampleJobs.job(FIRST_JOB, "red", false, 8, 1, 300));
         // Ends early, so that its machines are free and only the team limit holds back the next job.
         cluster.users.submit(SampleJobs.job(FIRST_JOB + 2, "blue", false, 8, 1, 7));
@@ -463,7 +463,7 @@
                 ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
         cluster.nodes.forEach(node -> cluster.sim.slow.put(node.host.name, 600L));
-        services(cluster, 2);
+        startServices(cluster, 2);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             JobSpec small = SampleJobs.job(FIRST_JOB + i, i % 2 == 0 ? "red" : "blue", false, 2, 1, 12);
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.landingridge.experiment.ClusterAssertions.crash;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
-import static org.landingridge.experiment.ClusterAssertions.services;
+import static org.landingridge.experiment.ClusterAssertions.startServices;
 
 import java.util.List;
 import java.util.Map;
@@ -57,7 +57,7 @@
     @DisplayName("a machine that restarts under its old name is not taken for the holder of its former tasks")
     void tasksRunAgainBeforeLeaseExpiryWhenTheirMachineRestarts(long backAfterMs) {
         SimulatedCluster cluster = newCluster(401, 3);
-        services(cluster, 12);
+        startServices(cluster, 12);
         EmulatedWorker restartedWorker = cluster.workers.stream()
                 .filter(worker -> worker.running() != null)
                 .findFirst()
@@ -75,7 +75,7 @@
     @DisplayName("tasks run again after one machine restarts five times in a row, also during a takeover")
     void tasksRunAgainWhenMachineRestartsFiveTimesDuringTakeover() {
         SimulatedCluster cluster = newCluster(402, 3);
-        services(cluster, 12);
+        startServices(cluster, 12);
         String machineId = cluster.workers.stream()
                 .filter(worker -> worker.running() != null)
                 .findFirst()
@@ -102,7 +102,7 @@
             "all jobs end when one controller, the leader or all of them restart unnoticed, also in elections and outages")
     void allJobsEndWhenControllersRestartWithinMilliseconds(long seed, int controllers, long backAfterMs) {
         SimulatedCluster cluster = newCluster(410 + seed, controllers);
-        services(cluster, 8);
+        startServices(cluster, 8);
         scheduleLoad(cluster);
         for (int i = 0; i < 5; i++) {
             cluster.at(34_000 + i * 400L, () -> crash(cluster.leader(), backAfterMs));
@@ -132,7 +132,7 @@
         SimulatedCluster cluster = newCluster(420 + seed, 3);
         cluster.sim.copied.put("", 0.3);
         cluster.sim.copied.put("users", 0.0);
-        services(cluster, 8);
+        startServices(cluster, 8);
         scheduleLoad(cluster);
         cluster.at(40_000, () -> crash(cluster.leader(), 200));
         cluster.at(55_000, () -> cluster.restart(cluster.workers.get(0), 200));
@@ -152,7 +152,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void lateCopyOfStartDoesNotRunClearedTaskAgain(long seed) {
         SimulatedCluster cluster = newCluster(430 + seed, 3);
-        services(cluster, 4);
+        startServices(cluster, 4);
         cluster.workers.forEach(worker -> cluster.sim.copied.put(worker.box().id, 1.0));
         cluster.sim.copiedWithinMs = 40_000;
         for (int i = 0; i < 16; i++) {
@@ -171,7 +171,7 @@
     @DisplayName("late heartbeats from before a machine's restart don't count as reports of its current tasks")
     void lateHeartbeatsFromBeforeRestartAreIgnored(long seed) {
         SimulatedCluster cluster = newCluster(440 + seed, 3);
-        services(cluster, 12);
+        startServices(cluster, 12);
         cluster.nodes.forEach(node -> cluster.sim.copied.put(node.host.name, 1.0));
         cluster.sim.copiedWithinMs = 12_000;
         List<EmulatedWorker> busyWorkers = cluster.workers.stream()
@@ -190,7 +190,7 @@
     @DisplayName("a late refusal does not end leadership in an outage that all controllers have promised to wait out")
     void leaderKeepsLeadershipWhenRefusalArrivesLateInOutage() {
         SimulatedCluster cluster = newCluster(445, 3);
-        services(cluster, 12);
+        startServices(cluster, 12);
         int startsBefore = cluster.checker.starts;
         ControllerNode leader = cluster.leader();
         cluster.state.outage(true);
@@ -209,7 +209,7 @@
     @DisplayName("heartbeats are still forwarded to the current leader when old messages of a former leader arrive")
     void heartbeatsAreForwardedToLeaderWhenOldPeerMessagesArrive() {
         SimulatedCluster cluster = newCluster(446, 3);
-        services(cluster, 12);
+        startServices(cluster, 12);
         int startsBefore = cluster.checker.starts;
         ControllerNode leader = cluster.leader();
         cluster.workers.forEach(worker -> cluster.sim.cut(leader.host.name, worker.box().id));
@@ -236,7 +236,7 @@
     @DisplayName("a leader that pauses for less than its hold time treats no machine as silent")
     void machinesAreNotTreatedAsSilentWhenLeaderPausesForLessThanHold() {
         SimulatedCluster cluster = newCluster(450, 3);
-        services(cluster, 12);
+        startServices(cluster, 12);
         int startsBefore = cluster.checker.starts;
         int[] calls = new int[1];
         cluster.checker.orders =
@@ -257,7 +257,7 @@
             "a leader that pauses for longer than its hold time grants nothing under its expired leadership, others pausing too")
     void invariantsHoldWhenLeaderPausesForLongerThanHold(long pauseMs) {
         SimulatedCluster cluster = newCluster(451, 3);
-        services(cluster, 8);
+        startServices(cluster, 8);
         scheduleLoad(cluster);
         cluster.at(33_300, () -> cluster.leader().host.freeze(pauseMs));
         cluster.at(70_100, () -> cluster.nodes.forEach(node -> node.host.freeze(pauseMs / 2)));
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -36,7 +36,7 @@
 
     /** Starts services that take a whole machine each; the counts used give every zone some of them. */
     private void startServices(int count) {
-        ClusterAssertions.services(cluster, count);
+        ClusterAssertions.startServices(cluster, count);
     }
 
     private List<EmulatedWorker> busyWorkers() {
