--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.allJobsEndedAndControllersAgree;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 
@@ -61,11 +61,11 @@
         switch (fault) {
             case NONE -> {}
             case LEADER_CRASHES -> {
-                cluster.at(12_000, () -> crash(cluster.leader(), 150));
-                cluster.at(18_000, () -> crash(cluster.leader(), 6_000));
+                cluster.at(12_000, () -> crashIfUp(cluster.leader(), 150));
+                cluster.at(18_000, () -> crashIfUp(cluster.leader(), 6_000));
             }
             case ALL_CONTROLLERS_CRASH ->
-                cluster.at(14_000, () -> cluster.nodes.forEach(node -> crash(node, 200 + 700L * node.index)));
+                cluster.at(14_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, 200 + 700L * node.index)));
             case STATE_SERVICE_REFUSES_LEADER -> {
                 cluster.at(12_000, () -> cluster.refuse(cluster.leader(), 9_000));
                 cluster.at(24_000, () -> cluster.refuse(cluster.leader(), 4_000));
@@ -161,8 +161,8 @@
                 cluster.users.askOnce(id, "submit", (nodeIndex + 1) % 3);
             });
         }
-        cluster.at(45_000, () -> crash(cluster.nodes.get((cluster.leader().index + 1) % 3), 150));
-        cluster.at(50_000, () -> crash(cluster.leader(), 300));
+        cluster.at(45_000, () -> crashIfUp(cluster.nodes.get((cluster.leader().index + 1) % 3), 150));
+        cluster.at(50_000, () -> crashIfUp(cluster.leader(), 300));
         cluster.sim.run(110_000);
         assertTrue(cluster.state.keys("lr/job/").size() < 560, "some ended jobs should have moved into the history");
         allJobsEndedAndControllersAgree(cluster, ids);
@@ -240,10 +240,10 @@
         cluster.at(40_000, () -> cluster.users.submit(SampleJobs.job(51, "red", false, 20, 1, 8)));
         ids.addAll(List.of(SampleJobs.id(50), SampleJobs.id(51)));
         if (backAfterMs > 0) {
-            cluster.at(50_000, () -> crash(cluster.leader(), backAfterMs));
+            cluster.at(50_000, () -> crashIfUp(cluster.leader(), backAfterMs));
             cluster.at(70_000, () -> cluster.state.outage(true));
             cluster.at(78_000, () -> cluster.state.outage(false));
-            cluster.at(100_000, () -> crash(cluster.leader(), backAfterMs));
+            cluster.at(100_000, () -> crashIfUp(cluster.leader(), backAfterMs));
         }
         cluster.sim.run(190_000);
         allJobsEndedAndControllersAgree(cluster, ids);
@@ -280,7 +280,7 @@
         cluster.state.seed("lr/op/b-1-2", Json.parse("7".getBytes()));
         cluster.state.seed("lr/op/b-1-3", Json.parse("{\"kind\":\"RENT\",\"state\":\"DISPATCHED\"}".getBytes()));
         List<String> ids = scheduleJobs(cluster, 6_000);
-        cluster.at(15_000, () -> crash(cluster.leader(), 200));
+        cluster.at(15_000, () -> crashIfUp(cluster.leader(), 200));
         cluster.sim.run(60_000);
         allJobsEndedAndControllersAgree(cluster, ids);
         for (ControllerNode node : cluster.nodes) {
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -59,7 +59,7 @@
     }
 
     /** Ends a controller that is up; null where nobody leads. */
-    static void crash(ControllerNode node, long back) {
+    static void crashIfUp(ControllerNode node, long back) {
         if (node != null && node.host.up) {
             node.crash(back);
         }
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.startServices;
 
@@ -316,9 +316,9 @@
                         }
                     }));
         }
-        cluster.at(76_500 + delayMs, () -> crash(cluster.leader(), restartDelayMs));
-        cluster.at(79_000 + delayMs, () -> cluster.nodes.forEach(node -> crash(node, restartDelayMs / 4)));
-        cluster.at(90_000, () -> crash(cluster.leader(), 100));
+        cluster.at(76_500 + delayMs, () -> crashIfUp(cluster.leader(), restartDelayMs));
+        cluster.at(79_000 + delayMs, () -> cluster.nodes.forEach(node -> crashIfUp(node, restartDelayMs / 4)));
+        cluster.at(90_000, () -> crashIfUp(cluster.leader(), 100));
         cluster.sim.run(260_000);
         assertInvariantsHold(cluster);
         for (int i = 0; i < 8; i++) {
@@ -347,7 +347,7 @@
             });
         }
         cluster.at(52_000, () -> cluster.sim.copied.put("", 0.3));
-        cluster.at(66_000, () -> cluster.nodes.forEach(node -> crash(node, node.index == seed % 3 ? 80 : 9_000)));
+        cluster.at(66_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, node.index == seed % 3 ? 80 : 9_000)));
         cluster.at(66_500, () -> cluster.state.outage(true));
         cluster.at(67_500, () -> cluster.state.outage(false));
         cluster.at(70_000, () -> cluster.sim.copied.clear());
@@ -375,8 +375,8 @@
             });
         }
         cancelJobsThrough(cluster, cluster.nodes.get(0), 52_000, FIRST_ARRAY_JOB, CANCELLED_JOB_COUNT);
-        cluster.at(58_000, () -> crash(cluster.leader(), 300));
-        cluster.at(66_000, () -> cluster.nodes.forEach(node -> crash(node, 200)));
+        cluster.at(58_000, () -> crashIfUp(cluster.leader(), 300));
+        cluster.at(66_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, 200)));
         cluster.at(72_000, () -> cluster.state.lateWrites(0, null));
         cluster.sim.run(200_000);
         assertInvariantsHold(cluster);
@@ -398,12 +398,12 @@
             cluster.at(
                     46_000 + i * 2_000L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "red", false, 2, 1, 4)));
         }
-        cluster.at(52_000, () -> crash(cluster.leader(), 200));
+        cluster.at(52_000, () -> crashIfUp(cluster.leader(), 200));
         cluster.at(56_000, () -> cluster.restart(cluster.workers.get(0), 150));
-        cluster.at(60_000, () -> crash(cluster.leader(), 8_000));
+        cluster.at(60_000, () -> crashIfUp(cluster.leader(), 8_000));
         cluster.at(64_000, () -> cluster.workers.get(1).hang(true));
         cluster.at(76_000, () -> cluster.workers.get(1).hang(false));
-        cluster.at(80_000, () -> cluster.nodes.forEach(node -> crash(node, 500)));
+        cluster.at(80_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, 500)));
         cluster.at(100_000, () -> cluster.heartbeatFaults.lateShare = 0);
         cluster.sim.run(200_000);
         assertInvariantsHold(cluster);
@@ -441,7 +441,7 @@
         SimulatedCluster cluster = clusterWithRunningJobs(670 + seed, 3);
         HistorySeeds.jobKeys(cluster, 2_000, 600, 1);
         cluster.at(46_000, () -> cluster.state.outage(true));
-        cluster.at(50_000, () -> cluster.nodes.forEach(node -> crash(node, 100 + node.index * 4_000)));
+        cluster.at(50_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, 100 + node.index * 4_000)));
         cluster.at(95_000, () -> cluster.state.outage(false));
         List<String> ids = IntStream.range(0, 60)
                 .mapToObj(i -> SampleJobs.id(i < ARRAY_JOB_COUNT ? FIRST_ARRAY_JOB + i : 2_000 + i * 7))
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -118,8 +118,8 @@
         cluster.at(40_000, () -> cluster.sim.lostAnswers.clear());
         cluster.at(40_000, () -> cluster.state.lateWrites(0.2, cluster.sim.random));
         cluster.at(60_000, () -> cluster.state.lateWrites(0, null));
-        cluster.at(25_000 + seed * 71, () -> ClusterAssertions.crash(cluster.leader(), 700));
-        cluster.at(62_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crash(controller, 900)));
+        cluster.at(25_000 + seed * 71, () -> ClusterAssertions.crashIfUp(cluster.leader(), 700));
+        cluster.at(62_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crashIfUp(controller, 900)));
         cluster.sim.run(180_000);
         assertEquals(40, acknowledgedNumbersByKey.size());
         assertControllersMatchLog(cluster);
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -103,7 +103,7 @@
         for (int i = 0; i < 9; i++) {
             cluster.at(
                     9_000 + i * 9_000L + seed * 131 + i * 17L,
-                    () -> ClusterAssertions.crash(cluster.leader(), 500 + cluster.sim.random.nextInt(3_000)));
+                    () -> ClusterAssertions.crashIfUp(cluster.leader(), 500 + cluster.sim.random.nextInt(3_000)));
         }
         runUntilAllStagesHaveEnded(cluster, 300_000);
     }
@@ -115,7 +115,7 @@
         SimulatedCluster cluster = clusterWithPipelines(seed, 20, 4_000);
         cluster.at(
                 14_000 + seed * 100,
-                () -> cluster.nodes.forEach(controller -> ClusterAssertions.crash(controller, 1_500)));
+                () -> cluster.nodes.forEach(controller -> ClusterAssertions.crashIfUp(controller, 1_500)));
         cluster.at(32_000, () -> cluster.state.outage(true));
         cluster.at(32_000 + ClusterSetup.CANCEL_MS + 6_000, () -> cluster.state.outage(false));
         cluster.at(70_000, () -> cluster.refuse(cluster.leader(), 9_000));
@@ -131,7 +131,7 @@
         cluster.at(60_000, () -> cluster.state.lateWrites(0, null));
         cluster.at(60_000, () -> cluster.sim.lostAnswers.put("state", 0.2));
         cluster.at(95_000, () -> cluster.sim.lostAnswers.clear());
-        cluster.at(50_000, () -> ClusterAssertions.crash(cluster.leader(), 800));
+        cluster.at(50_000, () -> ClusterAssertions.crashIfUp(cluster.leader(), 800));
         runUntilAllStagesHaveEnded(cluster, 360_000);
     }
 
@@ -158,10 +158,10 @@
         for (int i = 0; i < 10; i++) {
             schedulePipeline(cluster, 75_000 + i * 4_000L);
         }
-        cluster.at(62_000 + seed * 37, () -> ClusterAssertions.crash(cluster.leader(), 1_500));
+        cluster.at(62_000 + seed * 37, () -> ClusterAssertions.crashIfUp(cluster.leader(), 1_500));
         cluster.at(70_000, () -> cluster.limitsFall(LOWER_LIMITS));
-        cluster.at(90_000, () -> ClusterAssertions.crash(cluster.leader(), 1_500));
-        cluster.at(110_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crash(controller, 1_000)));
+        cluster.at(90_000, () -> ClusterAssertions.crashIfUp(cluster.leader(), 1_500));
+        cluster.at(110_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crashIfUp(controller, 1_000)));
         cluster.sim.run(260_000);
         ClusterAssertions.allJobsEndedAndControllersAgree(cluster, pipelineJobIds);
         assertEquals(120, cluster.checker.places.size(), "number of running replicas");
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.startServices;
 import static org.landingridge.experiment.ClusterAssertions.assertAllJobsStartOrEnd;
@@ -89,7 +89,7 @@
         }
         cluster.heartbeatFaults.replayShare = faultShare;
         for (long atMs = 38_000; atMs < 75_000; atMs += 6_000) {
-            cluster.at(atMs, () -> crash(cluster.leader(), 300));
+            cluster.at(atMs, () -> crashIfUp(cluster.leader(), 300));
             cluster.at(
                     atMs - 2_500,
                     () -> cluster.workers.stream()
@@ -170,7 +170,7 @@
                 46_000,
                 () -> muteWorkers.forEach(worker -> cluster.heartbeatFaults.droppedMachines.add(worker.box().id)));
         if (seed == 2) {
-            cluster.at(47_000, () -> crash(cluster.leader(), 300));
+            cluster.at(47_000, () -> crashIfUp(cluster.leader(), 300));
         }
         cluster.sim.run(46_000 + ClusterSetup.LEASE_MS + 8_000);
         assertInvariantsHold(cluster);
@@ -211,9 +211,9 @@
                                         node -> cluster.sim.cut(node.host.name, worker.box().id))));
                 cluster.at(roundStartMs + faultMs, cluster.sim::heal);
             }
-            cluster.at(roundStartMs + 120, () -> crash(cluster.leader(), 400));
+            cluster.at(roundStartMs + 120, () -> crashIfUp(cluster.leader(), 400));
             cluster.at(roundStartMs + 5_000, () -> cluster.refuse(cluster.leader(), 4_000));
-            cluster.at(roundStartMs + 9_000, () -> cluster.nodes.forEach(node -> crash(node, 200)));
+            cluster.at(roundStartMs + 9_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, 200)));
             // No earlier leader has started these jobs, so only tasks that machines may still hold can delay them.
             for (int i = 0; i < 8; i++) {
                 int number = FIRST_JOB + 24 + 8 * round + i;
@@ -278,7 +278,7 @@
                         roundStartMs + i * 60L,
                         () -> cluster.users.submit(SampleJobs.job(number, "blue", false, 2, 2, 5)));
             }
-            cluster.at(roundStartMs + 1_200 + 300 * round, () -> crash(cluster.leader(), 250));
+            cluster.at(roundStartMs + 1_200 + 300 * round, () -> crashIfUp(cluster.leader(), 250));
             cluster.at(roundStartMs + 5_000, () -> cluster.state.lateWrites(0, null));
         }
         cluster.sim.run(100_000);
@@ -325,7 +325,7 @@
                 cluster.at(roundStartMs + 1_000 + ClusterSetup.CANCEL_MS + 4_000, () -> cluster.state.outage(false));
             }
             if (round == 2) {
-                cluster.at(roundStartMs + 500, () -> crash(cluster.leader(), 200));
+                cluster.at(roundStartMs + 500, () -> crashIfUp(cluster.leader(), 200));
             }
         }
         cluster.sim.run(160_000);
@@ -358,7 +358,7 @@
             int change = i;
             cluster.at(35_000 + i * 12_000L, () -> {
                 if (change % 2 == 0) {
-                    crash(cluster.leader(), change % 4 == 0 ? 150 : 3_000);
+                    crashIfUp(cluster.leader(), change % 4 == 0 ? 150 : 3_000);
                 } else {
                     cluster.refuse(cluster.leader(), 4_000);
                 }
@@ -439,7 +439,7 @@
         cluster.at(46_700, () -> {
             assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(FIRST_JOB)));
             HistorySeeds.jobKeys(cluster, 2_000, 2_300, 1);
-            cluster.nodes.forEach(node -> crash(node, 200));
+            cluster.nodes.forEach(node -> crashIfUp(node, 200));
         });
         cluster.at(60_000, cluster.heartbeatFaults.droppedMachines::clear);
         cluster.sim.run(90_000);
@@ -497,7 +497,7 @@
             ids.add(large.id());
             cluster.at(40_000 + i * 15_000L, () -> cluster.users.submit(large));
         }
-        cluster.at(80_000, () -> crash(cluster.leader(), 300));
+        cluster.at(80_000, () -> crashIfUp(cluster.leader(), 300));
         cluster.at(120_000, () -> cluster.workers.stream().limit(2).forEach(worker -> worker.hang(true)));
         cluster.at(132_000, () -> cluster.workers.stream().limit(2).forEach(worker -> worker.hang(false)));
         cluster.sim.run(400_000);
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crash;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
 import static org.landingridge.experiment.ClusterAssertions.startServices;
 
@@ -105,16 +105,16 @@
         startServices(cluster, 8);
         scheduleLoad(cluster);
         for (int i = 0; i < 5; i++) {
-            cluster.at(34_000 + i * 400L, () -> crash(cluster.leader(), backAfterMs));
+            cluster.at(34_000 + i * 400L, () -> crashIfUp(cluster.leader(), backAfterMs));
             cluster.at(
                     46_000 + i * 2_100L,
-                    () -> cluster.nodes.forEach(node -> crash(node, backAfterMs + node.index * 30L)));
+                    () -> cluster.nodes.forEach(node -> crashIfUp(node, backAfterMs + node.index * 30L)));
         }
         cluster.at(62_000, () -> cluster.state.outage(true));
         for (int i = 0; i < 3; i++) {
-            cluster.at(64_000 + i * 1_700L, () -> crash(cluster.nodes.get(1), backAfterMs));
+            cluster.at(64_000 + i * 1_700L, () -> crashIfUp(cluster.nodes.get(1), backAfterMs));
         }
-        cluster.at(70_000, () -> crash(cluster.leader(), backAfterMs));
+        cluster.at(70_000, () -> crashIfUp(cluster.leader(), backAfterMs));
         cluster.at(74_000, () -> cluster.state.outage(false));
         cluster.sim.run(180_000);
         assertInvariantsHold(cluster);
@@ -134,11 +134,11 @@
         cluster.sim.copied.put("users", 0.0);
         startServices(cluster, 8);
         scheduleLoad(cluster);
-        cluster.at(40_000, () -> crash(cluster.leader(), 200));
+        cluster.at(40_000, () -> crashIfUp(cluster.leader(), 200));
         cluster.at(55_000, () -> cluster.restart(cluster.workers.get(0), 200));
         cluster.at(60_000, () -> cluster.workers.get(1).hang(true));
         cluster.at(70_000, () -> cluster.workers.get(1).hang(false));
-        cluster.at(80_000, () -> cluster.nodes.forEach(node -> crash(node, 1_000)));
+        cluster.at(80_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, 1_000)));
         cluster.sim.run(200_000);
         assertInvariantsHold(cluster);
     }
