--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
@@ -221,7 +221,7 @@
         userHost.after(ms - sim.now, what);
     }
 
-    long over(String how) {
+    long jobCountWithStatus(String how) {
         return checker.told.values().stream().filter(how::equals).count();
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -142,7 +142,7 @@
         cluster.sim.run(60_000);
         assertEquals(List.of(), lateJobs);
         allJobsEndedAndControllersAgree(cluster, ids);
-        assertTrue(cluster.over("done") > JOB_COUNT / 2, "more than half of the jobs should be done");
+        assertTrue(cluster.jobCountWithStatus("done") > JOB_COUNT / 2, "more than half of the jobs should be done");
     }
 
     @ParameterizedTest
@@ -254,7 +254,7 @@
                     cluster.users.admissions.result().late(),
                     cluster.users.admissions.result().toString());
         }
-        assertEquals(482, cluster.over("done") + cluster.over("cancelled"));
+        assertEquals(482, cluster.jobCountWithStatus("done") + cluster.jobCountWithStatus("cancelled"));
         for (ControllerNode node : cluster.nodes) {
             assertTrue(cluster.status(node).path("activeJobs").asInt() == 0, "no active job should be left");
         }
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -60,7 +60,7 @@
         submitMixedLoad(cluster);
         cluster.sim.run(90_000);
         assertAllJobsEndedAndServicesRun(cluster);
-        assertTrue(cluster.over("done") >= 12);
+        assertTrue(cluster.jobCountWithStatus("done") >= 12);
     }
 
     @ParameterizedTest
--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -74,7 +74,7 @@
                                 && !statusEntry.getValue().equals("accepted"))
                         .count(),
                 "faulty jobs reported as ended although no user cancelled them");
-        assertEquals(20, cluster.over("done"));
+        assertEquals(20, cluster.jobCountWithStatus("done"));
         for (String id : cluster.checker.mistaken) {
             // All 30 tasks may have started before the first two fail. After that, one task starts at a time,
             // at growing intervals.
@@ -89,7 +89,7 @@
                 "a sound machine was returned");
         startsByJob.clear();
         cluster.sim.run(140_000);
-        assertEquals(4, cluster.over("cancelled"));
+        assertEquals(4, cluster.jobCountWithStatus("cancelled"));
         assertEquals(Map.of(), startsByJob);
         assertInvariantsHold(cluster);
     }
@@ -112,7 +112,7 @@
                     20_000 + i * 2_000L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", false, 8, 1, 4)));
         }
         cluster.sim.run(130_000);
-        assertEquals(25, cluster.over("done"));
+        assertEquals(25, cluster.jobCountWithStatus("done"));
         assertTrue(faultyMachine.box().deleted, "the faulty machine was not returned");
         assertInvariantsHold(cluster);
     }
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -70,7 +70,7 @@
     private static void runAndAssertCancelledWithinLimit(SimulatedCluster cluster) {
         cluster.sim.run(46_000 + ClusterSetup.CANCEL_MS);
         assertEquals(
-                CANCELLED_JOB_COUNT, cluster.over("cancelled"), "every cancelled job should be reported as cancelled");
+                CANCELLED_JOB_COUNT, cluster.jobCountWithStatus("cancelled"), "every cancelled job should be reported as cancelled");
         assertEquals(0, countTasksOfCancelledJobs(cluster), "no task of a cancelled job should still run");
         cluster.sim.run(150_000);
         assertInvariantsHold(cluster);
@@ -172,7 +172,7 @@
         cluster.at(50_000 + ClusterSetup.CANCEL_MS, cluster.sim::heal);
         cluster.at(46_900 + 3 * ClusterSetup.CANCEL_MS, () -> cluster.state.outage(false));
         cluster.sim.run(150_000);
-        assertEquals(1, cluster.over("cancelled"));
+        assertEquals(1, cluster.jobCountWithStatus("cancelled"));
         assertInvariantsHold(cluster);
     }
 
@@ -407,7 +407,7 @@
         cluster.at(100_000, () -> cluster.heartbeatFaults.lateShare = 0);
         cluster.sim.run(200_000);
         assertInvariantsHold(cluster);
-        assertEquals(12, cluster.over("done"));
+        assertEquals(12, cluster.jobCountWithStatus("done"));
     }
 
     @ParameterizedTest
@@ -429,7 +429,7 @@
         }
         cluster.at(46_000 + forMs, cluster.sim::heal);
         cluster.sim.run(150_000);
-        assertEquals(CANCELLED_JOB_COUNT, cluster.over("cancelled"));
+        assertEquals(CANCELLED_JOB_COUNT, cluster.jobCountWithStatus("cancelled"));
         assertInvariantsHold(cluster);
         assertTrue(cluster.running(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2));
     }
@@ -506,7 +506,7 @@
         cancelJobsThrough(
                 cluster, cluster.nodes.get((leader.index + 1) % 3), 46_200, FIRST_ARRAY_JOB, CANCELLED_JOB_COUNT);
         cluster.sim.run(46_000 + ClusterSetup.CANCEL_MS);
-        assertEquals(CANCELLED_JOB_COUNT, cluster.over("cancelled"));
+        assertEquals(CANCELLED_JOB_COUNT, cluster.jobCountWithStatus("cancelled"));
         assertEquals(0, countTasksOfCancelledJobs(cluster));
         assertTrue(cluster.leader() != leader, "another controller should lead");
         cluster.at(90_000, cluster.state::answerWatches);
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -264,7 +264,7 @@
         }
         cluster.sim.heal();
         cluster.sim.run(200_000);
-        assertEquals(321, cluster.over("done"));
+        assertEquals(321, cluster.jobCountWithStatus("done"));
         if (ignoresCondition) {
             assertTrue(
                     cluster.state.value(Keys.JOBS + id) != null && cluster.checker.repeats > 0,
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -80,9 +80,9 @@
         cluster.sim.run(untilMs);
         ClusterAssertions.allJobsEndedAndControllersAgree(cluster, pipelineJobIds);
         assertTrue(
-                cluster.over("done") > pipelineJobIds.size() / 3,
-                cluster.over("done") + " of " + pipelineJobIds.size() + " jobs are done");
-        assertTrue(cluster.over("cancelled") > 0, "no job was cancelled");
+                cluster.jobCountWithStatus("done") > pipelineJobIds.size() / 3,
+                cluster.jobCountWithStatus("done") + " of " + pipelineJobIds.size() + " jobs are done");
+        assertTrue(cluster.jobCountWithStatus("cancelled") > 0, "no job was cancelled");
         for (String id : cluster.state.keys(Keys.JOBS)) {
             assertTrue(cluster.state.value(id).has("ended"), "job " + id + " has no stored end");
         }
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -103,7 +103,7 @@
         cluster.at(76_000, () -> cluster.heartbeatFaults.replayShare = 0);
         cluster.sim.run(120_000);
         assertInvariantsHold(cluster);
-        assertEquals(10, cluster.over("done"));
+        assertEquals(10, cluster.jobCountWithStatus("done"));
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 10));
     }
 
@@ -228,7 +228,7 @@
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 40));
         cluster.sim.run(600_000);
         assertInvariantsHold(cluster);
-        assertEquals(40, cluster.over("done") + cluster.over("cancelled"));
+        assertEquals(40, cluster.jobCountWithStatus("done") + cluster.jobCountWithStatus("cancelled"));
     }
 
     /** Both teams have limits, and there are more machines than the limits allow them to use. */
@@ -284,7 +284,7 @@
         cluster.sim.run(100_000);
         assertInvariantsHold(cluster);
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 32));
-        assertEquals(32, cluster.over("done"));
+        assertEquals(32, cluster.jobCountWithStatus("done"));
         cluster.sim.run(420_000);
         assertTrue(
                 cluster.workers.size() <= 6,
@@ -329,7 +329,7 @@
             }
         }
         cluster.sim.run(160_000);
-        assertEquals(12, cluster.over("cancelled"));
+        assertEquals(12, cluster.jobCountWithStatus("cancelled"));
         assertInvariantsHold(cluster);
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 14));
     }
@@ -408,7 +408,7 @@
         }
         cluster.at(46_000 + 2 * ClusterSetup.LEASE_MS, cluster.sim::heal);
         cluster.sim.run(110_000);
-        assertEquals(3, cluster.over("cancelled"));
+        assertEquals(3, cluster.jobCountWithStatus("cancelled"));
         assertInvariantsHold(cluster);
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 6));
     }
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -131,7 +131,7 @@
         assertTrue(refused > 100, "only " + refused + " submissions were refused at once with a time to retry");
         cluster.sim.run(150_000);
         assertTrue(cluster.state.tooMany() > 0);
-        assertEquals(240, cluster.over("done"), "number of jobs accepted in the end and done");
+        assertEquals(240, cluster.jobCountWithStatus("done"), "number of jobs accepted in the end and done");
         assertEquals(leader, cluster.leader());
         assertEquals(
                 takeovers,
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -91,7 +91,7 @@
         assertEquals(List.of(), cluster.checker.broken);
         assertEquals(0, cluster.state.tooLarge());
         assertEquals(SERVICES, countRunningServices());
-        assertEquals(doneJobs, cluster.over("done"));
+        assertEquals(doneJobs, cluster.jobCountWithStatus("done"));
     }
 
     @ParameterizedTest
