--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
@@ -225,7 +225,7 @@
         return checker.told.values().stream().filter(how::equals).count();
     }
 
-    boolean running(String id, int tasks) {
+    boolean allTasksRun(String id, int tasks) {
         return checker.places.keySet().stream()
                         .filter(t -> t.startsWith(id + "/"))
                         .count()
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -50,7 +50,7 @@
                     "job " + i + " should be done or cancelled, status is " + status);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(cluster.running(String.format("job-%06d", i), 1), "service " + i + " should run");
+            assertTrue(cluster.allTasksRun(String.format("job-%06d", i), 1), "service " + i + " should run");
         }
     }
 
@@ -258,7 +258,7 @@
         failing.fail(task);
         cluster.sim.run(26_500);
         assertTrue(
-                cluster.running(task.substring(0, task.indexOf('/')), 1),
+                cluster.allTasksRun(task.substring(0, task.indexOf('/')), 1),
                 task + " should run again before the lease expires");
         silent.hang(false);
         cluster.sim.run(60_000);
@@ -307,7 +307,7 @@
         cluster.workers.forEach(worker -> cluster.sim.cut(cluster.leader().host.name, worker.box().id));
         cluster.users.submit(SampleJobs.job(2, "blue", true, 1, 1, 0));
         cluster.sim.run(32_000);
-        assertTrue(cluster.running("job-000002", 1), "job 2 should be started by the answer to a forwarded heartbeat");
+        assertTrue(cluster.allTasksRun("job-000002", 1), "job 2 should be started by the answer to a forwarded heartbeat");
         cluster.sim.dropping = true;
         cluster.users.cancel("job-000002");
         cluster.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
@@ -335,7 +335,7 @@
         cluster.users.submit(SampleJobs.job(10, "blue", true, 1, 4, 0));
         cluster.users.submit(SampleJobs.job(11, "blue", true, 1, 4, 0));
         cluster.sim.run(40_000);
-        assertTrue(cluster.running("job-000010", 1) && cluster.running("job-000011", 1));
+        assertTrue(cluster.allTasksRun("job-000010", 1) && cluster.allTasksRun("job-000011", 1));
         assertEquals(
                 images,
                 cluster.workers.stream().mapToInt(EmulatedWorker::images).sum(),
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -75,7 +75,7 @@
         cluster.sim.run(150_000);
         assertInvariantsHold(cluster);
         assertTrue(
-                cluster.running(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2),
+                cluster.allTasksRun(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2),
                 "tasks of jobs that were not cancelled should run");
     }
 
@@ -431,7 +431,7 @@
         cluster.sim.run(150_000);
         assertEquals(CANCELLED_JOB_COUNT, cluster.jobCountWithStatus("cancelled"));
         assertInvariantsHold(cluster);
-        assertTrue(cluster.running(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2));
+        assertTrue(cluster.allTasksRun(SampleJobs.id(FIRST_ARRAY_JOB + CANCELLED_JOB_COUNT), 2));
     }
 
     @ParameterizedTest
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -145,7 +145,7 @@
         cluster.sim.run(60_000);
         assertTrue(cpusInUse(cluster) <= 12, cpusInUse(cluster) + " CPUs in use 30 s after the change");
         assertTrue(
-                cluster.running(SampleJobs.id(1), 4),
+                cluster.allTasksRun(SampleJobs.id(1), 4),
                 "a replica of the service was stopped before tasks of lower priority");
         cluster.sim.run(90_000);
         ClusterAssertions.assertInvariantsHold(cluster);
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -148,7 +148,7 @@
         assertInvariantsHold(cluster);
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 4));
         assertTrue(
-                IntStream.range(0, 4).allMatch(i -> cluster.running(SampleJobs.id(FIRST_JOB + i), tasks)),
+                IntStream.range(0, 4).allMatch(i -> cluster.allTasksRun(SampleJobs.id(FIRST_JOB + i), tasks)),
                 "not all four jobs run all their tasks");
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -185,7 +185,7 @@
         cluster.sim.run(60_000);
         long addedMegabytes = usedMegabytes() - megabytesBefore;
         assertTrue(addedMegabytes < 20, addedMegabytes + " MB added by 2,000,000 tasks");
-        assertTrue(cluster.running("job-000001", 2));
+        assertTrue(cluster.allTasksRun("job-000001", 2));
         assertInvariantsHold(cluster);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -70,7 +70,7 @@
         String job = jobOf(dead.running());
         cluster.cloud.delete(dead.box().id);
         cluster.sim.run(30_000 + LEASE_MS / 2);
-        assertTrue(cluster.running(job, 1), "the service should run again after half a lease");
+        assertTrue(cluster.allTasksRun(job, 1), "the service should run again after half a lease");
         assertEquals(1, cluster.metric(cluster.leader(), "landingridge_settled"));
         cluster.sim.run(90_000);
         assertInvariantsKept();
@@ -150,7 +150,7 @@
         zone.forEach(this::cutOff);
         cluster.at(30_000 + 12_000, () -> cluster.leader().crash(4_000));
         cluster.sim.run(30_000 + LEASE_MS + 8_000);
-        long runningAgain = jobs.stream().filter(job -> cluster.running(job, 1)).count();
+        long runningAgain = jobs.stream().filter(job -> cluster.allTasksRun(job, 1)).count();
         assertEquals(jobs.size(), runningAgain, "all services of the zone should run again one lease after the cut");
         cluster.sim.run(90_000);
         assertInvariantsKept();
