--- a/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
@@ -19,7 +19,7 @@
     public final List<String> broken = new ArrayList<>();
     public final Map<String, JobSpec> specs = new HashMap<>();
     /** What users were told last: accepted, done or cancelled. */
-    public final Map<String, String> told = new HashMap<>();
+    public final Map<String, String> lastStatusByJob = new HashMap<>();
 
     private final Map<String, Long> firstStarts = new HashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
@@ -220,9 +220,9 @@
     /** Of these jobs every known one about which no user has had an answer since is forgotten. */
     public void unanswered(long since, Collection<String> ids) {
         ids.stream()
-                .filter(id -> told.containsKey(id) && answeredAt.getOrDefault(id, 0L) < since)
+                .filter(id -> lastStatusByJob.containsKey(id) && answeredAt.getOrDefault(id, 0L) < since)
                 .limit(20)
-                .forEach(id -> broke("forgotten", id + " is " + told.get(id) + " and gets no answer since " + since));
+                .forEach(id -> broke("forgotten", id + " is " + lastStatusByJob.get(id) + " and gets no answer since " + since));
     }
 
     public void everySecond() {
@@ -236,7 +236,7 @@
      * @param askedAt when the question was sent
      */
     public void answered(String id, String asked, long askedAt, int status, String state) {
-        String before = told.get(id);
+        String before = lastStatusByJob.get(id);
         Integer due = unacceptable.get(id);
         if (due != null && asked.equals("submit") && status < 500 && status != due && status != 429) {
             broke("accepted", id + " can never run, or is malformed, and gets " + status + " instead of " + due);
@@ -284,6 +284,6 @@
         if (state.equals("done") || state.equals("cancelled")) {
             overAt.putIfAbsent(id, loop.now());
         }
-        told.put(id, state.equals("done") || state.equals("cancelled") ? state : "accepted");
+        lastStatusByJob.put(id, state.equals("done") || state.equals("cancelled") ? state : "accepted");
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/HistorySeeds.java
+++ b/experiment/src/main/java/org/landingridge/experiment/HistorySeeds.java
@@ -34,7 +34,7 @@
             }
             cluster.state.seed(Keys.JOBS + spec.id(), value);
             cluster.checker.specs.put(spec.id(), spec);
-            cluster.checker.told.put(spec.id(), cancelled ? "cancelled" : "done");
+            cluster.checker.lastStatusByJob.put(spec.id(), cancelled ? "cancelled" : "done");
             for (int t = 0; t < spec.tasks(); t++) {
                 cluster.checker.completed.add(spec.id() + "/" + t);
             }
--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
@@ -222,7 +222,7 @@
     }
 
     long jobCountWithStatus(String how) {
-        return checker.told.values().stream().filter(how::equals).count();
+        return checker.lastStatusByJob.values().stream().filter(how::equals).count();
     }
 
     boolean allTasksRun(String id, int tasks) {
--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedUsers.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedUsers.java
@@ -93,11 +93,11 @@
 
     /** A user does something odd: repeats, cancels what is done, or sends a job that lacks a field or can never run. */
     void oddRequest() {
-        List<String> known = checker.told.keySet().stream().sorted().toList();
+        List<String> known = checker.lastStatusByJob.keySet().stream().sorted().toList();
         int what = sim.random.nextInt(4);
         if (what < 2 && !known.isEmpty()) {
             String id = known.get(sim.random.nextInt(known.size()));
-            boolean done = "done".equals(checker.told.get(id));
+            boolean done = "done".equals(checker.lastStatusByJob.get(id));
             if (done || what == 0) {
                 askOnce(id, done ? "cancel" : "submit");
             }
@@ -121,7 +121,7 @@
 
     /** A user submits a job as soon as all that it awaits are accepted. */
     void submitWhenAwaitedAreAccepted(JobSpec spec) {
-        if (checker.told.keySet().containsAll(spec.awaits())) {
+        if (checker.lastStatusByJob.keySet().containsAll(spec.awaits())) {
             submit(spec);
         } else {
             host.after(RETRY_SUBMIT_MS, () -> submitWhenAwaitedAreAccepted(spec));
@@ -180,7 +180,7 @@
             if (!settled && tries > 1) {
                 host.after(1_000, () -> ask(id, what, method, path, body, tries - 1));
             } else if (what.equals("submit") && settled || what.equals("poll")) {
-                String told = checker.told.get(id);
+                String told = checker.lastStatusByJob.get(id);
                 if (!"done".equals(told) && !"cancelled".equals(told)) {
                     host.after(2_000, () -> poll(id));
                 }
@@ -206,7 +206,7 @@
                         Json.bytes(checker.specs.get(id).json()),
                         0);
             default -> {
-                if (!"done".equals(checker.told.get(id))) {
+                if (!"done".equals(checker.lastStatusByJob.get(id))) {
                     checker.cancelAsked.add(id);
                 }
                 ask(node, id, "cancel", "POST", "/api/jobs/" + id + "/cancel", new byte[0], 0);
--- a/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
+++ b/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
@@ -22,7 +22,7 @@
 
     void look() {
         InvariantChecker rules = world.checker;
-        rules.told.forEach((id, told) -> {
+        rules.lastStatusByJob.forEach((id, told) -> {
             JobSpec spec = rules.specs.get(id);
             boolean waits = told.equals("accepted")
                     && !rules.cancelAsked.contains(id)
--- a/experiment/src/main/java/org/landingridge/experiment/Workload.java
+++ b/experiment/src/main/java/org/landingridge/experiment/Workload.java
@@ -84,7 +84,7 @@
         if (random.nextDouble() < p.cancelled()) {
             String called = all.get(random.nextInt(all.size()));
             cluster.at(atMs + random.nextInt(60_000), () -> {
-                if (cluster.checker.told.containsKey(called)) {
+                if (cluster.checker.lastStatusByJob.containsKey(called)) {
                     cluster.users.cancel(called);
                 }
             });
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -133,7 +133,7 @@
                 () -> cluster.nodes.forEach(node -> {
                     cluster.users.askOnce(id, "cancel", node.index);
                     cluster.at(cluster.sim.now + 500, () -> {
-                        if (!"done".equals(cluster.checker.told.get(id)) && !cluster.checker.cancelAsked.contains(id)) {
+                        if (!"done".equals(cluster.checker.lastStatusByJob.get(id)) && !cluster.checker.cancelAsked.contains(id)) {
                             lateJobs.add(id);
                         }
                     });
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -43,7 +43,7 @@
         everybodyAnswers(w, ids);
         assertInvariantsHold(w);
         for (String id : ids) {
-            String told = w.checker.told.get(id);
+            String told = w.checker.lastStatusByJob.get(id);
             assertTrue("done".equals(told) || "cancelled".equals(told), id + " is " + told);
         }
     }
--- a/experiment/src/test/java/org/landingridge/experiment/DocumentedExamplesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/DocumentedExamplesTest.java
@@ -56,7 +56,7 @@
         assertEquals(201, w.users.post(w.nodes.get(0), Json.bytes(job)));
         w.users.poll(spec.id());
         w.sim.run(60_000);
-        assertEquals("done", w.checker.told.get(spec.id()));
+        assertEquals("done", w.checker.lastStatusByJob.get(spec.id()));
     }
 
     @Test
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -44,7 +44,7 @@
     private static void assertAllJobsEndedAndServicesRun(SimulatedCluster cluster) {
         assertInvariantsHold(cluster);
         for (int i = 10; i < 26; i++) {
-            String status = cluster.checker.told.get(String.format("job-%06d", i));
+            String status = cluster.checker.lastStatusByJob.get(String.format("job-%06d", i));
             assertTrue(
                     "done".equals(status) || "cancelled".equals(status),
                     "job " + i + " should be done or cancelled, status is " + status);
@@ -93,7 +93,7 @@
                         cluster.checker.completed + " should hold at least 4 finished tasks"));
         cluster.sim.run(120_000);
         assertInvariantsHold(cluster);
-        assertEquals("done", cluster.checker.told.get("job-000050"));
+        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000050"));
         assertEquals(0, cluster.checker.repeats, "no finished task should start again");
     }
 
@@ -290,7 +290,7 @@
             cluster.sim.lostAnswers.clear();
         });
         cluster.sim.run(60_000);
-        assertEquals("done", cluster.checker.told.get("job-000001"));
+        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000001"));
         assertEquals(
                 2,
                 cluster.cloud.boxes.size(),
@@ -348,7 +348,7 @@
         SimulatedCluster cluster = new SimulatedCluster(81, 0);
         cluster.users.submit(SampleJobs.job(1, "blue", false, 4, 4, 2));
         cluster.sim.run(150_000);
-        assertEquals("done", cluster.checker.told.get("job-000001"));
+        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000001"));
         assertTrue(cluster.cloud.boxes.values().stream().allMatch(machine -> machine.deleted));
         assertInvariantsHold(cluster);
     }
@@ -359,7 +359,7 @@
         SimulatedCluster cluster = new SimulatedCluster(91, 0);
         cluster.users.submit(SampleJobs.job(1, "blue", false, 600, 0.1, 1));
         cluster.sim.run(120_000);
-        assertEquals("done", cluster.checker.told.get("job-000001"));
+        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000001"));
         assertInvariantsHold(cluster);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -69,7 +69,7 @@
         cluster.sim.run(110_000);
         assertEquals(
                 0,
-                cluster.checker.told.entrySet().stream()
+                cluster.checker.lastStatusByJob.entrySet().stream()
                         .filter(statusEntry -> cluster.checker.mistaken.contains(statusEntry.getKey())
                                 && !statusEntry.getValue().equals("accepted"))
                         .count(),
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -46,7 +46,7 @@
 
     private static long countTasksOfCancelledJobs(SimulatedCluster cluster) {
         return cluster.checker.places.keySet().stream()
-                .filter(task -> "cancelled".equals(cluster.checker.told.get(task.substring(0, 10))))
+                .filter(task -> "cancelled".equals(cluster.checker.lastStatusByJob.get(task.substring(0, 10))))
                 .count();
     }
 
@@ -322,7 +322,7 @@
         cluster.sim.run(260_000);
         assertInvariantsHold(cluster);
         for (int i = 0; i < 8; i++) {
-            assertEquals("done", cluster.checker.told.get(SampleJobs.id(FIRST_ARRAY_JOB + 30 + i)));
+            assertEquals("done", cluster.checker.lastStatusByJob.get(SampleJobs.id(FIRST_ARRAY_JOB + 30 + i)));
         }
         if (restartDelayMs < ClusterSetup.LEASE_MS / 2) {
             // Where a lease expires meanwhile, its machine has discarded results that no controller had stored.
@@ -381,7 +381,7 @@
         cluster.sim.run(200_000);
         assertInvariantsHold(cluster);
         for (int i = 0; i < 14; i++) {
-            String status = cluster.checker.told.get(SampleJobs.id(FIRST_ARRAY_JOB + 30 + i));
+            String status = cluster.checker.lastStatusByJob.get(SampleJobs.id(FIRST_ARRAY_JOB + 30 + i));
             assertTrue("done".equals(status) || "cancelled".equals(status), status);
         }
     }
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -28,9 +28,9 @@
     private static void assertNoJobLostOrDuplicated(SimulatedCluster cluster) {
         ClusterAssertions.assertInvariantsHold(cluster);
         // Each terminated job is either under its own key or in the history.
-        for (String id : cluster.checker.told.keySet()) {
-            boolean isReportedEnded = cluster.checker.told.get(id).equals("done")
-                    || cluster.checker.told.get(id).equals("cancelled");
+        for (String id : cluster.checker.lastStatusByJob.keySet()) {
+            boolean isReportedEnded = cluster.checker.lastStatusByJob.get(id).equals("done")
+                    || cluster.checker.lastStatusByJob.get(id).equals("cancelled");
             assertTrue(
                     !isReportedEnded || isStoredAsEnded(cluster, id),
                     id + " was reported as ended but is not stored as ended");
@@ -63,7 +63,7 @@
 
     /** Schedules polls, resubmissions and cancellations of known jobs, and polls of jobs that were never submitted. */
     private static void scheduleRequests(SimulatedCluster cluster, long fromMs, long toMs, int intervalMs) {
-        List<String> ids = new ArrayList<>(cluster.checker.told.keySet());
+        List<String> ids = new ArrayList<>(cluster.checker.lastStatusByJob.keySet());
         String[] requestKinds = {"poll", "submit", "cancel"};
         for (long timeMs = fromMs; timeMs < toMs; timeMs += intervalMs) {
             cluster.at(
@@ -87,7 +87,7 @@
         cluster.users.submit(SampleJobs.job(7, "red", false, 3, 2, 4));
         cluster.sim.run(400_000);
         assertNoJobLostOrDuplicated(cluster);
-        assertEquals("done", cluster.checker.told.get("job-000007"));
+        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000007"));
         assertTrue(countMoved(cluster) > 500, countMoved(cluster) + " moved");
         assertTrue(cluster.state.mostWrites() <= 20, cluster.state.mostWrites() + " writes in one second");
     }
@@ -211,7 +211,7 @@
         cluster.sim.run(300_000);
         assertEquals(damaged, cluster.state.value(key));
         assertTrue(countMoved(cluster) > 100, "jobs of other segments have not moved");
-        assertEquals("done", cluster.checker.told.get("job-000007"));
+        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000007"));
         assertNoJobLostOrDuplicated(cluster);
     }
 
@@ -257,7 +257,7 @@
                     30_000 + 100 * i, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", false, 1, 1, 0.5)));
         }
         cluster.sim.run(140_000);
-        assertEquals("done", cluster.checker.told.get(id));
+        assertEquals("done", cluster.checker.lastStatusByJob.get(id));
         assertTrue(isInHistory(cluster, id), id + " has not moved");
         if (ignoresCondition) {
             cluster.state.ignoreGuards(SegmentAddress.ROOT);
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -227,7 +227,7 @@
                         cluster.nodes.get(1),
                         Json.bytes(SampleJobs.job(2, "green", false, 1, 1, 1).json())));
         cluster.sim.run(60_000);
-        assertEquals("done", cluster.checker.told.get(SampleJobs.id(1)));
+        assertEquals("done", cluster.checker.lastStatusByJob.get(SampleJobs.id(1)));
         submitUntilAcknowledged(cluster, newChange("back").put("rollback", 0), 5);
         cluster.sim.run(65_000);
         assertEquals(
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -61,7 +61,7 @@
     }
 
     private static void cancelOnceAccepted(SimulatedCluster cluster, String id) {
-        if (cluster.checker.told.containsKey(id)) {
+        if (cluster.checker.lastStatusByJob.containsKey(id)) {
             cluster.users.cancel(id);
         } else {
             cluster.at(cluster.sim.now + 100, () -> cancelOnceAccepted(cluster, id));
@@ -186,12 +186,12 @@
         cluster.at(1_000, () -> cluster.users.submit(first));
         cluster.at(20_000, () -> cluster.users.submitWhenAwaitedAreAccepted(second));
         cluster.sim.run(60_000);
-        assertEquals("done", cluster.checker.told.get(first.id()));
+        assertEquals("done", cluster.checker.lastStatusByJob.get(first.id()));
         assertTrue(
                 cluster.state.value(Keys.JOBS + second.id()) == null,
                 "the awaiting job was accepted before every controller supports pipelines");
         cluster.sim.run(120_000);
-        assertEquals("done", cluster.checker.told.get(second.id()));
+        assertEquals("done", cluster.checker.lastStatusByJob.get(second.id()));
         ClusterAssertions.assertInvariantsHold(cluster);
     }
 
@@ -224,9 +224,9 @@
             cluster.users.poll(SampleJobs.id(i));
         }
         cluster.sim.run(43_000);
-        assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(6)));
-        assertEquals("done", cluster.checker.told.get(SampleJobs.id(7)));
-        assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(8)));
+        assertEquals("cancelled", cluster.checker.lastStatusByJob.get(SampleJobs.id(6)));
+        assertEquals("done", cluster.checker.lastStatusByJob.get(SampleJobs.id(7)));
+        assertEquals("cancelled", cluster.checker.lastStatusByJob.get(SampleJobs.id(8)));
         ClusterAssertions.assertInvariantsHold(cluster);
     }
 
@@ -249,11 +249,11 @@
             cluster.at(
                     timeMs,
                     () -> assertTrue(
-                            !"accepted".equals(cluster.checker.told.get(waiting.id())),
+                            !"accepted".equals(cluster.checker.lastStatusByJob.get(waiting.id())),
                             "the job was reported as queued"));
         }
         cluster.sim.run(10_000);
-        assertEquals("cancelled", cluster.checker.told.get(waiting.id()));
+        assertEquals("cancelled", cluster.checker.lastStatusByJob.get(waiting.id()));
         ClusterAssertions.assertInvariantsHold(cluster);
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -437,7 +437,7 @@
         cluster.at(46_500, () -> cluster.leader().crash(300));
         cluster.at(46_510, () -> cluster.users.askOnce(SampleJobs.id(FIRST_JOB), "cancel", follower.index));
         cluster.at(46_700, () -> {
-            assertEquals("cancelled", cluster.checker.told.get(SampleJobs.id(FIRST_JOB)));
+            assertEquals("cancelled", cluster.checker.lastStatusByJob.get(SampleJobs.id(FIRST_JOB)));
             HistorySeeds.jobKeys(cluster, 2_000, 2_300, 1);
             cluster.nodes.forEach(node -> crashIfUp(node, 200));
         });
@@ -445,7 +445,7 @@
         cluster.sim.run(90_000);
         assertInvariantsHold(cluster);
         assertAllJobsStartOrEnd(cluster, jobIds(FIRST_JOB, 2));
-        assertEquals("done", cluster.checker.told.get(SampleJobs.id(FIRST_JOB + 1)));
+        assertEquals("done", cluster.checker.lastStatusByJob.get(SampleJobs.id(FIRST_JOB + 1)));
     }
 
     @ParameterizedTest
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -119,7 +119,7 @@
         cluster.sim.run(180_000);
         assertInvariantsHold(cluster);
         for (int i = 20; i < 60; i++) {
-            String status = cluster.checker.told.get(SampleJobs.id(i));
+            String status = cluster.checker.lastStatusByJob.get(SampleJobs.id(i));
             assertTrue("done".equals(status) || "cancelled".equals(status), "job " + i + " is " + status);
         }
     }
--- a/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
@@ -33,7 +33,7 @@
             boolean cancelled = n % 7 == 0;
             String id = SampleJobs.id(n);
             w.checker.specs.put(id, SampleJobs.job(n, "blue", false, 1 + n % 100, 1, 1));
-            w.checker.told.put(id, cancelled ? "cancelled" : "done");
+            w.checker.lastStatusByJob.put(id, cancelled ? "cancelled" : "done");
             if (cancelled) {
                 w.checker.cancelAsked.add(id);
                 w.checker.cancelledAt.put(id, 0L);
@@ -59,8 +59,8 @@
         for (var expected :
                 List.of(SampleJobs.id(ended + 10) + "=done", SampleJobs.id(ended + 20_000) + "=cancelled")) {
             String[] parts = expected.split("=");
-            if (!parts[1].equals(w.checker.told.get(parts[0]))) {
-                throw new AssertionError(parts[0] + " is " + w.checker.told.get(parts[0]));
+            if (!parts[1].equals(w.checker.lastStatusByJob.get(parts[0]))) {
+                throw new AssertionError(parts[0] + " is " + w.checker.lastStatusByJob.get(parts[0]));
             }
         }
         // The leader dies, and the next one leads as soon.
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -124,7 +124,7 @@
             cluster.users.submit(SampleJobs.job(i, "red", false, 1, 0.5, 2));
         }
         cluster.sim.run(32_000);
-        assertTrue(cluster.checker.told.size() < 240, "all jobs were accepted at once");
+        assertTrue(cluster.checker.lastStatusByJob.size() < 240, "all jobs were accepted at once");
         int refused = cluster.nodes.stream()
                 .mapToInt(controller -> cluster.metric(controller, "landingridge_refused"))
                 .sum();
