--- a/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
@@ -30,7 +30,7 @@
     private final Map<String, Long> acceptedAt = new HashMap<>();
     public final Set<String> cancelAsked = new HashSet<>();
     /** Where each task is, by task name. */
-    public final Map<String, String> places = new HashMap<>();
+    public final Map<String, String> locationByTask = new HashMap<>();
     /** The same by job, and what each team uses: looked up at each start. */
     private final Map<String, Map<String, String>> placesOf = new HashMap<>();
 
@@ -105,8 +105,8 @@
         starts++;
         firstStarts.putIfAbsent(id, loop.now());
         repeats += completed.contains(task) ? 1 : 0;
-        if (places.containsKey(task)) {
-            broke("ran_twice", task + " starts on " + machine + " while on " + places.get(task));
+        if (locationByTask.containsKey(task)) {
+            broke("ran_twice", task + " starts on " + machine + " while on " + locationByTask.get(task));
         }
         if (spec.zone() != null && !spec.zone().equals(zone)
                 || spot && !spec.spot()
@@ -129,7 +129,7 @@
                 broke("too_early", task + " starts before " + needed + " is done");
             }
         }
-        String before = places.put(task, machine + "@" + zone);
+        String before = locationByTask.put(task, machine + "@" + zone);
         placesOf.computeIfAbsent(id, i -> new HashMap<>()).put(task, machine + "@" + zone);
         late(task);
         double uses = used.merge(spec.team(), before == null ? spec.cpus() : 0, Double::sum);
@@ -142,7 +142,7 @@
     @Override
     public void ends(String task, boolean done) {
         String id = task.substring(0, task.lastIndexOf('/'));
-        if (places.remove(task) != null) {
+        if (locationByTask.remove(task) != null) {
             used.merge(specs.get(id).team(), -specs.get(id).cpus(), Double::sum);
             placesOf.get(id).remove(task);
         }
@@ -226,7 +226,7 @@
     }
 
     public void everySecond() {
-        places.keySet().forEach(this::late);
+        locationByTask.keySet().forEach(this::late);
     }
 
     /**
--- a/experiment/src/main/java/org/landingridge/experiment/RecoveryTimeline.java
+++ b/experiment/src/main/java/org/landingridge/experiment/RecoveryTimeline.java
@@ -21,7 +21,7 @@
         private double allS = -1;
 
         void look(InvariantChecker rules, double sinceS) {
-            open.removeIf(t -> rules.places.containsKey(t)
+            open.removeIf(t -> rules.locationByTask.containsKey(t)
                     || rules.completed.contains(t)
                     || rules.cancelAsked.contains(t.substring(0, t.lastIndexOf('/'))));
             if (mostS < 0 && open.size() * 20 <= all) {
@@ -56,7 +56,7 @@
 
     RecoveryTimeline(double atS, InvariantChecker rules) {
         this.atS = atS;
-        this.ran = new ArrayList<>(rules.places.keySet());
+        this.ran = new ArrayList<>(rules.locationByTask.keySet());
     }
 
     /**
@@ -74,7 +74,7 @@
             ledS = since;
             for (String task : ran) {
                 JobSpec spec = rules.specs.get(task.substring(0, task.lastIndexOf('/')));
-                if (!rules.places.containsKey(task) && !rules.completed.contains(task)) {
+                if (!rules.locationByTask.containsKey(task) && !rules.completed.contains(task)) {
                     Lost lost = spec.service() ? services : others;
                     lost.open.add(task);
                     lost.all++;
--- a/experiment/src/main/java/org/landingridge/experiment/RunMeasurements.java
+++ b/experiment/src/main/java/org/landingridge/experiment/RunMeasurements.java
@@ -48,7 +48,7 @@
         samples.add(new ExperimentRun.Sample(
                 second,
                 cluster.workers.size(),
-                cluster.checker.places.size(),
+                cluster.checker.locationByTask.size(),
                 cluster.state.keys(Keys.JOBS).size(),
                 requests - requestsBefore,
                 cluster.state.lastWrites()));
--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedCluster.java
@@ -226,7 +226,7 @@
     }
 
     boolean allTasksRun(String id, int tasks) {
-        return checker.places.keySet().stream()
+        return checker.locationByTask.keySet().stream()
                         .filter(t -> t.startsWith(id + "/"))
                         .count()
                 == tasks;
--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedUsers.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedUsers.java
@@ -69,7 +69,7 @@
      * @param hangMs so long up to eight of their machines hang from then on; 0: none does
      */
     void cancelNow(int count, long hangMs) {
-        List<String> ids = checker.places.keySet().stream()
+        List<String> ids = checker.locationByTask.keySet().stream()
                 .map(t -> t.substring(0, t.lastIndexOf('/')))
                 .distinct()
                 .sorted()
--- a/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
+++ b/experiment/src/main/java/org/landingridge/experiment/StarvationCheck.java
@@ -39,7 +39,7 @@
     private static boolean waits(InvariantChecker rules, JobSpec spec) {
         for (int i = 0; i < spec.tasks(); i++) {
             String task = spec.id() + "/" + i;
-            if (!rules.places.containsKey(task) && !rules.completed.contains(task)) {
+            if (!rules.locationByTask.containsKey(task) && !rules.completed.contains(task)) {
                 return true;
             }
         }
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -55,7 +55,7 @@
             w.at(100 + i * 50L, () -> w.users.submit(SampleJobs.job(n, "blue", true, 1, 4, 0)));
         }
         w.sim.run(30_000);
-        assertEquals(count, w.checker.places.size());
+        assertEquals(count, w.checker.locationByTask.size());
     }
 
     /** Ends a controller that is up; null where nobody leads. */
--- a/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ExperimentTest.java
@@ -141,7 +141,7 @@
             served.asked(SampleJobs.job(i, "red", true, 2, 1, 0), 10);
             served.asked(SampleJobs.job(10 + i, "blue", false, 2, 1, 20), 10 + i * 60);
         }
-        rules.places.put("job-000000/0", "m@a");
+        rules.locationByTask.put("job-000000/0", "m@a");
         rules.specs.put("job-000010", SampleJobs.job(10, "blue", false, 2, 1, 20));
         for (String task : List.of("job-000010/0", "job-000010/1")) {
             rules.starts(task, "m", "t4", "a", false);
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -118,7 +118,7 @@
         }
         cluster.sim.run(20_000);
         int starts = cluster.checker.starts;
-        assertEquals(4, cluster.checker.places.size());
+        assertEquals(4, cluster.checker.locationByTask.size());
         cluster.state.outage(true);
         cluster.sim.run(20_000 + 3 * ClusterSetup.LEASE_MS);
         cluster.state.outage(false);
@@ -225,7 +225,7 @@
         }
         cluster.at(20_000, () -> {
             cluster.workers.stream()
-                    .filter(worker -> cluster.checker.places.values().stream()
+                    .filter(worker -> cluster.checker.locationByTask.values().stream()
                             .anyMatch(place -> place.startsWith(worker.box().id + "@")))
                     .forEach(worker -> worker.hang(true));
             cluster.leader().crash(20_000);
@@ -233,7 +233,7 @@
         cluster.at(26_500, () -> cluster.workers.forEach(worker -> worker.hang(false)));
         cluster.sim.run(80_000);
         assertInvariantsHold(cluster);
-        assertEquals(6, cluster.checker.places.size());
+        assertEquals(6, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
--- a/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailureAttributionHistoryTest.java
@@ -128,10 +128,10 @@
         }
         cluster.sim.run(30_000);
         assertTrue(
-                cluster.checker.places.size() >= 18,
-                "only " + cluster.checker.places.size() + " of 20 services run after four boot times");
+                cluster.checker.locationByTask.size() >= 18,
+                "only " + cluster.checker.locationByTask.size() + " of 20 services run after four boot times");
         cluster.sim.run(90_000);
-        assertEquals(20, cluster.checker.places.size());
+        assertEquals(20, cluster.checker.locationByTask.size());
         assertTrue(rentRequests <= 60, rentRequests + " machines rented for 20 services");
         assertInvariantsHold(cluster);
     }
@@ -145,7 +145,7 @@
             cluster.users.submit(SampleJobs.job(i, "blue", true, 1, 4, 0));
         }
         cluster.sim.run(6_000);
-        assertEquals(8, cluster.checker.places.size());
+        assertEquals(8, cluster.checker.locationByTask.size());
         assertInvariantsHold(cluster);
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -31,7 +31,7 @@
             cluster.users.submit(SampleJobs.job(FIRST_ARRAY_JOB + i, "blue", false, 2, 1, 300));
         }
         cluster.sim.run(45_000);
-        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
+        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
         return cluster;
     }
 
@@ -45,7 +45,7 @@
     }
 
     private static long countTasksOfCancelledJobs(SimulatedCluster cluster) {
-        return cluster.checker.places.keySet().stream()
+        return cluster.checker.locationByTask.keySet().stream()
                 .filter(task -> "cancelled".equals(cluster.checker.lastStatusByJob.get(task.substring(0, 10))))
                 .count();
     }
@@ -193,11 +193,11 @@
         assertInvariantsHold(cluster);
         assertEquals(
                 4 + 2 * ARRAY_JOB_COUNT,
-                cluster.checker.places.size(),
+                cluster.checker.locationByTask.size(),
                 "all tasks should run again although the machines that receive nothing still report");
         cluster.sim.run(150_000);
         assertInvariantsHold(cluster);
-        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
+        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
@@ -238,7 +238,7 @@
         cluster.at(90_000, cluster.heartbeatFaults.droppedMachines::clear);
         cluster.sim.run(150_000);
         assertInvariantsHold(cluster);
-        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
+        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
@@ -294,7 +294,7 @@
         cluster.at(100_000, () -> cluster.state.refuse(forwarder.host.name, false));
         cluster.sim.run(180_000);
         assertInvariantsHold(cluster);
-        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
+        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
@@ -353,7 +353,7 @@
         cluster.at(70_000, () -> cluster.sim.copied.clear());
         cluster.sim.run(160_000);
         assertInvariantsHold(cluster);
-        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
+        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
@@ -488,7 +488,7 @@
                         heartbeat -> cluster.leader().controller.serve(heartbeat)));
         cluster.sim.run(180_000);
         assertInvariantsHold(cluster);
-        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.places.size());
+        assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -152,7 +152,7 @@
     }
 
     private static double cpusInUse(SimulatedCluster cluster) {
-        return cluster.checker.places.keySet().stream()
+        return cluster.checker.locationByTask.keySet().stream()
                 .mapToDouble(taskName -> cluster.checker
                         .specs
                         .get(taskName.substring(0, taskName.lastIndexOf('/')))
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -164,7 +164,7 @@
         cluster.at(110_000, () -> cluster.nodes.forEach(controller -> ClusterAssertions.crashIfUp(controller, 1_000)));
         cluster.sim.run(260_000);
         ClusterAssertions.allJobsEndedAndControllersAgree(cluster, pipelineJobIds);
-        assertEquals(120, cluster.checker.places.size(), "number of running replicas");
+        assertEquals(120, cluster.checker.locationByTask.size(), "number of running replicas");
         for (String key : cluster.state.keys(Keys.ROOT)) {
             assertTrue(
                     Json.bytes(cluster.state.value(key)).length <= LOWER_LIMITS.valueBytes(),
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -65,7 +65,7 @@
     }
 
     private static EmulatedWorker workerRunning(SimulatedCluster cluster, String task) {
-        String location = cluster.checker.places.get(task);
+        String location = cluster.checker.locationByTask.get(task);
         return location == null
                 ? null
                 : cluster.workers.stream()
@@ -176,7 +176,7 @@
         assertInvariantsHold(cluster);
         for (long atMs = cluster.sim.now; atMs < 110_000; atMs += 500) {
             cluster.sim.run(atMs);
-            assertEquals(16, cluster.checker.places.size(), "all tasks should run on other machines at " + atMs);
+            assertEquals(16, cluster.checker.locationByTask.size(), "all tasks should run on other machines at " + atMs);
             assertTrue(
                     muteWorkers.stream().allMatch(worker -> worker.running() == null),
                     "a machine that cannot report was given a task");
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -64,11 +64,11 @@
                 .orElseThrow();
         cluster.restart(restartedWorker, backAfterMs);
         cluster.sim.run(30_000 + backAfterMs + 8_000);
-        assertEquals(12, cluster.checker.places.size(), "all tasks should run again long before a lease expires");
+        assertEquals(12, cluster.checker.locationByTask.size(), "all tasks should run again long before a lease expires");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_lapses"));
         cluster.sim.run(90_000);
         assertInvariantsHold(cluster);
-        assertEquals(12, cluster.checker.places.size());
+        assertEquals(12, cluster.checker.locationByTask.size());
     }
 
     @Test
@@ -93,7 +93,7 @@
         cluster.at(32_500, () -> cluster.leader().crash(100));
         cluster.sim.run(60_000);
         assertInvariantsHold(cluster);
-        assertEquals(12, cluster.checker.places.size());
+        assertEquals(12, cluster.checker.locationByTask.size());
     }
 
     @ParameterizedTest
@@ -183,7 +183,7 @@
         }
         cluster.sim.run(120_000);
         assertInvariantsHold(cluster);
-        assertEquals(12, cluster.checker.places.size());
+        assertEquals(12, cluster.checker.locationByTask.size());
     }
 
     @Test
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -30,7 +30,7 @@
                             SampleJobs.job(jobNumber, jobNumber % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
         }
         cluster.sim.run(45_000);
-        assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size(), "number of running replicas before the faults");
+        assertEquals(2 * SERVICE_COUNT, cluster.checker.locationByTask.size(), "number of running replicas before the faults");
         assertTrue(cluster.workers.size() >= SERVICE_COUNT, "only " + cluster.workers.size() + " machines");
         return cluster;
     }
@@ -82,13 +82,13 @@
         cluster.sim.run(untilMs);
         assertEquals(
                 2 * SERVICE_COUNT,
-                cluster.checker.places.values().stream()
+                cluster.checker.locationByTask.values().stream()
                         .filter(place -> place.endsWith("@b"))
                         .count(),
                 "number of replicas in the reachable zone");
         cluster.sim.heal();
         cluster.sim.run(120_000);
-        assertEquals(2 * SERVICE_COUNT, cluster.checker.places.size());
+        assertEquals(2 * SERVICE_COUNT, cluster.checker.locationByTask.size());
         assertInvariantsHold(cluster);
     }
 
@@ -151,7 +151,7 @@
             cluster.at(200 + i * 100L, () -> cluster.users.submit(SampleJobs.job(jobNumber, "blue", true, 1, 4, 0)));
         }
         cluster.sim.run(60_000);
-        assertEquals(services, cluster.checker.places.size());
+        assertEquals(services, cluster.checker.locationByTask.size());
         int passesBefore = cluster.metric(cluster.leader(), "landingridge_busy_times_pass");
         cluster.sim.run(90_000);
         return cluster.metric(cluster.leader(), "landingridge_busy_times_pass") - passesBefore;
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -89,11 +89,11 @@
         cluster.at(30_000 + 10_500, () -> cluster.cloud.trouble = false);
         cluster.sim.run(30_000 + 10_400);
         assertTrue(
-                cluster.checker.places.containsValue(cutOffWorker.box().id + "@" + cutOffWorker.box().zone),
+                cluster.checker.locationByTask.containsValue(cutOffWorker.box().id + "@" + cutOffWorker.box().zone),
                 "the task should stay placed until the cloud confirms the machine's return");
         cluster.sim.run(30_000 + 18_000);
         assertTrue(cutOffWorker.box().deleted, "the machine should be deleted once the cloud answers again");
-        assertEquals(12, cluster.checker.places.size());
+        assertEquals(12, cluster.checker.locationByTask.size());
         cluster.sim.heal();
         cluster.sim.run(90_000);
         assertInvariantsKept();
@@ -135,7 +135,7 @@
                 "no machine of the zone should be returned to the cloud");
         cluster.sim.heal();
         cluster.sim.run(90_000);
-        assertEquals(16, cluster.checker.places.size());
+        assertEquals(16, cluster.checker.locationByTask.size());
         assertInvariantsKept();
     }
 
@@ -180,7 +180,7 @@
         assertInvariantsKept();
         cluster.sim.heal();
         cluster.sim.run(160_000);
-        assertEquals(16, cluster.checker.places.size());
+        assertEquals(16, cluster.checker.locationByTask.size());
         assertInvariantsKept();
     }
 
@@ -219,7 +219,7 @@
                 .forEach(node -> cluster.sim.cut(leader.host.name, node.host.name));
         cluster.sim.run(70_000);
         assertNotEquals(leader, cluster.leader());
-        assertEquals(6, cluster.checker.places.size(), "no lease should expire");
+        assertEquals(6, cluster.checker.locationByTask.size(), "no lease should expire");
         cluster.sim.heal();
         cluster.sim.run(90_000);
         assertInvariantsKept();
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -59,7 +59,7 @@
     }
 
     private long countRunningServices() {
-        return cluster.checker.places.keySet().stream()
+        return cluster.checker.locationByTask.keySet().stream()
                 .filter(task -> cluster.checker
                         .specs
                         .get(task.substring(0, task.indexOf('/')))
@@ -214,7 +214,7 @@
                         worker -> cluster.nodes.forEach(node -> cluster.sim.cut(node.host.name, worker.box().id))));
         cluster.at(1_200, cluster.sim::heal);
         cluster.sim.run(12_000);
-        assertEquals(24, cluster.checker.places.size());
+        assertEquals(24, cluster.checker.locationByTask.size());
         assertEquals(0, commandAudit.counts().get(Order.RENT).sum(), "no machine should be rented");
         assertEquals(0, commandAudit.counts().get(Order.GIVE_BACK).sum(), "no machine should be returned to the cloud");
         assertTrue(commandAudit.counts().get(Order.START).busiest() >= 10, "the audit should count start orders");
