--- a/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
@@ -16,7 +16,7 @@
 
 /** The checker: sees the truth of the simulated world and notes every broken rule. */
 public final class InvariantChecker implements GroundTruth {
-    public final List<String> broken = new ArrayList<>();
+    public final List<String> violations = new ArrayList<>();
     public final Map<String, JobSpec> specs = new HashMap<>();
     /** What users were told last: accepted, done or cancelled. */
     public final Map<String, String> lastStatusByJob = new HashMap<>();
@@ -198,7 +198,7 @@
 
     /** A rule that only who sees more than this can judge. */
     public void broke(String rule, String what) {
-        broken.add(loop.now() + " " + rule + ": " + what);
+        violations.add(loop.now() + " " + rule + ": " + what);
     }
 
     private void late(String task) {
--- a/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ExperimentRun.java
@@ -147,7 +147,7 @@
     private Outcome outcome(long seed, long leaderKb, long beganNanos) {
         return new Outcome(
                 seed,
-                List.copyOf(cluster.checker.broken),
+                List.copyOf(cluster.checker.violations),
                 ids.size(),
                 (int) cluster.jobCountWithStatus("done"),
                 (int) cluster.jobCountWithStatus("cancelled"),
--- a/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ClusterAssertions.java
@@ -10,7 +10,7 @@
     private ClusterAssertions() {}
 
     static void assertInvariantsHold(SimulatedCluster w) {
-        assertEquals(List.of(), w.checker.broken);
+        assertEquals(List.of(), w.checker.violations);
         assertEquals(0, w.state.tooLarge());
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/InvariantCheckerTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/InvariantCheckerTest.java
@@ -45,8 +45,8 @@
                         null));
         rules.limits.put("red", 5.0);
         history.accept(rules);
-        assertEquals(1, rules.broken.size(), rules.broken.toString());
-        assertTrue(rules.broken.get(0).contains(rule), rules.broken.toString());
+        assertEquals(1, rules.violations.size(), rules.violations.toString());
+        assertTrue(rules.violations.get(0).contains(rule), rules.violations.toString());
     }
 
     @Test
@@ -80,10 +80,10 @@
         sim.run(100);
         rules.answered(ID, "cancel", 90, 200, "cancelled");
         rules.answered(ID, "poll", 99, 200, "queued");
-        assertEquals(List.of(), rules.broken);
+        assertEquals(List.of(), rules.violations);
         rules.answered(ID, "poll", 99, 404, "");
         rules.answered(ID, "poll", 100, 200, "queued");
-        assertEquals(2, rules.broken.size(), rules.broken.toString());
+        assertEquals(2, rules.violations.size(), rules.violations.toString());
     }
 
     @Test
@@ -132,8 +132,8 @@
         w.checker.answered(ID, "cancel", LATER, 200, "cancelled");
         w.sim.run(ClusterSetup.CANCEL_MS - 1_000);
         w.checker.starts(ID + "/0", "m-1", "t4", "a", false);
-        assertEquals(List.of(), w.checker.broken);
+        assertEquals(List.of(), w.checker.violations);
         w.sim.run(ClusterSetup.CANCEL_MS + 2_000);
-        assertTrue(w.checker.broken.get(0).contains("ran_cancelled"), w.checker.broken.toString());
+        assertTrue(w.checker.violations.get(0).contains("ran_cancelled"), w.checker.violations.toString());
     }
 }
--- a/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ScaleTest.java
@@ -53,8 +53,8 @@
         w.at(20_000, () -> w.users.cancel(SampleJobs.id(ended + 20_000)));
         w.users.poll(SampleJobs.id(ended + 30_000));
         w.sim.run(40_000);
-        if (!w.checker.broken.isEmpty()) {
-            throw new AssertionError(w.checker.broken.toString());
+        if (!w.checker.violations.isEmpty()) {
+            throw new AssertionError(w.checker.violations.toString());
         }
         for (var expected :
                 List.of(SampleJobs.id(ended + 10) + "=done", SampleJobs.id(ended + 20_000) + "=cancelled")) {
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -88,7 +88,7 @@
     }
 
     private void assertAllServicesRunAndJobsAreDone(int doneJobs) {
-        assertEquals(List.of(), cluster.checker.broken);
+        assertEquals(List.of(), cluster.checker.violations);
         assertEquals(0, cluster.state.tooLarge());
         assertEquals(SERVICES, countRunningServices());
         assertEquals(doneJobs, cluster.jobCountWithStatus("done"));
