--- a/experiment/src/main/java/org/landingridge/experiment/InvalidSubmissions.java
+++ b/experiment/src/main/java/org/landingridge/experiment/InvalidSubmissions.java
@@ -11,7 +11,7 @@
 /** Submissions that no controller may take: each is a lawful job with one thing changed, and the status that it has to get. */
 final class InvalidSubmissions {
     /** @param status 400 for what is malformed, 422 for what can never run */
-    record Odd(String id, ObjectNode body, int status, String what) {}
+    record InvalidSubmission(String id, ObjectNode body, int status, String what) {}
 
     /** Null or absent means something in these, or they are of another kind than the values below. */
     private static final List<String> MUST = List.of(
@@ -83,12 +83,12 @@
     }
 
     /** Every one of them, under this id. */
-    static List<Odd> all(String id) {
-        List<Odd> all = new ArrayList<>();
+    static List<InvalidSubmission> all(String id) {
+        List<InvalidSubmission> all = new ArrayList<>();
         for (String field : MUST) {
             ObjectNode without = lawful(id);
             without.remove(field);
-            all.add(new Odd(id, without, 400, field + " is missing"));
+            all.add(new InvalidSubmission(id, without, 400, field + " is missing"));
             all.add(with(id, field, "null", 400));
         }
         for (String field : AMOUNTS) {
@@ -100,14 +100,14 @@
         return all;
     }
 
-    static Odd any(String id, Random random) {
-        List<Odd> all = all(id);
+    static InvalidSubmission any(String id, Random random) {
+        List<InvalidSubmission> all = all(id);
         return all.get(random.nextInt(all.size()));
     }
 
-    private static Odd with(String id, String field, String json, int status) {
+    private static InvalidSubmission with(String id, String field, String json, int status) {
         ObjectNode body = lawful(id);
         body.set(field, parse(json));
-        return new Odd(id, body, status, field + " is " + json);
+        return new InvalidSubmission(id, body, status, field + " is " + json);
     }
 }
--- a/experiment/src/main/java/org/landingridge/experiment/SimulatedUsers.java
+++ b/experiment/src/main/java/org/landingridge/experiment/SimulatedUsers.java
@@ -103,7 +103,7 @@
             }
             return;
         }
-        InvalidSubmissions.Odd job = InvalidSubmissions.any(SampleJobs.id(invalid++), sim.random);
+        InvalidSubmissions.InvalidSubmission job = InvalidSubmissions.any(SampleJobs.id(invalid++), sim.random);
         checker.unacceptable.put(job.id(), job.status());
         for (int node = 0; node < cluster.setup.controllers(); node++) {
             int at = node;
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -184,7 +184,7 @@
                     "a valid job should be accepted");
         }
         int number = 2;
-        for (InvalidSubmissions.Odd invalid : InvalidSubmissions.all("")) {
+        for (InvalidSubmissions.InvalidSubmission invalid : InvalidSubmissions.all("")) {
             String id = SampleJobs.id(number++);
             for (ControllerNode node : cluster.nodes) {
                 assertEquals(
