--- a/experiment/src/main/java/org/landingridge/experiment/InvalidSubmissions.java
+++ b/experiment/src/main/java/org/landingridge/experiment/InvalidSubmissions.java
@@ -70,7 +70,7 @@
     private InvalidSubmissions() {}
 
     /** A job that any controller takes, of team blue, on machines of type t4. */
-    static ObjectNode lawful(String id) {
+    static ObjectNode validJob(String id) {
         return (ObjectNode) parse(
                 "{\"id\":\"" + id + "\",\"lane\":\"odd\",\"crew\":\"blue\",\"shape\":\"sweep\",\"urgency\":\"normal\","
                         + "\"takes\":2,\"cpus\":1.0,\"cards\":0.0,\"memoryGb\":1.0,\"reel\":\"img-0\",\"sizeGb\":0.3,\"rigs\":[\"t4\"],"
@@ -86,7 +86,7 @@
     static List<InvalidSubmission> all(String id) {
         List<InvalidSubmission> all = new ArrayList<>();
         for (String field : MUST) {
-            ObjectNode without = lawful(id);
+            ObjectNode without = validJob(id);
             without.remove(field);
             all.add(new InvalidSubmission(id, without, 400, field + " is missing"));
             all.add(with(id, field, "null", 400));
@@ -106,7 +106,7 @@
     }
 
     private static InvalidSubmission with(String id, String field, String json, int status) {
-        ObjectNode body = lawful(id);
+        ObjectNode body = validJob(id);
         body.set(field, parse(json));
         return new InvalidSubmission(id, body, status, field + " is " + json);
     }
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -180,7 +180,7 @@
         for (ControllerNode node : cluster.nodes) {
             assertEquals(
                     node.index == 0 ? 201 : 200,
-                    submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1))),
+                    submit(cluster, node, InvalidSubmissions.validJob(SampleJobs.id(1))),
                     "a valid job should be accepted");
         }
         int number = 2;
@@ -286,7 +286,7 @@
         for (ControllerNode node : cluster.nodes) {
             for (int i = 0; i < values.size(); i++) {
                 assertEquals(
-                        503, submit(cluster, node, InvalidSubmissions.lawful(SampleJobs.id(1 + i))), values.get(i));
+                        503, submit(cluster, node, InvalidSubmissions.validJob(SampleJobs.id(1 + i))), values.get(i));
             }
         }
         assertEquals(
