--- a/emulator/src/main/java/org/landingridge/emulator/Simulation.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -96,7 +96,7 @@
     /** Hosts that can send, and to which nothing arrives. */
     public final Set<String> deaf = new HashSet<>();
     /** Share of messages of which a copy is delivered again late, by target host; the empty name stands for all. */
-    public final Map<String, Double> copied = new HashMap<>();
+    public final Map<String, Double> copyShareByHost = new HashMap<>();
     /** What is sent to these hosts takes so many milliseconds longer, or up to that. */
     public final Map<String, Long> slow = new HashMap<>();
     /** Copies come so much later at most. */
@@ -178,7 +178,7 @@
                                     : random.nextInt(
                                             slow.getOrDefault(to.name, 0L).intValue() + 1)),
                     task);
-            double share = copied.getOrDefault(to.name, copied.getOrDefault("", 0.0));
+            double share = copyShareByHost.getOrDefault(to.name, copyShareByHost.getOrDefault("", 0.0));
             if (share > 0 && random.nextDouble() < share) {
                 to.after(latency() + random.nextLong(copiedWithinMs), task);
             }
--- a/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
+++ b/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
@@ -152,8 +152,8 @@
     }
 
     private void copies(double share, long forMs) {
-        cluster.sim.copied.put("", share);
-        later(forMs, () -> cluster.sim.copied.remove(""));
+        cluster.sim.copyShareByHost.put("", share);
+        later(forMs, () -> cluster.sim.copyShareByHost.remove(""));
     }
 
     private void deafMachines(int count, long forMs) {
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -125,7 +125,7 @@
         }
         cluster.at(46_800, () -> cluster.sim.cut(cluster.leader().host.name, other.host.name));
         cluster.at(48_500, cluster.sim::heal);
-        cluster.sim.copied.put(cluster.leader().host.name, 0.5);
+        cluster.sim.copyShareByHost.put(cluster.leader().host.name, 0.5);
         cluster.sim.copiedWithinMs = 6_000;
         runAndAssertCancelledWithinLimit(cluster);
     }
@@ -150,8 +150,8 @@
         ControllerNode other = refuseLeaderThenStartOutage(cluster, 900);
         cluster.at(46_050, () -> cluster.state.refuse(cluster.nodes.get((other.index + 1) % 5).host.name, true));
         cluster.at(46_800, () -> cluster.sim.lostAnswers.put(other.host.name, 0.0));
-        cluster.at(52_000, () -> cluster.sim.copied.put("", 0.2));
-        cluster.at(58_000, () -> cluster.sim.copied.clear());
+        cluster.at(52_000, () -> cluster.sim.copyShareByHost.put("", 0.2));
+        cluster.at(58_000, () -> cluster.sim.copyShareByHost.clear());
         cluster.at(100_000, () -> cluster.nodes.forEach(node -> cluster.state.refuse(node.host.name, false)));
         runAndAssertCancelledWithinLimit(cluster);
     }
@@ -346,11 +346,11 @@
                 }
             });
         }
-        cluster.at(52_000, () -> cluster.sim.copied.put("", 0.3));
+        cluster.at(52_000, () -> cluster.sim.copyShareByHost.put("", 0.3));
         cluster.at(66_000, () -> cluster.nodes.forEach(node -> crashIfUp(node, node.index == seed % 3 ? 80 : 9_000)));
         cluster.at(66_500, () -> cluster.state.outage(true));
         cluster.at(67_500, () -> cluster.state.outage(false));
-        cluster.at(70_000, () -> cluster.sim.copied.clear());
+        cluster.at(70_000, () -> cluster.sim.copyShareByHost.clear());
         cluster.sim.run(160_000);
         assertInvariantsHold(cluster);
         assertEquals(4 + 2 * ARRAY_JOB_COUNT, cluster.checker.locationByTask.size());
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -130,8 +130,8 @@
             "late copies of 30% of the messages between any hosts but users break no invariant, with takeovers and lost machines")
     void invariantsHoldWhenLateCopiesOfMessagesArrive(long seed) {
         SimulatedCluster cluster = newCluster(420 + seed, 3);
-        cluster.sim.copied.put("", 0.3);
-        cluster.sim.copied.put("users", 0.0);
+        cluster.sim.copyShareByHost.put("", 0.3);
+        cluster.sim.copyShareByHost.put("users", 0.0);
         startServices(cluster, 8);
         scheduleLoad(cluster);
         cluster.at(40_000, () -> crashIfUp(cluster.leader(), 200));
@@ -153,7 +153,7 @@
     void lateCopyOfStartDoesNotRunClearedTaskAgain(long seed) {
         SimulatedCluster cluster = newCluster(430 + seed, 3);
         startServices(cluster, 4);
-        cluster.workers.forEach(worker -> cluster.sim.copied.put(worker.box().id, 1.0));
+        cluster.workers.forEach(worker -> cluster.sim.copyShareByHost.put(worker.box().id, 1.0));
         cluster.sim.copiedWithinMs = 40_000;
         for (int i = 0; i < 16; i++) {
             cluster.users.submit(SampleJobs.job(60 + i, "blue", false, 1, 1, 60));
@@ -172,7 +172,7 @@
     void lateHeartbeatsFromBeforeRestartAreIgnored(long seed) {
         SimulatedCluster cluster = newCluster(440 + seed, 3);
         startServices(cluster, 12);
-        cluster.nodes.forEach(node -> cluster.sim.copied.put(node.host.name, 1.0));
+        cluster.nodes.forEach(node -> cluster.sim.copyShareByHost.put(node.host.name, 1.0));
         cluster.sim.copiedWithinMs = 12_000;
         List<EmulatedWorker> busyWorkers = cluster.workers.stream()
                 .filter(worker -> worker.running() != null)
