--- a/emulator/src/main/java/org/landingridge/emulator/Simulation.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -100,7 +100,7 @@
     /** What is sent to these hosts takes so many milliseconds longer, or up to that. */
     public final Map<String, Long> slow = new HashMap<>();
     /** Copies come so much later at most. */
-    public long copiedWithinMs = 30_000;
+    public long maxCopyDelayMs = 30_000;
     /** Share of answers that get lost after the request was carried out, by target host. */
     public final Map<String, Double> lostAnswers = new HashMap<>();
 
@@ -180,7 +180,7 @@
                     task);
             double share = copyShareByHost.getOrDefault(to.name, copyShareByHost.getOrDefault("", 0.0));
             if (share > 0 && random.nextDouble() < share) {
-                to.after(latency() + random.nextLong(copiedWithinMs), task);
+                to.after(latency() + random.nextLong(maxCopyDelayMs), task);
             }
         };
         String way = from.name + ">" + to.name;
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -126,7 +126,7 @@
         cluster.at(46_800, () -> cluster.sim.cut(cluster.leader().host.name, other.host.name));
         cluster.at(48_500, cluster.sim::heal);
         cluster.sim.copyShareByHost.put(cluster.leader().host.name, 0.5);
-        cluster.sim.copiedWithinMs = 6_000;
+        cluster.sim.maxCopyDelayMs = 6_000;
         runAndAssertCancelledWithinLimit(cluster);
     }
 
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -154,7 +154,7 @@
         SimulatedCluster cluster = newCluster(430 + seed, 3);
         startServices(cluster, 4);
         cluster.workers.forEach(worker -> cluster.sim.copyShareByHost.put(worker.box().id, 1.0));
-        cluster.sim.copiedWithinMs = 40_000;
+        cluster.sim.maxCopyDelayMs = 40_000;
         for (int i = 0; i < 16; i++) {
             cluster.users.submit(SampleJobs.job(60 + i, "blue", false, 1, 1, 60));
         }
@@ -173,7 +173,7 @@
         SimulatedCluster cluster = newCluster(440 + seed, 3);
         startServices(cluster, 12);
         cluster.nodes.forEach(node -> cluster.sim.copyShareByHost.put(node.host.name, 1.0));
-        cluster.sim.copiedWithinMs = 12_000;
+        cluster.sim.maxCopyDelayMs = 12_000;
         List<EmulatedWorker> busyWorkers = cluster.workers.stream()
                 .filter(worker -> worker.running() != null)
                 .toList();
