--- a/emulator/src/main/java/org/landingridge/emulator/Simulation.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -98,7 +98,7 @@
     /** Share of messages of which a copy is delivered again late, by target host; the empty name stands for all. */
     public final Map<String, Double> copyShareByHost = new HashMap<>();
     /** What is sent to these hosts takes so many milliseconds longer, or up to that. */
-    public final Map<String, Long> slow = new HashMap<>();
+    public final Map<String, Long> maxExtraDelayMsByHost = new HashMap<>();
     /** Copies come so much later at most. */
     public long maxCopyDelayMs = 30_000;
     /** Share of answers that get lost after the request was carried out, by target host. */
@@ -173,10 +173,10 @@
         Runnable go = () -> {
             to.after(
                     latency()
-                            + (slow.isEmpty()
+                            + (maxExtraDelayMsByHost.isEmpty()
                                     ? 0
                                     : random.nextInt(
-                                            slow.getOrDefault(to.name, 0L).intValue() + 1)),
+                                            maxExtraDelayMsByHost.getOrDefault(to.name, 0L).intValue() + 1)),
                     task);
             double share = copyShareByHost.getOrDefault(to.name, copyShareByHost.getOrDefault("", 0.0));
             if (share > 0 && random.nextDouble() < share) {
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -88,8 +88,8 @@
                 cluster.at(22_000, () -> cluster.state.refuse("rig-1", false));
             }
             case STATE_SERVICE_SLOW -> {
-                cluster.at(10_000, () -> cluster.sim.slow.put("state", 900L));
-                cluster.at(24_000, cluster.sim.slow::clear);
+                cluster.at(10_000, () -> cluster.sim.maxExtraDelayMsByHost.put("state", 900L));
+                cluster.at(24_000, cluster.sim.maxExtraDelayMsByHost::clear);
             }
         }
     }
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -462,7 +462,7 @@
                 ClusterSetup.LEASE_MS,
                 ClusterSetup.small(0, 0, 3).teams(),
                 new Settings.State(200, 20, 4, 8)));
-        cluster.nodes.forEach(node -> cluster.sim.slow.put(node.host.name, 600L));
+        cluster.nodes.forEach(node -> cluster.sim.maxExtraDelayMsByHost.put(node.host.name, 600L));
         startServices(cluster, 2);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
