--- a/emulator/src/main/java/org/landingridge/emulator/Simulation.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -94,7 +94,7 @@
 
     private final List<Held> held = new ArrayList<>();
     /** Hosts that can send, and to which nothing arrives. */
-    public final Set<String> deaf = new HashSet<>();
+    public final Set<String> receivingNothing = new HashSet<>();
     /** Share of messages of which a copy is delivered again late, by target host; the empty name stands for all. */
     public final Map<String, Double> copyShareByHost = new HashMap<>();
     /** What is sent to these hosts takes so many milliseconds longer, or up to that. */
@@ -167,7 +167,7 @@
 
     /** Carries something from one host to another, held while the way is cut. */
     public void deliver(Host from, Host to, Runnable task) {
-        if (deaf.contains(to.name)) {
+        if (receivingNothing.contains(to.name)) {
             return;
         }
         Runnable go = () -> {
--- a/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
+++ b/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
@@ -158,8 +158,8 @@
 
     private void deafMachines(int count, long forMs) {
         List<String> deaf = names(some(count));
-        cluster.sim.deaf.addAll(deaf);
-        later(forMs, () -> deaf.forEach(cluster.sim.deaf::remove));
+        cluster.sim.receivingNothing.addAll(deaf);
+        later(forMs, () -> deaf.forEach(cluster.sim.receivingNothing::remove));
     }
 
     private void muteMachines(int count, long forMs) {
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -185,9 +185,9 @@
                 .filter(worker -> worker.running() != null)
                 .limit(3)
                 .toList();
-        cluster.at(46_000, () -> unreachable.forEach(worker -> cluster.sim.deaf.add(worker.box().id)));
+        cluster.at(46_000, () -> unreachable.forEach(worker -> cluster.sim.receivingNothing.add(worker.box().id)));
         cluster.at(46_300, () -> cluster.leader().crash(restartDelayMs));
-        cluster.at(46_300 + 5 * ClusterSetup.LEASE_MS, cluster.sim.deaf::clear);
+        cluster.at(46_300 + 5 * ClusterSetup.LEASE_MS, cluster.sim.receivingNothing::clear);
         // The leader's hold, a lease, a heartbeat that takes 5 s because it waits for its answer, and a boot.
         cluster.sim.run(46_300 + 3_500 + ClusterSetup.LEASE_MS + 5_500 + 4_500);
         assertInvariantsHold(cluster);
