--- a/emulator/src/main/java/org/landingridge/emulator/Simulation.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -102,7 +102,7 @@
     /** Copies come so much later at most. */
     public long maxCopyDelayMs = 30_000;
     /** Share of answers that get lost after the request was carried out, by target host. */
-    public final Map<String, Double> lostAnswers = new HashMap<>();
+    public final Map<String, Double> lostAnswerShareByHost = new HashMap<>();
 
     public Simulation(long seed) {
         random = new Random(seed);
@@ -248,7 +248,7 @@
                             if (observer != null) {
                                 observer.answer(to.name, method, path, status, json);
                             }
-                            if (random.nextDouble() >= lostAnswers.getOrDefault(to.name, 0.0)) {
+                            if (random.nextDouble() >= lostAnswerShareByHost.getOrDefault(to.name, 0.0)) {
                                 // A process that has died since gets no answer: else it would go on in the next one's
                                 // life, as a second controller on the same host.
                                 deliver(to, from, () -> {
--- a/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
+++ b/experiment/src/main/java/org/landingridge/experiment/FaultInjector.java
@@ -147,8 +147,8 @@
     }
 
     private void lostAnswers(double share, long forMs) {
-        cluster.sim.lostAnswers.put("state", share);
-        later(forMs, () -> cluster.sim.lostAnswers.remove("state"));
+        cluster.sim.lostAnswerShareByHost.put("state", share);
+        later(forMs, () -> cluster.sim.lostAnswerShareByHost.remove("state"));
     }
 
     private void copies(double share, long forMs) {
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -188,10 +188,10 @@
     @ValueSource(longs = {41, 42, 43, 44})
     void allJobsEndWhenAnswersOfStateServiceAndCloudAreLost(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 10);
-        cluster.sim.lostAnswers.put("state", 0.1);
-        cluster.sim.lostAnswers.put("cloud", 0.4);
+        cluster.sim.lostAnswerShareByHost.put("state", 0.1);
+        cluster.sim.lostAnswerShareByHost.put("cloud", 0.4);
         submitMixedLoad(cluster);
-        cluster.at(60_000, cluster.sim.lostAnswers::clear);
+        cluster.at(60_000, cluster.sim.lostAnswerShareByHost::clear);
         cluster.sim.run(180_000);
         assertAllJobsEndedAndServicesRun(cluster);
     }
@@ -283,11 +283,11 @@
     @DisplayName("a rent request whose answer is lost as the leader crashes creates its machines only once")
     void machinesAreRentedOnceWhenLeaderCrashesBeforeItLearnsOfRent() {
         SimulatedCluster cluster = new SimulatedCluster(71, 0);
-        cluster.at(3_000, () -> cluster.sim.lostAnswers.put("cloud", 1.0));
+        cluster.at(3_000, () -> cluster.sim.lostAnswerShareByHost.put("cloud", 1.0));
         cluster.at(3_000, () -> cluster.users.submit(SampleJobs.job(1, "blue", false, 2, 4, 3)));
         cluster.at(5_000, () -> {
             cluster.leader().crash(2_000);
-            cluster.sim.lostAnswers.clear();
+            cluster.sim.lostAnswerShareByHost.clear();
         });
         cluster.sim.run(60_000);
         assertEquals("done", cluster.checker.lastStatusByJob.get("job-000001"));
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -149,7 +149,7 @@
         SimulatedCluster cluster = clusterWithRunningJobs(550 + seed, 5);
         ControllerNode other = refuseLeaderThenStartOutage(cluster, 900);
         cluster.at(46_050, () -> cluster.state.refuse(cluster.nodes.get((other.index + 1) % 5).host.name, true));
-        cluster.at(46_800, () -> cluster.sim.lostAnswers.put(other.host.name, 0.0));
+        cluster.at(46_800, () -> cluster.sim.lostAnswerShareByHost.put(other.host.name, 0.0));
         cluster.at(52_000, () -> cluster.sim.copyShareByHost.put("", 0.2));
         cluster.at(58_000, () -> cluster.sim.copyShareByHost.clear());
         cluster.at(100_000, () -> cluster.nodes.forEach(node -> cluster.state.refuse(node.host.name, false)));
@@ -474,13 +474,13 @@
                 46_000,
                 () -> workersBefore.forEach(worker -> {
                     cluster.heartbeatFaults.droppedMachines.add(worker.box().id);
-                    cluster.sim.lostAnswers.put(worker.box().id, 1.0);
+                    cluster.sim.lostAnswerShareByHost.put(worker.box().id, 1.0);
                 }));
         cluster.at(46_100, () -> cluster.leader().crash(60_000));
         cluster.at(60_000, () -> workersBefore.forEach(worker -> cluster.restart(worker, 100)));
         cluster.at(60_150, () -> {
             cluster.heartbeatFaults.droppedMachines.clear();
-            cluster.sim.lostAnswers.clear();
+            cluster.sim.lostAnswerShareByHost.clear();
         });
         cluster.at(
                 72_000,
--- a/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/JobHistoryTest.java
@@ -118,8 +118,8 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, 10);
         HistorySeeds.jobKeys(cluster, 100_000, JOB_COUNT, 1);
         scheduleRequests(cluster, 2_000, 290_000, 300);
-        cluster.sim.lostAnswers.put("state", 0.2);
-        cluster.at(300_000, () -> cluster.sim.lostAnswers.clear());
+        cluster.sim.lostAnswerShareByHost.put("state", 0.2);
+        cluster.at(300_000, () -> cluster.sim.lostAnswerShareByHost.clear());
         cluster.sim.run(400_000);
         assertNoJobLostOrDuplicated(cluster);
         assertTrue(countMoved(cluster) > 100, countMoved(cluster) + " moved");
--- a/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/LiveConfigurationTest.java
@@ -114,8 +114,8 @@
                     8 + cluster.sim.random.nextInt(20));
             cluster.at(5_000 + cluster.sim.random.nextInt(80_000), () -> submitUntilAcknowledged(cluster, change, 40));
         }
-        cluster.at(15_000, () -> cluster.sim.lostAnswers.put("state", 0.3));
-        cluster.at(40_000, () -> cluster.sim.lostAnswers.clear());
+        cluster.at(15_000, () -> cluster.sim.lostAnswerShareByHost.put("state", 0.3));
+        cluster.at(40_000, () -> cluster.sim.lostAnswerShareByHost.clear());
         cluster.at(40_000, () -> cluster.state.lateWrites(0.2, cluster.sim.random));
         cluster.at(60_000, () -> cluster.state.lateWrites(0, null));
         cluster.at(25_000 + seed * 71, () -> ClusterAssertions.crashIfUp(cluster.leader(), 700));
--- a/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PipelinesTest.java
@@ -129,8 +129,8 @@
         SimulatedCluster cluster = clusterWithPipelines(seed, 16, 5_000);
         cluster.at(5_000, () -> cluster.state.lateWrites(0.15, cluster.sim.random));
         cluster.at(60_000, () -> cluster.state.lateWrites(0, null));
-        cluster.at(60_000, () -> cluster.sim.lostAnswers.put("state", 0.2));
-        cluster.at(95_000, () -> cluster.sim.lostAnswers.clear());
+        cluster.at(60_000, () -> cluster.sim.lostAnswerShareByHost.put("state", 0.2));
+        cluster.at(95_000, () -> cluster.sim.lostAnswerShareByHost.clear());
         cluster.at(50_000, () -> ClusterAssertions.crashIfUp(cluster.leader(), 800));
         runUntilAllStagesHaveEnded(cluster, 360_000);
     }
