--- a/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
+++ b/emulator/src/main/java/org/landingridge/emulator/InvariantChecker.java
@@ -222,7 +222,8 @@
         ids.stream()
                 .filter(id -> lastStatusByJob.containsKey(id) && answeredAt.getOrDefault(id, 0L) < since)
                 .limit(20)
-                .forEach(id -> broke("forgotten", id + " is " + lastStatusByJob.get(id) + " and gets no answer since " + since));
+                .forEach(id -> broke(
+                        "forgotten", id + " is " + lastStatusByJob.get(id) + " and gets no answer since " + since));
     }
 
     public void everySecond() {
--- a/emulator/src/main/java/org/landingridge/emulator/Simulation.java
+++ b/emulator/src/main/java/org/landingridge/emulator/Simulation.java
@@ -175,8 +175,10 @@
                     latency()
                             + (maxExtraDelayMsByHost.isEmpty()
                                     ? 0
-                                    : random.nextInt(
-                                            maxExtraDelayMsByHost.getOrDefault(to.name, 0L).intValue() + 1)),
+                                    : random.nextInt(maxExtraDelayMsByHost
+                                                    .getOrDefault(to.name, 0L)
+                                                    .intValue()
+                                            + 1)),
                     task);
             double share = copyShareByHost.getOrDefault(to.name, copyShareByHost.getOrDefault("", 0.0));
             if (share > 0 && random.nextDouble() < share) {
--- a/experiment/src/main/java/org/landingridge/experiment/ServedDemand.java
+++ b/experiment/src/main/java/org/landingridge/experiment/ServedDemand.java
@@ -68,7 +68,8 @@
             int there = 0;
             for (int t = 0; t < s.tasks(); t++) {
                 String task = s.id() + "/" + t;
-                there += (s.service() ? rules.locationByTask.containsKey(task) : rules.completed.contains(task)) ? 1 : 0;
+                there +=
+                        (s.service() ? rules.locationByTask.containsKey(task) : rules.completed.contains(task)) ? 1 : 0;
             }
             if (!s.service()) {
                 arrays.computeIfAbsent(s.jobClass(), c -> new ArrayList<>())
--- a/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/ApiConsistencyTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.allJobsEndedAndControllersAgree;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -133,7 +133,8 @@
                 () -> cluster.nodes.forEach(node -> {
                     cluster.users.askOnce(id, "cancel", node.index);
                     cluster.at(cluster.sim.now + 500, () -> {
-                        if (!"done".equals(cluster.checker.lastStatusByJob.get(id)) && !cluster.checker.cancelAsked.contains(id)) {
+                        if (!"done".equals(cluster.checker.lastStatusByJob.get(id))
+                                && !cluster.checker.cancelAsked.contains(id)) {
                             lateJobs.add(id);
                         }
                     });
--- a/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FailoverTest.java
@@ -307,7 +307,8 @@
         cluster.workers.forEach(worker -> cluster.sim.cut(cluster.leader().host.name, worker.box().id));
         cluster.users.submit(SampleJobs.job(2, "blue", true, 1, 1, 0));
         cluster.sim.run(32_000);
-        assertTrue(cluster.allTasksRun("job-000002", 1), "job 2 should be started by the answer to a forwarded heartbeat");
+        assertTrue(
+                cluster.allTasksRun("job-000002", 1), "job 2 should be started by the answer to a forwarded heartbeat");
         cluster.sim.dropping = true;
         cluster.users.cancel("job-000002");
         cluster.sim.run(40_000 + 2 * ClusterSetup.CANCEL_MS);
--- a/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/FaultCombinationsTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.startServices;
 
 import java.util.List;
@@ -70,7 +70,9 @@
     private static void runAndAssertCancelledWithinLimit(SimulatedCluster cluster) {
         cluster.sim.run(46_000 + ClusterSetup.CANCEL_MS);
         assertEquals(
-                CANCELLED_JOB_COUNT, cluster.jobCountWithStatus("cancelled"), "every cancelled job should be reported as cancelled");
+                CANCELLED_JOB_COUNT,
+                cluster.jobCountWithStatus("cancelled"),
+                "every cancelled job should be reported as cancelled");
         assertEquals(0, countTasksOfCancelledJobs(cluster), "no task of a cancelled job should still run");
         cluster.sim.run(150_000);
         assertInvariantsHold(cluster);
--- a/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/PlacementUnderFaultsTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
+import static org.landingridge.experiment.ClusterAssertions.assertAllJobsStartOrEnd;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.startServices;
-import static org.landingridge.experiment.ClusterAssertions.assertAllJobsStartOrEnd;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -176,7 +176,8 @@
         assertInvariantsHold(cluster);
         for (long atMs = cluster.sim.now; atMs < 110_000; atMs += 500) {
             cluster.sim.run(atMs);
-            assertEquals(16, cluster.checker.locationByTask.size(), "all tasks should run on other machines at " + atMs);
+            assertEquals(
+                    16, cluster.checker.locationByTask.size(), "all tasks should run on other machines at " + atMs);
             assertTrue(
                     muteWorkers.stream().allMatch(worker -> worker.running() == null),
                     "a machine that cannot report was given a task");
--- a/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/RapidRestartTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.assertInvariantsHold;
+import static org.landingridge.experiment.ClusterAssertions.crashIfUp;
 import static org.landingridge.experiment.ClusterAssertions.startServices;
 
 import java.util.List;
@@ -64,7 +64,8 @@
                 .orElseThrow();
         cluster.restart(restartedWorker, backAfterMs);
         cluster.sim.run(30_000 + backAfterMs + 8_000);
-        assertEquals(12, cluster.checker.locationByTask.size(), "all tasks should run again long before a lease expires");
+        assertEquals(
+                12, cluster.checker.locationByTask.size(), "all tasks should run again long before a lease expires");
         assertEquals(0, cluster.metric(cluster.leader(), "landingridge_lapses"));
         cluster.sim.run(90_000);
         assertInvariantsHold(cluster);
--- a/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SevenControllersTest.java
@@ -30,7 +30,10 @@
                             SampleJobs.job(jobNumber, jobNumber % 2 == 0 ? "red" : "blue", true, 2, 2, 0)));
         }
         cluster.sim.run(45_000);
-        assertEquals(2 * SERVICE_COUNT, cluster.checker.locationByTask.size(), "number of running replicas before the faults");
+        assertEquals(
+                2 * SERVICE_COUNT,
+                cluster.checker.locationByTask.size(),
+                "number of running replicas before the faults");
         assertTrue(cluster.workers.size() >= SERVICE_COUNT, "only " + cluster.workers.size() + " machines");
         return cluster;
     }
--- a/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/SilentMachineTest.java
@@ -150,7 +150,8 @@
         zone.forEach(this::cutOff);
         cluster.at(30_000 + 12_000, () -> cluster.leader().crash(4_000));
         cluster.sim.run(30_000 + LEASE_MS + 8_000);
-        long runningAgain = jobs.stream().filter(job -> cluster.allTasksRun(job, 1)).count();
+        long runningAgain =
+                jobs.stream().filter(job -> cluster.allTasksRun(job, 1)).count();
         assertEquals(jobs.size(), runningAgain, "all services of the zone should run again one lease after the cut");
         cluster.sim.run(90_000);
         assertInvariantsKept();
--- a/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
+++ b/experiment/src/test/java/org/landingridge/experiment/TotalOutageTest.java
@@ -175,7 +175,8 @@
                                 })));
         cluster.at(DOWN_AT + 12_000, () -> cluster.users.submit(SampleJobs.job(200, "blue", false, 3, 1, 2)));
         cluster.sim.run(DOWN_AT + 20_000);
-        assertEquals("done", cluster.checker.lastStatusByJob.get("job-000200"), "a job submitted meanwhile should be done");
+        assertEquals(
+                "done", cluster.checker.lastStatusByJob.get("job-000200"), "a job submitted meanwhile should be done");
         cluster.sim.run(120_000);
         assertAllServicesRunAndJobsAreDone(7);
         assertTrue(
